--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -30,7 +30,7 @@
 
     def at(self, size: float) -> float:
         """The value that the law gives at this size."""
-        return float(self.factor * size ** self.exponent)
+        return float(self.factor * size**self.exponent)
 
 
 def fit(points: Sequence[Point]) -> Fit:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -123,7 +123,8 @@
         prove_ms=processor_ms(lambda: Control(new, SEED, 0.0), repeats),
         apply_ms=processor_ms(lambda: control.change(1.0, new), repeats),
         undo_ms=processor_ms(lambda: control.change(1.0, old), repeats),
-        change_ms=processor_ms(lambda: changing.push(part_for(next(number))), repeats))
+        change_ms=processor_ms(lambda: changing.push(part_for(next(number))), repeats),
+    )
 
 
 @dataclass(frozen=True)
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -170,8 +170,13 @@
     program = ["-m", "benchmarks.capacity.unbounded"] if lifted else ["deploy/serve.py"]
     begun = time.monotonic()
     with (folder / "log").open("ab") as log:
-        process = subprocess.Popen([sys.executable, "-B", *program, "serve"], cwd=ROOT, stdout=log, stderr=log,
-                                   env={**os.environ, "ROUTER_CONFIG": str(file)})
+        process = subprocess.Popen(
+            [sys.executable, "-B", *program, "serve"],
+            cwd=ROOT,
+            stdout=log,
+            stderr=log,
+            env={**os.environ, "ROUTER_CONFIG": str(file)},
+        )
     server = Server(process, ports.listen, directory, path)
     try:
         await ready(server)
@@ -212,8 +217,10 @@
 
 def request(chance: random.Random, tenants: int) -> tuple[bytes, bytes, bytes]:
     """The parts of one request after its tag: grade, fields and body."""
-    fields = (f"req={chance.getrandbits(64):016x},ts={int(time.time() * 1000)},via=1,"
-              f"owner={tenant(chance.randrange(tenants))},timeout=3000,need=8,level=0.5")
+    fields = (
+        f"req={chance.getrandbits(64):016x},ts={int(time.time() * 1000)},via=1,"
+        f"owner={tenant(chance.randrange(tenants))},timeout=3000,need=8,level=0.5"
+    )
     return GRADE.encode(), fields.encode(), b"body"
 
 
@@ -227,8 +234,7 @@
     core_share: float
 
 
-async def request_times(server: Server, echo_port: int, tenants: int, rate: float, span_s: float,
-                        seed: int) -> Times:
+async def request_times(server: Server, echo_port: int, tenants: int, rate: float, span_s: float, seed: int) -> Times:
     """Ask in open loop at this rate, with two turns of a like message through the echo beside each request."""
     chance = random.Random(seed)
     lines = [await line_to(server.port) for _ in range(LINES)]
@@ -274,7 +280,8 @@
 async def echoing() -> AsyncIterator[int]:
     """A process that echoes; its port."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "benchmarks.capacity.echo", cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+        sys.executable, "-B", "-m", "benchmarks.capacity.echo", cwd=ROOT, stdout=asyncio.subprocess.PIPE
+    )
     try:
         assert process.stdout is not None
         yield int(await asyncio.wait_for(process.stdout.readline(), READY_MOST_S))
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -75,7 +75,13 @@
 def measured_from(value: Mapping[str, Any]) -> Measured:
     """What a data file holds."""
     series = {
-        name: Series(each["name"], each["dimension"], each["unit"], each["source"],
-                     tuple(Point(point["size"], point["value"]) for point in each["points"]))
-        for name, each in value["series"].items()}
+        name: Series(
+            each["name"],
+            each["dimension"],
+            each["unit"],
+            each["source"],
+            tuple(Point(point["size"], point["value"]) for point in each["points"]),
+        )
+        for name, each in value["series"].items()
+    }
     return Measured(dict(value["run"]), series, dict(value["figures"]), dict(value["notes"]))
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -56,14 +56,30 @@
 
 RATES = (35.0, PLAN.requests_per_server_s, PLAN.requests_without_a_zone_s, 3 * PLAN.requests_per_server_s)
 QUICK = Sizes(
-    tenants=(100, 700, 5_000, PLAN.tenants), grades=(2, 8, 24, 64), held=(16, 64, 256, 1024), rates=RATES,
-    connections=(50, 125, 320, 800), real_tenants=(100, 700, 5_000, PLAN.tenants), servers=(10, 79, 250, PLAN.servers),
-    repeats=3, requests=400, span_s=4.0, history_tenants=(50, 100, 200, 400))
+    tenants=(100, 700, 5_000, PLAN.tenants),
+    grades=(2, 8, 24, 64),
+    held=(16, 64, 256, 1024),
+    rates=RATES,
+    connections=(50, 125, 320, 800),
+    real_tenants=(100, 700, 5_000, PLAN.tenants),
+    servers=(10, 79, 250, PLAN.servers),
+    repeats=3,
+    requests=400,
+    span_s=4.0,
+    history_tenants=(50, 100, 200, 400),
+)
 FULL = replace(
-    QUICK, tenants=(100, 400, 1_500, 6_000, 15_000, PLAN.tenants), grades=(2, 4, 8, 16, 32, 64),
-    held=(16, 64, 256, 512, 1024), connections=(50, 100, 200, 400, 800),
-    servers=(10, 40, 79, 160, 320, PLAN.servers), repeats=5, requests=2_000, span_s=20.0,
-    history_tenants=(60, 200, 600, 1_800))
+    QUICK,
+    tenants=(100, 400, 1_500, 6_000, 15_000, PLAN.tenants),
+    grades=(2, 4, 8, 16, 32, 64),
+    held=(16, 64, 256, 512, 1024),
+    connections=(50, 100, 200, 400, 800),
+    servers=(10, 40, 79, 160, 320, PLAN.servers),
+    repeats=5,
+    requests=2_000,
+    span_s=20.0,
+    history_tenants=(60, 200, 600, 1_800),
+)
 
 
 class Run:
@@ -90,9 +106,14 @@
         self._together()
         loads.append(os.getloadavg()[0])
         self.measured.run = {
-            "quick": quick, "seed": self._seed, "seconds": round(time.monotonic() - begun, 1),
-            "python": platform.python_version(), "system": sys.platform, "cores": os.cpu_count(),
-            "load": [round(load, 1) for load in loads]}
+            "quick": quick,
+            "seed": self._seed,
+            "seconds": round(time.monotonic() - begun, 1),
+            "python": platform.python_version(),
+            "system": sys.platform,
+            "cores": os.cpu_count(),
+            "load": [round(load, 1) for load in loads],
+        }
         return self.measured
 
     def _configurations(self) -> None:
@@ -102,8 +123,9 @@
             unit = "bytes" if name.endswith("bytes") else "ms"
             points = {size: cost[name] for size, cost in costs.items()}
             self.measured.add(f"tenants_{name}", "tenants", unit, HOLLOW, points)
-        points = {size: hollow.configuration_cost(1, self._sizes.repeats, size).change_ms
-                  for size in self._sizes.grades}
+        points = {
+            size: hollow.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
+        }
         self.measured.add("grades_change_ms", "grades", "ms", HOLLOW, points)
         self._tell("configurations measured")
 
@@ -125,8 +147,9 @@
 
         def one(tenants: int, grades: int | None = None, at_rate: float = rate) -> float:
             settings = hollow.settings_for(tenants, grades, cores=RATE_CORES)
-            return median(hollow.decision_us(settings, at_rate, sizes.requests, self._seed + trial)
-                          for trial in range(3))
+            return median(
+                hollow.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
+            )
 
         points = {size: one(size) for size in sizes.tenants}
         self.measured.add("tenants_decision_us", "tenants", "us a request", HOLLOW, points)
@@ -135,8 +158,7 @@
         shares = {at: one(PLAN.tenants, None, at) * at / 1e6 for at in sizes.rates}
         self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
         settings = hollow.settings_for(FEW_TENANTS, cores=HELD_CORES)
-        grades = tuple(replace(grade, quoted_ms=hollow.LONG_MS, abandon_ms=hollow.LONG_MS)
-                       for grade in settings.grades)
+        grades = tuple(replace(grade, quoted_ms=hollow.LONG_MS, abandon_ms=hollow.LONG_MS) for grade in settings.grades)
         settings = replace(settings, grades=grades)
         points = {size: hollow.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
         self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
--- a/benchmarks/capacity/summary.py
+++ b/benchmarks/capacity/summary.py
@@ -31,12 +31,22 @@
         "simulated_in_force_s_p99": figures.get("simulated_in_force_s_p99"),
         "simulated_in_force_s_max": figures.get("simulated_in_force_s_max"),
         "simulated_rollout_end": course,
-        "changes_lost": None, "mixed_generations": None, "older_after_newer": None,  # need faults over real processes
-        "hollow_error": {"memory_per_tenant": figures.get("hollow_error_memory"),
-                         "change_time": figures.get("hollow_error_change"),
-                         "full_history": figures.get("hollow_error_history")},
-        "exponents": {name: {"dimension": series.dimension, "exponent": round(series.fit.exponent, 3),
-                             "error": round(series.fit.error, 3)}
-                      for name, series in measured.series.items() if series.fit is not None},
+        "changes_lost": None,
+        "mixed_generations": None,
+        "older_after_newer": None,  # need faults over real processes
+        "hollow_error": {
+            "memory_per_tenant": figures.get("hollow_error_memory"),
+            "change_time": figures.get("hollow_error_change"),
+            "full_history": figures.get("hollow_error_history"),
+        },
+        "exponents": {
+            name: {
+                "dimension": series.dimension,
+                "exponent": round(series.fit.exponent, 3),
+                "error": round(series.fit.error, 3),
+            }
+            for name, series in measured.series.items()
+            if series.fit is not None
+        },
         "over_limit": [f"{row.role}: {row.name}" for row in rows_of(measured) if row.over],
     }
--- a/benchmarks/capacity/texts.py
+++ b/benchmarks/capacity/texts.py
@@ -46,9 +46,14 @@
     """The example's configuration in the platform's form, with so many tenants and grades."""
     ports = ports or Ports()
     value: dict[str, Any] = json.loads(EXAMPLE.read_text())
-    value |= {"listen": f"127.0.0.1:{ports.listen}", "pool": f"127.0.0.1:{ports.pool}",
-              "records": f"127.0.0.1:{ports.pool}", "lookup": f"127.0.0.1:{ports.directory}",
-              "stop_ms": STOP_MS, "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS}}
+    value |= {
+        "listen": f"127.0.0.1:{ports.listen}",
+        "pool": f"127.0.0.1:{ports.pool}",
+        "records": f"127.0.0.1:{ports.pool}",
+        "lookup": f"127.0.0.1:{ports.directory}",
+        "stop_ms": STOP_MS,
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
+    }
     settings = value["settings"]
     settings["tenants"] = [{"name": tenant(number), "quota-rps": 2.0} for number in range(tenants)]
     settings["specifics"] |= {"idle-ms": IDLE_MS, "class-skip-worth": [], "cpus": CORES, "memory-kb": MEMORY_KB}
@@ -62,8 +67,12 @@
 def own_document(tenants: int, ports: Ports | None = None, socket: str = "", grades: int | None = None) -> Document:
     """The same in our own words, with changes taken on a control socket where one is named."""
     document = document_of(config_of(platform_value(tenants, ports, grades), {}))
-    changes = {"socket": socket, "probation_ms": QUIET_PROBATION_MS, "probation_most_ms": QUIET_PROBATION_MS,
-               "baseline_ms": BASELINE_MS}
+    changes = {
+        "socket": socket,
+        "probation_ms": QUIET_PROBATION_MS,
+        "probation_most_ms": QUIET_PROBATION_MS,
+        "baseline_ms": BASELINE_MS,
+    }
     document["changes"] = {**document["changes"], **changes}
     return {"version": 1, **document}
 
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -63,17 +63,39 @@
 def plan_for(size: int, seed: int) -> Plan:
     """The surroundings: machines warm in six seconds, and a records service of its own coldness that survives half of
     what the servers' shares add up to."""
-    grades = {"read": GradeTraffic(0.6, 1.0, 1600.0, 2600.0, True),
-              "pay": GradeTraffic(0.3, 3.0, 1000.0, 2000.0, False),
-              "book": GradeTraffic(0.1, 2.0, 1200.0, 2200.0, False, True)}
+    grades = {
+        "read": GradeTraffic(0.6, 1.0, 1600.0, 2600.0, True),
+        "pay": GradeTraffic(0.3, 3.0, 1000.0, 2000.0, False),
+        "book": GradeTraffic(0.1, 2.0, 1200.0, 2200.0, False, True),
+    }
     work = Work({"read": 200.0, "pay": 120.0, "book": 80.0}, {"read": 1.0, "pay": 1.0})
     machine = MachineKind(cold_from=COLD_FROM, cold_ms=COLD_MS, cold_calls=COLD_CALLS)
     survives = CALLS_A_SERVER * size
-    service = ServiceKind(slots=round(SLOTS_A_SERVER * size), call_ms=CALL_MS, survives=survives, cold_from=0.4,
-                          cold_ms=3000.0, span_ms=1000.0, down_ms=2000.0)
-    return Plan(size=size, seed=seed, rate=LOAD * capacity(grades, work, machine) * size, balancers=max(4, size // 8),
-                grades=grades, work=work, machine=machine, service=service, call_share=TOLD_MORE * survives / size,
-                cold=True, relayed=False, read_list=True, hosts=max(1, min(4, size // 40)), slack_ms=1000.0)
+    service = ServiceKind(
+        slots=round(SLOTS_A_SERVER * size),
+        call_ms=CALL_MS,
+        survives=survives,
+        cold_from=0.4,
+        cold_ms=3000.0,
+        span_ms=1000.0,
+        down_ms=2000.0,
+    )
+    return Plan(
+        size=size,
+        seed=seed,
+        rate=LOAD * capacity(grades, work, machine) * size,
+        balancers=max(4, size // 8),
+        grades=grades,
+        work=work,
+        machine=machine,
+        service=service,
+        call_share=TOLD_MORE * survives / size,
+        cold=True,
+        relayed=False,
+        read_list=True,
+        hosts=max(1, min(4, size // 40)),
+        slack_ms=1000.0,
+    )
 
 
 def capacity(grades: dict[str, GradeTraffic], work: Work, machine: MachineKind) -> float:
@@ -142,29 +164,35 @@
         figures = await fleet.figures()
     history = fleet.history
     usual = fleet_share(history, calm, lossy)
-    before_half, during_half = (fleet_share(history, since, until) for since, until in (
-        (half - 1500, half), (half, end - 500)))
+    before_half, during_half = (
+        fleet_share(history, since, until) for since, until in ((half - 1500, half), (half, end - 500))
+    )
     reports = history.of(Kind.REPORT)
     linked = history.of(Kind.LINKED)
     tried = [event for event in history.of(Kind.CONNECTED) if event.detail == "pool"]
     first = min((event.at for event in reports), default=begin)
     falls = checkers.falls(history)
     return {
-        "to_95_ms": time_to(history, begin, lossy, 0.95), "share_calm": usual,
+        "to_95_ms": time_to(history, begin, lossy, 0.95),
+        "share_calm": usual,
         "share_rise": fleet_share(history, begin, calm),
         "serving_loss": max(0.0, 1 - during_half / before_half) if before_half else 1.0,
-        "serving_before": before_half, "serving_during": during_half,
+        "serving_before": before_half,
+        "serving_during": during_half,
         "directory_peak_over_mean": checkers.peak_over_mean(reports, BIN_MS, first + 1000, lossy),
         "reports_a_minute": 60_000 * sum(calm <= event.at < lossy for event in reports) / (lossy - calm) / size,
         "falsely_unlisted": checkers.unlisted(history, fleet.names, lossy, lossy_end),
         "unlisted_calm": checkers.unlisted(history, fleet.names, calm, lossy),
-        "records_over_survivable_ms": figures["records_over_ms"], "records_down": figures["records_falls"],
+        "records_over_survivable_ms": figures["records_over_ms"],
+        "records_down": figures["records_falls"],
         "records_most": figures["records_most"],
         "links_tried_per_s_peak": max(checkers.counts(tried, 1000.0, begin, end), default=0),
         "linked_ms": max(event.at for event in linked[:size]) - begin if len(linked) >= size else math.inf,
         "falls_over": sum("machine" in line for line in falls),
         "rules_broken": len(broken := [line for line in fleet.broken(scripted_falls=True)]),
-        "broken": broken[:5], "left_behind": len(fleet.left_behind()), "callers_lag_ms": figures["lag_ms"],
+        "broken": broken[:5],
+        "left_behind": len(fleet.left_behind()),
+        "callers_lag_ms": figures["lag_ms"],
     }
 
 
@@ -229,6 +257,7 @@
 
 def summed(runs: dict[str, list[dict[str, Any]]], bound: float) -> dict[str, Any]:
     """The figures of all runs: this version's, and the others' behind their names."""
+
     def mean(version: str, name: str) -> float:
         return statistics.mean(one[name] for one in runs[version])
 
@@ -238,11 +267,24 @@
     out: dict[str, Any] = {}
     for version in runs:
         tail = "" if version == "this" else f"_{version}"
-        for name in ("directory_peak_over_mean", "records_over_survivable_ms", "serving_loss", "share_rise",
-                     "share_calm"):
+        for name in (
+            "directory_peak_over_mean",
+            "records_over_survivable_ms",
+            "serving_loss",
+            "share_rise",
+            "share_calm",
+        ):
             out[name + tail] = rounded(mean(version, name))
-        for name in ("records_down", "links_tried_per_s_peak", "rules_broken", "falls_over", "left_behind",
-                     "falsely_unlisted", "unlisted_calm", "records_most"):
+        for name in (
+            "records_down",
+            "links_tried_per_s_peak",
+            "rules_broken",
+            "falls_over",
+            "left_behind",
+            "falsely_unlisted",
+            "unlisted_calm",
+            "records_most",
+        ):
             out[name + tail] = sum(one[name] for one in runs[version])
         out["to_95_over_bound" + tail] = rounded(mean(version, "to_95_ms") / bound)
         out["reports_a_minute" + tail] = round(mean(version, "reports_a_minute"), 1)
@@ -260,8 +302,12 @@
 @click.option("--sizes", default="", help="Comma-separated numbers of processes; default 40, in full 50,100,200,300.")
 @click.option("--versions", default=",".join(VERSIONS), show_default=True)
 @click.option("--repeats", default=1, show_default=True)
-@click.option("--sums", default="20,30", show_default=True,
-              help="Sizes for what is sent together to something cold, and for restarts; empty: not measured.")
+@click.option(
+    "--sums",
+    default="20,30",
+    show_default=True,
+    help="Sizes for what is sent together to something cold, and for restarts; empty: not measured.",
+)
 @click.option("--out", type=click.Path(path_type=Path), default=None, help="Write every run's figures here, as JSON.")
 def main(quick: bool, seed: int, sizes: str, versions: str, repeats: int, sums: str, out: Path | None) -> None:
     """Every version at every size, in turn."""
@@ -290,14 +336,19 @@
             figures = summed(runs, bound_ms(plan_for(size, seed)))
             told |= {"processes": size, **figures} if len(numbers) == 1 else {f"at_{size}": figures}
         if sums:
-            told |= uvloop.run(measured(lambda size: plan_for(size, seed), [int(each) for each in sums.split(",")],
-                                        quick))
+            told |= uvloop.run(
+                measured(lambda size: plan_for(size, seed), [int(each) for each in sums.split(",")], quick)
+            )
         if "before" in wanted:
-            medians, ratios = uvloop.run(own_start({name: cwds[name] for name in ("this", "before")},
-                                                   8 if quick else 30))
-            told |= {"start_cpu_ms": round(medians["this"], 1), "start_cpu_ms_before": round(medians["before"], 1),
-                     "start_cpu_ms_ratio": round(statistics.median(ratios), 3),
-                     "start_cpu_ms_ratio_90": interval(ratios, seed)}
+            medians, ratios = uvloop.run(
+                own_start({name: cwds[name] for name in ("this", "before")}, 8 if quick else 30)
+            )
+            told |= {
+                "start_cpu_ms": round(medians["this"], 1),
+                "start_cpu_ms_before": round(medians["before"], 1),
+                "start_cpu_ms_ratio": round(statistics.median(ratios), 3),
+                "start_cpu_ms_ratio_90": interval(ratios, seed),
+            }
     if out is not None:
         out.write_text(json.dumps(kept, indent=1))
     click.echo(json.dumps(told))
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -45,7 +45,7 @@
     for server, starts in begun.items():
         times = sorted(written.get(server, []))
         for start in starts:
-            for at in times[bisect_left(times, start):bisect_left(times, start + machine.cold_ms)]:
+            for at in times[bisect_left(times, start) : bisect_left(times, start + machine.cold_ms)]:
                 until = at + machine.fall_ms
                 warm = warmth(at - start + machine.fall_ms / 2, machine.cold_from, machine.cold_ms)
                 finishes = machine.cores * machine.speed * warm * machine.fall_ms / mean_ms
@@ -70,10 +70,14 @@
         figures = await fleet.figures()
     mean_ms = sum(each.part * plan.work.work_ms[name] for name, each in plan.grades.items())
     falls = checkers.falls(fleet.history)
-    return {"cold_runs_excess": figures["machines_worst"], "cold_calls_excess": figures["records_worst"],
-            "cold_asked_excess": asked_excess(fleet.history, plan.machine, mean_ms),
-            "cold_falls": sum("machine" in line for line in falls) + figures["records_falls"],
-            "rules_broken": len(fleet.broken(scripted_falls=True)), "callers_lag_ms": figures["lag_ms"]}
+    return {
+        "cold_runs_excess": figures["machines_worst"],
+        "cold_calls_excess": figures["records_worst"],
+        "cold_asked_excess": asked_excess(fleet.history, plan.machine, mean_ms),
+        "cold_falls": sum("machine" in line for line in falls) + figures["records_falls"],
+        "rules_broken": len(fleet.broken(scripted_falls=True)),
+        "callers_lag_ms": figures["lag_ms"],
+    }
 
 
 async def ready(address: tuple[str, int], clock: Callable[[], float], since: float) -> float:
@@ -107,7 +111,8 @@
             since = fleet.history.clock()
             _, *took = await asyncio.gather(
                 fleet.start(up_ms=LATE_MS),
-                *(ready(fleet.spec.servers[name].listen, fleet.history.clock, since) for name in fleet.names))
+                *(ready(fleet.spec.servers[name].listen, fleet.history.clock, since) for name in fleet.names),
+            )
             times += took
     times.sort()
     return {"ready_s_p90": times[ceil(0.9 * len(times)) - 1], "ready_s_max": times[-1], "restarted": len(times)}
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -41,29 +41,58 @@
 KINDS = ("good", "harmful", "burst")
 
 
-def document(folder: Path, pool: int, service: int, directory: int, listen_on: int, seed: int,
-             changes: bool) -> dict[str, Any]:
+def document(
+    folder: Path, pool: int, service: int, directory: int, listen_on: int, seed: int, changes: bool
+) -> dict[str, Any]:
     """A server in our own words."""
     return {
         "version": 1,
-        "node": {"name": "n1", "listen": f"127.0.0.1:{listen_on}", "seed": f"{seed:x}", "stop_ms": 3200,
-                 "memory_mb": 128, "descriptors": 256},
-        "peers": {"pool": f"127.0.0.1:{pool}", "records": f"127.0.0.1:{service}",
-                  "directory": f"127.0.0.1:{directory}"},
-        "machine": {"cores": CORES, "memory_kb": 40000, "run_factor": 4, "crowd_multiple": 8, "answer_slack_ms": 60,
-                    "drain_grace_ms": 1500, "tick_ms": 5, "stopping": "drop",
-                    "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
+        "node": {
+            "name": "n1",
+            "listen": f"127.0.0.1:{listen_on}",
+            "seed": f"{seed:x}",
+            "stop_ms": 3200,
+            "memory_mb": 128,
+            "descriptors": 256,
+        },
+        "peers": {
+            "pool": f"127.0.0.1:{pool}",
+            "records": f"127.0.0.1:{service}",
+            "directory": f"127.0.0.1:{directory}",
+        },
+        "machine": {
+            "cores": CORES,
+            "memory_kb": 40000,
+            "run_factor": 4,
+            "crowd_multiple": 8,
+            "answer_slack_ms": 60,
+            "drain_grace_ms": 1500,
+            "tick_ms": 5,
+            "stopping": "drop",
+            "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
+        },
         "callers": {"said": "chance", "callers": 1, "advice_most_ms": 1000, "marks_again": True, "idle_ms": 15000},
         "ranking": {"beyond_share_worth": 0.1},
         "calls": {"share": 6, "span_ms": 3000, "linger_ms": 100},
-        "grades": {name: {"credit": {"balance": 1, "payout": 3}[name], "quoted_ms": QUOTED_MS[name],
-                          "abandon_ms": ABANDON_MS[name], "calls": CALLS[name],
-                          "repeat": {"balance": "replayable", "payout": "single-use"}[name]} for name in MIX},
+        "grades": {
+            name: {
+                "credit": {"balance": 1, "payout": 3}[name],
+                "quoted_ms": QUOTED_MS[name],
+                "abandon_ms": ABANDON_MS[name],
+                "calls": CALLS[name],
+                "repeat": {"balance": "replayable", "payout": "single-use"}[name],
+            }
+            for name in MIX
+        },
         "customers": {name: {"share_per_s": 2 * part * RATE} for name, part in CUSTOMERS.items()},
-        "changes": {"socket": str(folder / "control") if changes else "",
-                    "history": str(folder / "history") if changes else "", "probation_ms": PROBATION_MS,
-                    "probation_most_ms": PROBATION_MOST_MS, "baseline_ms": BASELINE_MS,
-                    "reload": "all" if changes else "peers"},
+        "changes": {
+            "socket": str(folder / "control") if changes else "",
+            "history": str(folder / "history") if changes else "",
+            "probation_ms": PROBATION_MS,
+            "probation_most_ms": PROBATION_MOST_MS,
+            "baseline_ms": BASELINE_MS,
+            "reload": "all" if changes else "peers",
+        },
     }
 
 
@@ -71,24 +100,36 @@
     """A change of this kind; no two are quite the same."""
     part = chance.uniform(1.0, 1.1)
     if kind != "harmful":
-        return chance.choice([
-            {"grades": {"payout": {"credit": 3 * part}}}, {"grades": {"balance": {"quoted_ms": 600 * part}}},
-            {"machine": {"answer_slack_ms": 60 * part}}, {"calls": {"share": 6 * part}},
-            {"machine": {"running_most": chance.randint(20, 31)}}, {"customers": {"cesis": {"share_per_s": 20 * part}}},
-            {"callers": {"idle_ms": 15000 * part}}, {"machine": {"memory_kb": 40000 * part}},
-            {"grades": {"payout": {"reserve": 1, "credit": 3 * part}}}])
-    return chance.choice([
-        {"machine": {"running_most": 1, "answer_slack_ms": 60 * part}, "grades": {"payout": {"reserve": 0}}},
-        {"grades": {"payout": {"quoted_ms": 5 * part}}},
-        {"machine": {"running_most": 8}, "grades": {"payout": {"reserve": 7, "credit": 3 * part}}},
-        {"calls": {"share": 0.02 * part}}, {"grades": {"balance": {"quoted_ms": 20 * part}}}])
+        return chance.choice(
+            [
+                {"grades": {"payout": {"credit": 3 * part}}},
+                {"grades": {"balance": {"quoted_ms": 600 * part}}},
+                {"machine": {"answer_slack_ms": 60 * part}},
+                {"calls": {"share": 6 * part}},
+                {"machine": {"running_most": chance.randint(20, 31)}},
+                {"customers": {"cesis": {"share_per_s": 20 * part}}},
+                {"callers": {"idle_ms": 15000 * part}},
+                {"machine": {"memory_kb": 40000 * part}},
+                {"grades": {"payout": {"reserve": 1, "credit": 3 * part}}},
+            ]
+        )
+    return chance.choice(
+        [
+            {"machine": {"running_most": 1, "answer_slack_ms": 60 * part}, "grades": {"payout": {"reserve": 0}}},
+            {"grades": {"payout": {"quoted_ms": 5 * part}}},
+            {"machine": {"running_most": 8}, "grades": {"payout": {"reserve": 7, "credit": 3 * part}}},
+            {"calls": {"share": 0.02 * part}},
+            {"grades": {"balance": {"quoted_ms": 20 * part}}},
+        ]
+    )
 
 
 class Server:
     """A server in a process of its own, with its stand-ins and callers here."""
 
-    def __init__(self, folder: Path, seed: int, changes: bool, work_ms: dict[str, float], rate: float,
-                 watched: bool) -> None:
+    def __init__(
+        self, folder: Path, seed: int, changes: bool, work_ms: dict[str, float], rate: float, watched: bool
+    ) -> None:
         self.folder, self._seed, self._changes, self._work, self._watched = folder, seed, changes, work_ms, watched
         self.traffic = Traffic(rate, MIX, CUSTOMERS, QUOTED_MS, ABANDON_MS)
         self.report = folder / "report.json"
@@ -106,12 +147,14 @@
         port = probe.extra(anyio.abc.SocketAttribute.local_port)
         await probe.aclose()
         config = self.folder / "config.json"
-        config.write_text(json.dumps(document(self.folder, pool, service, directory, port, self._seed,
-                                              self._changes)))
+        config.write_text(json.dumps(document(self.folder, pool, service, directory, port, self._seed, self._changes)))
         self.log = (self.folder / "log").open("wb")
         self.process = subprocess.Popen(
             [sys.executable, "-m", "benchmarks.watched", str(self.report), "serve", "--config", str(config)],
-            stdout=self.log, stderr=self.log, env={**os.environ, "WATCHED": "yes" if self._watched else "no"})
+            stdout=self.log,
+            stderr=self.log,
+            env={**os.environ, "WATCHED": "yes" if self._watched else "no"},
+        )
         with anyio.fail_after(20):
             while True:
                 try:
@@ -146,14 +189,26 @@
         asked = self.traffic.asked.values()
         for ident, one in self.traffic.asked.items():
             if not one.answers:
-                click.echo(f"unanswered: {ident} {one.grade} asked at {one.begun:.3f}, now {time.monotonic():.3f}, "
-                           f"starts {self.workers.starts[ident]}", err=True)
-        twice = [ident for ident, count in self.workers.starts.items()
-                 if count > 1 and self.workers.grades[ident] == "payout"]
-        return {"asked": len(asked), "unanswered": sum(not one.answers for one in asked),
-                "answered_twice": sum(one.answers > 1 for one in asked), "payouts_twice": len(twice),
-                "satisfied": sum(one.word == "done" for one in asked), "lag_ms": self.traffic.lag_ms,
-                "clean": self.process.returncode == 0, **{f"seen_{name}": value for name, value in seen.items()}}
+                click.echo(
+                    f"unanswered: {ident} {one.grade} asked at {one.begun:.3f}, now {time.monotonic():.3f}, "
+                    f"starts {self.workers.starts[ident]}",
+                    err=True,
+                )
+        twice = [
+            ident
+            for ident, count in self.workers.starts.items()
+            if count > 1 and self.workers.grades[ident] == "payout"
+        ]
+        return {
+            "asked": len(asked),
+            "unanswered": sum(not one.answers for one in asked),
+            "answered_twice": sum(one.answers > 1 for one in asked),
+            "payouts_twice": len(twice),
+            "satisfied": sum(one.word == "done" for one in asked),
+            "lag_ms": self.traffic.lag_ms,
+            "clean": self.process.returncode == 0,
+            **{f"seen_{name}": value for name, value in seen.items()},
+        }
 
 
 async def push(server: Server, kind: str, chance: random.Random) -> dict[str, Any]:
@@ -180,8 +235,14 @@
         await anyio.sleep(AFTER_BURST_S)
     elif not kept:
         await anyio.sleep(REST_S)
-    return {"kind": kind, "end": "kept" if kept else "undone", "ms": took, "change": change,
-            "verdict": status["verdict"], "apply_us": status["apply_us"][-1 if kept else -2:][0]}
+    return {
+        "kind": kind,
+        "end": "kept" if kept else "undone",
+        "ms": took,
+        "change": change,
+        "verdict": status["verdict"],
+        "apply_us": status["apply_us"][-1 if kept else -2 :][0],
+    }
 
 
 async def lane(seed: int, rounds: int) -> dict[str, Any]:
@@ -208,8 +269,10 @@
     """Two servers side by side under the same traffic: CPU a transaction with changes off and on."""
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
-            pair = [Server(Path(folder) / name, seed, on, CPU_WORK_MS, CPU_RATE, False)
-                    for name, on in (("off", False), ("on", True))]
+            pair = [
+                Server(Path(folder) / name, seed, on, CPU_WORK_MS, CPU_RATE, False)
+                for name, on in (("off", False), ("on", True))
+            ]
             for server in pair:
                 await server.start(tasks)
             await anyio.sleep(3.0)
@@ -218,15 +281,23 @@
             while time.monotonic() < until:
                 marks = [(server.cpu_ns(), len(server.traffic.asked)) for server in pair]
                 await anyio.sleep(CPU_WINDOW_S)
-                each = [(server.cpu_ns() - mark[0]) / 1000 / max(1, len(server.traffic.asked) - mark[1])
-                        for server, mark in zip(pair, marks, strict=True)]
+                each = [
+                    (server.cpu_ns() - mark[0]) / 1000 / max(1, len(server.traffic.asked) - mark[1])
+                    for server, mark in zip(pair, marks, strict=True)
+                ]
                 figures.append((each[0], each[1]))
             ends = [await server.stop() for server in pair]
             tasks.cancel_scope.cancel()
     ratios = sorted(on / off for off, on in figures)
-    return {"off_us": median([off for off, _ in figures]), "on_us": median([on for _, on in figures]),
-            "ratio": median(ratios), "ratio_from": ratios[len(ratios) // 10],
-            "ratio_to": ratios[-1 - len(ratios) // 10], "windows": len(ratios), "ends": ends}
+    return {
+        "off_us": median([off for off, _ in figures]),
+        "on_us": median([on for _, on in figures]),
+        "ratio": median(ratios),
+        "ratio_from": ratios[len(ratios) // 10],
+        "ratio_to": ratios[-1 - len(ratios) // 10],
+        "windows": len(ratios),
+        "ends": ends,
+    }
 
 
 def summed(lanes: list[dict[str, Any]], cost: dict[str, Any]) -> dict[str, Any]:
@@ -237,13 +308,16 @@
     undone = [each["ms"] for each in of["harmful"] if each["end"] == "undone"]
     pauses = [each["apply_us"] for each in pushes if "apply_us" in each]
     return {
-        "pushed": len(pushes), "pushed_good": len(of["good"]), "pushed_burst": len(of["burst"]),
+        "pushed": len(pushes),
+        "pushed_good": len(of["good"]),
+        "pushed_burst": len(of["burst"]),
         "pushed_harmful": len(of["harmful"]),
         "good_kept": round(sum(each["end"] == "kept" for each in quiet) / max(1, len(quiet)), 3),
         "burst_kept": round(sum(each["end"] == "kept" for each in of["burst"]) / max(1, len(of["burst"])), 3),
         "denied": sum(each["end"] == "denied" for each in pushes),
         "harmful_undone": round(len(undone) / max(1, len(of["harmful"])), 3),
-        "undo_ms_p50": round(median(undone)), "undo_ms_max": round(max(undone, default=0)),
+        "undo_ms_p50": round(median(undone)),
+        "undo_ms_max": round(max(undone, default=0)),
         "mixed_transactions": sum(one.get("seen_mixed", -1) for one in lanes),
         "watched_transactions": sum(one.get("seen_transactions", 0) for one in lanes),
         "events_across_an_apply": sum(one.get("seen_across", 0) for one in lanes),
@@ -252,8 +326,10 @@
         "answered_twice": sum(one["answered_twice"] for one in lanes),
         "unclean_ends": sum(not one["clean"] for one in lanes),
         "asked": sum(one["asked"] for one in lanes),
-        "apply_us_p50": round(median(pauses)), "apply_us_p99": round(percentile(pauses, 0.99)),
-        "cpu_us_per_transaction_off": round(cost["off_us"], 1), "cpu_us_per_transaction_on": round(cost["on_us"], 1),
+        "apply_us_p50": round(median(pauses)),
+        "apply_us_p99": round(percentile(pauses, 0.99)),
+        "cpu_us_per_transaction_off": round(cost["off_us"], 1),
+        "cpu_us_per_transaction_on": round(cost["on_us"], 1),
         "cpu_ratio": round(cost["ratio"], 3),
         "cpu_ratio_10_90": [round(cost["ratio_from"], 3), round(cost["ratio_to"], 3)],
         "callers_lag_ms": round(max(one["lag_ms"] for one in lanes)),
@@ -279,8 +355,21 @@
 
     def begin(kind: str, at: int) -> subprocess.Popen[bytes]:
         flags = ["--quick"] if quick else []
-        return subprocess.Popen([sys.executable, "-m", "benchmarks.configuration", "--part", kind, "--seed",
-                                 str(1000 * seed + at), "--rounds", str(rounds), *flags], stdout=subprocess.PIPE)
+        return subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.configuration",
+                "--part",
+                kind,
+                "--seed",
+                str(1000 * seed + at),
+                "--rounds",
+                str(rounds),
+                *flags,
+            ],
+            stdout=subprocess.PIPE,
+        )
 
     running = [begin("lane", at) for at in range(lanes)]
     if quick:
@@ -290,8 +379,10 @@
     for at, one in enumerate(out):
         for each in one["pushes"]:
             why = (each.get("verdict") or {}).get("reason", each.get("why", ""))
-            click.echo(f"lane {at}: {each['kind']:<8} {each['end']:<7} {each.get('ms', 0):7.0f} ms  "
-                       f"{json.dumps(each['change'])}  {why}")
+            click.echo(
+                f"lane {at}: {each['kind']:<8} {each['end']:<7} {each.get('ms', 0):7.0f} ms  "
+                f"{json.dumps(each['change'])}  {why}"
+            )
     click.echo(json.dumps({"benchmark": "configuration", "seed": seed, "quick": quick, **summed(out, cost)}))
 
 
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -30,8 +30,9 @@
 class Workers:
     """A worker pool with some cores; each run works once, calls once where its grade does, and works the rest."""
 
-    def __init__(self, tasks: anyio.abc.TaskGroup, cores: int, work_ms: dict[str, float], calls: dict[str, bool],
-                 seed: int) -> None:
+    def __init__(
+        self, tasks: anyio.abc.TaskGroup, cores: int, work_ms: dict[str, float], calls: dict[str, bool], seed: int
+    ) -> None:
         self._tasks, self.cores, self._work, self._calls = tasks, cores, work_ms, calls
         self._random = random.Random(seed)
         self._seats = anyio.Semaphore(cores)
@@ -97,8 +98,13 @@
         self._replies.pop(ident, None)
         end = "broken_off" if ident in self._stopped else "fine"
         self._stopped.discard(ident)
-        await self._tell(op="finished", id=ident, end=end, ms=(time.monotonic() - begun) * 1000,
-                         body=b64encode(body[::-1]).decode() if end == "fine" else "")
+        await self._tell(
+            op="finished",
+            id=ident,
+            end=end,
+            ms=(time.monotonic() - begun) * 1000,
+            body=b64encode(body[::-1]).decode() if end == "fine" else "",
+        )
 
 
 async def records(stream: anyio.abc.SocketStream, call_ms: float) -> None:
@@ -198,8 +204,10 @@
         self._tag += 1
         traffic.asked[ident] = Asked(grade, customer, time.monotonic())
         line.open[self._tag] = ident
-        fields = (f"req={ident},ts={int(self._now())},via=1,owner={customer},"
-                  f"timeout={traffic.timeout_ms[grade]:.0f},need=20,level={self._random.random():.4f}")
+        fields = (
+            f"req={ident},ts={int(self._now())},via=1,owner={customer},"
+            f"timeout={traffic.timeout_ms[grade]:.0f},need=20,level={self._random.random():.4f}"
+        )
         with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
             await line.stream.send(resp.message(b"ASK", b"%d" % self._tag, grade.encode(), fields.encode(), BODY))
 
--- a/benchmarks/watched.py
+++ b/benchmarks/watched.py
@@ -59,8 +59,9 @@
         witness.adopted(control, settings)
 
     def decided(node: Node, call: Any, *values: Any) -> None:
-        number = values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) \
-            if values else None
+        number = (
+            values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) if values else None
+        )
         if isinstance(number, int) and call is not Control.drain:
             witness.event(node, number)
         decide(node, call, *values)
@@ -77,15 +78,25 @@
     if os.environ.get("WATCHED") != "no":
         watch(witness)
     from nickelslip.server.cli import main as program
+
     begun = time.monotonic()
     try:
         program(rest, standalone_mode=False)
     finally:
         usage = os.times()
-        Path(report).write_text(json.dumps({
-            "transactions": len(witness.first), "events": witness.events, "mixed": len(witness.mixed),
-            "across": witness.across, "adoptions": witness.adoptions, "cpu_s": usage.user + usage.system,
-            "wall_s": time.monotonic() - begun}))
+        Path(report).write_text(
+            json.dumps(
+                {
+                    "transactions": len(witness.first),
+                    "events": witness.events,
+                    "mixed": len(witness.mixed),
+                    "across": witness.across,
+                    "adoptions": witness.adoptions,
+                    "cpu_s": usage.user + usage.system,
+                    "wall_s": time.monotonic() - begun,
+                }
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -54,8 +54,14 @@
         await self.tell(stream, op="blocked", id=ident, body=b64encode(b"look up").decode())
         await self.replies[ident].wait()
         del self.replies[ident]
-        await self.tell(stream, op="finished", id=ident, end="fine",
-                        ms=1000 * (time.monotonic() - begun), body=b64encode(body[::-1]).decode())
+        await self.tell(
+            stream,
+            op="finished",
+            id=ident,
+            end="fine",
+            ms=1000 * (time.monotonic() - begun),
+            body=b64encode(body[::-1]).decode(),
+        )
 
     async def tell(self, stream: anyio.abc.SocketStream, **line: object) -> None:
         async with self.telling:
--- a/nickelslip/admission/control.py
+++ b/nickelslip/admission/control.py
@@ -16,7 +16,18 @@
 from operator import attrgetter
 
 from nickelslip.admission.interface import (
-    Arrival, Change, Gauges, Grade, Health, Outcome, Remembrance, Repeat, Result, Said, Settings, State,
+    Arrival,
+    Change,
+    Gauges,
+    Grade,
+    Health,
+    Outcome,
+    Remembrance,
+    Repeat,
+    Result,
+    Said,
+    Settings,
+    State,
     Stopping,
 )
 
@@ -124,7 +135,7 @@
             self._all = sum(self._counts)
         self._counts[at] += 1
         self._all += 1
-        near = sum(self._counts[max(at - 1, 0):at + 2])
+        near = sum(self._counts[max(at - 1, 0) : at + 2])
         return self._all >= WAIT_KNOWN and near < WAIT_USUAL * self._all
 
 
@@ -150,8 +161,25 @@
 class Item:
     """A transaction in this server's hands."""
 
-    __slots__ = ("id", "grading", "kb", "due", "worth_until", "work", "state", "ran", "call_ms", "since",
-                 "limit", "hint", "asked", "sort", "began", "customer", "inside")
+    __slots__ = (
+        "id",
+        "grading",
+        "kb",
+        "due",
+        "worth_until",
+        "work",
+        "state",
+        "ran",
+        "call_ms",
+        "since",
+        "limit",
+        "hint",
+        "asked",
+        "sort",
+        "began",
+        "customer",
+        "inside",
+    )
 
     def __init__(self, arrival: Arrival, grading: Grading, now: float) -> None:
         self.id, self.grading, self.kb, self.hint = arrival.id, grading, arrival.kb, arrival.cost_hint_ms
@@ -227,8 +255,9 @@
         shares = SHARE_SPANS * self._span / 1000 / settings.servers
         self._shares = {each.name: each.share_per_s * shares for each in settings.customers}
         self._shares_all = max(sum(self._shares.values()), 1e-9)
-        self._started = {name: self._started.get(name) or Ring(SHARE_SPANS * self._span)
-                         for name in ("", *self._shares)}
+        self._started = {
+            name: self._started.get(name) or Ring(SHARE_SPANS * self._span) for name in ("", *self._shares)
+        }
         self._beyond = settings.beyond_share_worth
         self._slots_each = settings.cores * settings.crowd_multiple / settings.callers
         self._callers, self._idle_max = settings.callers, settings.idle_ms
@@ -367,8 +396,16 @@
         result, self._result = self._result, Result()
         return result
 
-    def _move(self, now: float, item: Item, state: State, span_ms: float = 0.0, last: bool = False,
-              told: bool = True, over: bool = False) -> None:
+    def _move(
+        self,
+        now: float,
+        item: Item,
+        state: State,
+        span_ms: float = 0.0,
+        last: bool = False,
+        told: bool = True,
+        over: bool = False,
+    ) -> None:
         """The one place where a transaction changes its state. told: the server has to act on it; over: its
         run has ended, so that nothing of it is left on a core."""
         before = item.state
@@ -502,8 +539,11 @@
     def _count_turning(self, now: float) -> None:
         """The slots that turn over: a run far past its mean frees none soon. It covers cores that hang, a
         server that turned slow and costly transactions; widely varying work is judged a little too hard."""
-        stuck = sum(now - each.began - each.call_ms > STUCK * max(each.work, each.grading.run.at(now))
-                    for state in ON_CORE for each in self._in[state].values())
+        stuck = sum(
+            now - each.began - each.call_ms > STUCK * max(each.work, each.grading.run.at(now))
+            for state in ON_CORE
+            for each in self._in[state].values()
+        )
         self._turning = max(self._limit - stuck, 0.0)
 
     def _size_limit(self) -> None:
@@ -536,8 +576,9 @@
             for item in [each for each in self._items.values() if each.state is not State.SPENT]:
                 if now >= self._owed(item) - self._margin:
                     self._move(now, item, State.FORFEITED)
-            self._owed_next = min((self._owed(each) for each in self._items.values()
-                                   if each.state is not State.SPENT), default=inf)
+            self._owed_next = min(
+                (self._owed(each) for each in self._items.values() if each.state is not State.SPENT), default=inf
+            )
 
     def _start_held(self, now: float) -> None:
         most = min(CROWD_PART * self._crowd(now) - len(self._in[State.CALLING]), self._limit + 1, self._most)
@@ -577,14 +618,17 @@
             return
         self._count_calls(now)
         one, ahead, room = self._call_time.at(now), 0, inf
-        for item in sorted(self._in[State.AT_CALL].values(), key=lambda each: (
-                now + one + each.work / 2 > self._judged(each), each.sort)):  # what is too late goes last
+        for item in sorted(
+            self._in[State.AT_CALL].values(),
+            key=lambda each: (now + one + each.work / 2 > self._judged(each), each.sort),
+        ):  # what is too late goes last
             end = self._judged(item) if item.grading.replayable else self._owed(item)
             left = end - self._margin - now - item.work / 2
             wait = ahead * one / most + max(0.0, self._call_rest - now)
             self._spare(now, item)
-            if item.grading.omittable and (left < one or wait > CALL_WAIT * item.grading.quoted
-                                           or now < self._call_spared):
+            if item.grading.omittable and (
+                left < one or wait > CALL_WAIT * item.grading.quoted or now < self._call_spared
+            ):
                 self._move(now, item, State.OMITTED)
             elif left <= 0 and item.grading.replayable:
                 self._move(now, item, State.FORFEITED)
@@ -643,8 +687,9 @@
         """Outward words that changed: the weight in the callers' meaning, and the next wake."""
         weight = 0.0 if now >= self._drain_at + self._grace else self._weight
         if weight != self._said and self._said_as is not Said.NOTHING:
-            self._result.said = {Said.CHANCE: weight, Said.SLOTS: weight * self._slots_each,
-                                 Said.RANK: 1 - weight}[self._said_as]
+            self._result.said = {Said.CHANCE: weight, Said.SLOTS: weight * self._slots_each, Said.RANK: 1 - weight}[
+                self._said_as
+            ]
         self._said = weight
         rest = self._call_rest if self._in[State.AT_CALL] and self._call_rest > now else inf
         wake = max(now + self._margin / 2, min(self._window_end, self._owed_next - self._margin, rest))
@@ -663,7 +708,9 @@
 
     def _used(self) -> float:
         """Memory: held, running and remembered."""
-        every, held, joined = (sum(item.kb for item in each.values()) for each in (
-            self._items, self._in[State.HELD], self._in[State.JOINED]))
+        every, held, joined = (
+            sum(item.kb for item in each.values())
+            for each in (self._items, self._in[State.HELD], self._in[State.JOINED])
+        )
         unrun = held + joined
         return self._entry_kb * len(self._entries) + self._run_factor * every - (self._run_factor - 1) * unrun
--- a/nickelslip/bench/adapter.py
+++ b/nickelslip/bench/adapter.py
@@ -12,8 +12,16 @@
 from nickelslip.settings import Malformed, settings_from
 
 # How many values stand behind the instance in a line, at least.
-VALUES = {"ASK": 2, "FINISHED": 3, "STALLED_ON_CALL": 1, "RETURNED": 3, "TIMED_OUT_CLIENT": 1, "DRAIN": 1, "WAKE": 1,
-          "SHUTDOWN": 0}
+VALUES = {
+    "ASK": 2,
+    "FINISHED": 3,
+    "STALLED_ON_CALL": 1,
+    "RETURNED": 3,
+    "TIMED_OUT_CLIENT": 1,
+    "DRAIN": 1,
+    "WAKE": 1,
+    "SHUTDOWN": 0,
+}
 
 
 def _fault(instance: str, error: Exception) -> str:
@@ -77,9 +85,15 @@
         control = self._controls.get(instance)
         if control is None:
             return Result()
-        call = {"ASK": control.read, "FINISHED": control.ended, "STALLED_ON_CALL": control.at_call,
-                "RETURNED": control.call_returned, "TIMED_OUT_CLIENT": control.caller_gone, "DRAIN": control.drain,
-                "WAKE": control.timer}[verb]
+        call = {
+            "ASK": control.read,
+            "FINISHED": control.ended,
+            "STALLED_ON_CALL": control.at_call,
+            "RETURNED": control.call_returned,
+            "TIMED_OUT_CLIENT": control.caller_gone,
+            "DRAIN": control.drain,
+            "WAKE": control.timer,
+        }[verb]
         return call(now, *values)  # type: ignore[operator,no-any-return]
 
 
--- a/nickelslip/bench/codec.py
+++ b/nickelslip/bench/codec.py
@@ -7,12 +7,23 @@
 from nickelslip.admission.interface import Arrival, Gauges, Outcome, Result, State
 
 OUTCOMES = {
-    "0": Outcome.OK, "5": Outcome.ERROR, "11": Outcome.FULL, "110": Outcome.TIMEOUT, "111": Outcome.UNREACHED,
-    "104": Outcome.RESET, "125": Outcome.CANCELLED, "114": Outcome.MOOT,
+    "0": Outcome.OK,
+    "5": Outcome.ERROR,
+    "11": Outcome.FULL,
+    "110": Outcome.TIMEOUT,
+    "111": Outcome.UNREACHED,
+    "104": Outcome.RESET,
+    "125": Outcome.CANCELLED,
+    "114": Outcome.MOOT,
 }
 VERBS = {
-    State.HELD: "STOP", State.PAUSED: "STOP", State.SPENT: "STOP", State.RUNNING: "DISPATCH", State.OMITTED: "OMIT",
-    State.JOINED: "ANSWER_FROM", State.FORFEITED: "DROP_REQUEST",
+    State.HELD: "STOP",
+    State.PAUSED: "STOP",
+    State.SPENT: "STOP",
+    State.RUNNING: "DISPATCH",
+    State.OMITTED: "OMIT",
+    State.JOINED: "ANSWER_FROM",
+    State.FORFEITED: "DROP_REQUEST",
 }
 
 
@@ -44,9 +55,17 @@
     if ident is None or grade is None:
         raise ValueError("a transaction needs an id and a service grade")
     return Arrival(
-        id=int(ident), grade=grade, customer=customer, kb=_number(kb or "0"), due_ms=_number(due or "0") or None,
-        cost_hint_ms=_number(hint or "0") or None, again=again == "1", caller=None if caller is None else int(caller),
-        unread_ms=_number(unread or "0"), forerunner=int(earlier or "0") or None, keyed=key is not None,
+        id=int(ident),
+        grade=grade,
+        customer=customer,
+        kb=_number(kb or "0"),
+        due_ms=_number(due or "0") or None,
+        cost_hint_ms=_number(hint or "0") or None,
+        again=again == "1",
+        caller=None if caller is None else int(caller),
+        unread_ms=_number(unread or "0"),
+        forerunner=int(earlier or "0") or None,
+        keyed=key is not None,
     )
 
 
@@ -72,8 +91,11 @@
     if result.idle_ms is not None:
         lines.append(f"TRIM_AFTER {instance} {result.idle_ms:.3f}")
     for entry in result.table:
-        lines.append(f"REMEMBER {instance} {entry.id} {entry.span_ms:.3f}" if entry.span_ms > 0
-                     else f"FORGET {instance} {entry.id}")
+        lines.append(
+            f"REMEMBER {instance} {entry.id} {entry.span_ms:.3f}"
+            if entry.span_ms > 0
+            else f"FORGET {instance} {entry.id}"
+        )
     for change in result.changes:
         if change.state is State.DISMISSED:
             lines.append(f"PUSH_BACK {instance} {change.id} {change.span_ms:.3f} {int(change.last)}")
--- a/nickelslip/coming_up/crash_file.py
+++ b/nickelslip/coming_up/crash_file.py
@@ -29,8 +29,15 @@
             with self._path.open("rb") as file:
                 told = json.loads(file.read(BYTES_MOST))
             row, begun, lasted = told["row"], told["begun"], told["lasted"]
-            if told["version"] == VERSION and type(row) is int and row >= 0 and type(lasted) is bool \
-                    and isinstance(begun, int | float) and math.isfinite(begun) and begun >= 0:
+            if (
+                told["version"] == VERSION
+                and type(row) is int
+                and row >= 0
+                and type(lasted) is bool
+                and isinstance(begun, int | float)
+                and math.isfinite(begun)
+                and begun >= 0
+            ):
                 return Starts(row, float(begun), lasted)
             raise ValueError("not of this version")
         except FileNotFoundError:
--- a/nickelslip/coming_up/start.py
+++ b/nickelslip/coming_up/start.py
@@ -152,8 +152,9 @@
             self._usual, self._pressed = self._usual * FORGETS, now
         else:
             first = self._usual == inf
-            self._usual = self._mean if first else min(
-                self._usual * FORGETS, self._usual + LEARNS * (self._mean - self._usual))
+            self._usual = (
+                self._mean if first else min(self._usual * FORGETS, self._usual + LEARNS * (self._mean - self._usual))
+            )
             self._calls = min(self._part, self._calls * STEP)
         self._answers, self._lost, self._mean = 0, 0, 0.0
         self._enter(now, Step.WARM if self._calls >= self._part else Step.RISING)
--- a/nickelslip/coming_up/turns.py
+++ b/nickelslip/coming_up/turns.py
@@ -40,8 +40,16 @@
 def turns(told: Measured) -> Turns:
     """A turn begins when the one before is warm again. While it lasts its servers give nothing for `away_ms` and then
     rise evenly. Raises ValueError where not even one may go, or a figure is out of range."""
-    if not (told.servers >= 1 and told.load >= 0 and 0 <= told.cold_from <= 1 and told.cold_ms >= 0
-            and told.away_ms >= 0 and told.spare >= 0 and told.calls >= 0 and told.cold_calls >= 1):
+    if not (
+        told.servers >= 1
+        and told.load >= 0
+        and 0 <= told.cold_from <= 1
+        and told.cold_ms >= 0
+        and told.away_ms >= 0
+        and told.spare >= 0
+        and told.calls >= 0
+        and told.cold_calls >= 1
+    ):
         raise ValueError("a figure is out of range")
     by_cores = (1 - told.spare - told.load) * told.servers  # all of a turn may be away in the same moment
     # a cold server makes up to cold_calls times the calls for what it does, and does at least cold_from of its part;
@@ -51,8 +59,10 @@
     by_calls = left / more if more > 0 else inf if left >= 0 else 0.0
     at_once = floor(min(by_cores, by_calls, told.servers) + 1e-9)
     if at_once < 1:
-        raise ValueError("not even one may be away: "
-                         + ("its cores are needed" if by_cores < 1 else "the records service has no room"))
+        raise ValueError(
+            "not even one may be away: "
+            + ("its cores are needed" if by_cores < 1 else "the records service has no room")
+        )
     number = -(-told.servers // at_once)
     every = told.away_ms + told.cold_ms
     bound = "all at once" if at_once == told.servers else "cores" if by_cores <= by_calls else "calls"
--- a/nickelslip/configuration/changes.py
+++ b/nickelslip/configuration/changes.py
@@ -47,7 +47,9 @@
     Step.STAGED: (Step.APPLYING, Step.REFUSED),
     Step.APPLYING: (Step.ON_PROBATION, Step.CONFIRMED, Step.ROLLED_BACK),
     Step.ON_PROBATION: (Step.CONFIRMED, Step.ROLLED_BACK),
-    Step.CONFIRMED: (), Step.ROLLED_BACK: (), Step.REFUSED: (),
+    Step.CONFIRMED: (),
+    Step.ROLLED_BACK: (),
+    Step.REFUSED: (),
 }
 
 
@@ -96,10 +98,18 @@
 
     def as_dict(self) -> dict[str, Any]:
         """For machines; the keys are stable."""
-        return {"number": self.number, "step": self.step.name.lower(), "since_ms": self.since_ms,
-                "digest": self.digest, "origin": self.origin, "base": self.base.number, "reason": self.reason,
-                "generation": self.generation.number if self.generation else None,
-                "plan": self.plan.as_dict(), "forced": self.forced}
+        return {
+            "number": self.number,
+            "step": self.step.name.lower(),
+            "since_ms": self.since_ms,
+            "digest": self.digest,
+            "origin": self.origin,
+            "base": self.base.number,
+            "reason": self.reason,
+            "generation": self.generation.number if self.generation else None,
+            "plan": self.plan.as_dict(),
+            "forced": self.forced,
+        }
 
 
 @dataclass(frozen=True)
@@ -114,8 +124,15 @@
 class Changes:
     """All changes of one server."""
 
-    def __init__(self, generation: Generation, document: Document, records: list[Record], base: str, now: float,
-                 tell: Callable[[Change], None] = lambda change: None) -> None:
+    def __init__(
+        self,
+        generation: Generation,
+        document: Document,
+        records: list[Record],
+        base: str,
+        now: float,
+        tell: Callable[[Change], None] = lambda change: None,
+    ) -> None:
         self._confirmed: deque[Held] = deque([Held(generation, document, digest_of(document))], GONE_BACK_MOST)
         self.in_force = self._confirmed[-1]
         self.staged: Change | None = None
@@ -153,8 +170,17 @@
             document = change.document
         elif event is Event.CONFIRMED:
             document = held.document  # peers may have moved since it was applied
-        record = Record(self._at, event, change.generation.number if change.generation else 0, change.digest,
-                        change.origin, now, reason, document, self.base)
+        record = Record(
+            self._at,
+            event,
+            change.generation.number if change.generation else 0,
+            change.digest,
+            change.origin,
+            now,
+            reason,
+            document,
+            self.base,
+        )
         self.records.append(record)
         return record
 
@@ -167,16 +193,26 @@
     def draft(self, now: float, config: Config, document: Document, origin: str, forced: bool = False) -> Change:
         """A change to this document, checked and planned. Raises Denied, with the change refused."""
         self._changes += 1
-        change = Change(self._changes, config, document, digest_of(document), origin, self.in_force.generation,
-                        plan_of(self.in_force.document, document), now, forced)
+        change = Change(
+            self._changes,
+            config,
+            document,
+            digest_of(document),
+            origin,
+            self.in_force.generation,
+            plan_of(self.in_force.document, document),
+            now,
+            forced,
+        )
         if change.plan.empty:
             raise self._refuse(change, now, Denied(Denial.NOTHING))
         if change.plan.restart:
             raise self._refuse(change, now, Denied(Denial.RESTART, "; ".join(map(str, change.plan.restart[:5]))))
         until = self._undone.get(change.digest, now)
         if until > now and not forced:
-            raise self._refuse(change, now, Denied(Denial.UNDONE, f"refused for {(until - now) / 1000:.0f} s more "
-                                                                  "unless forced"))
+            raise self._refuse(
+                change, now, Denied(Denial.UNDONE, f"refused for {(until - now) / 1000:.0f} s more unless forced")
+            )
         self._enter(change, Step.CHECKED, now)
         return change
 
@@ -303,8 +339,10 @@
         for held in reversed(self._confirmed):
             if held is not self.in_force and generation in (None, held.generation.number):
                 return held
-        raise Denied(Denial.NONE, "no earlier generation is kept" if generation is None
-                     else f"generation {generation} is not kept")
+        raise Denied(
+            Denial.NONE,
+            "no earlier generation is kept" if generation is None else f"generation {generation} is not kept",
+        )
 
     def moved(self, now: float, config: Config, document: Document, origin: str) -> tuple[Generation, Record]:
         """Peers' addresses that the platform has moved: in force at once, whatever is staged or on probation. What is
@@ -318,13 +356,31 @@
         else:
             old = self._confirmed.pop()
             back = {**old.document, "peers": document["peers"]}
-            self._confirmed.append(Held(Generation(old.generation.number, replace(old.generation.config, **peers),
-                                                   old.generation.origin, old.generation.since_ms), back,
-                                        digest_of(back)))
+            self._confirmed.append(
+                Held(
+                    Generation(
+                        old.generation.number,
+                        replace(old.generation.config, **peers),
+                        old.generation.origin,
+                        old.generation.since_ms,
+                    ),
+                    back,
+                    digest_of(back),
+                )
+            )
         last = self._confirmed[-1]
         self._at += 1
-        record = Record(self._at, Event.CONFIRMED, last.generation.number, last.digest, origin, now,
-                        "peers moved", last.document, self.base)
+        record = Record(
+            self._at,
+            Event.CONFIRMED,
+            last.generation.number,
+            last.digest,
+            origin,
+            now,
+            "peers moved",
+            last.document,
+            self.base,
+        )
         self.records.append(record)
         return generation, record
 
@@ -333,13 +389,17 @@
     def status(self, now: float) -> dict[str, Any]:
         """For machines; the keys are stable."""
         held = self.in_force
-        return {"generation": held.generation.number, "digest": held.digest, "origin": held.generation.origin,
-                "since_ms": held.generation.since_ms,
-                "confirmed": self._confirmed[-1].generation.number,
-                "step": self.current.step.name.lower() if self.current else "confirmed",
-                "current": self.current.as_dict() if self.current else None,
-                "staged": self.staged.as_dict() if self.staged else None,
-                "undone": {digest: until - now for digest, until in self._undone.items() if until > now}}
+        return {
+            "generation": held.generation.number,
+            "digest": held.digest,
+            "origin": held.generation.origin,
+            "since_ms": held.generation.since_ms,
+            "confirmed": self._confirmed[-1].generation.number,
+            "step": self.current.step.name.lower() if self.current else "confirmed",
+            "current": self.current.as_dict() if self.current else None,
+            "staged": self.staged.as_dict() if self.staged else None,
+            "undone": {digest: until - now for digest, until in self._undone.items() if until > now},
+        }
 
 
 @dataclass(frozen=True)
@@ -364,5 +424,6 @@
         return Start(last.document, last.generation, f"history, {last.event.value}", None)
     number = max((each.generation for each in records), default=0) + 1
     at = records[-1].at + 1 if records else 1
-    return Start(file_document, number, "file",
-                 Record(at, Event.STARTED, number, base, "file", now, "", file_document, base))
+    return Start(
+        file_document, number, "file", Record(at, Event.STARTED, number, base, "file", now, "", file_document, base)
+    )
--- a/nickelslip/configuration/client.py
+++ b/nickelslip/configuration/client.py
@@ -50,8 +50,9 @@
             raise
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         await self._stream.aclose()
 
     async def _next(self) -> dict[str, Any]:
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -30,17 +30,26 @@
 from nickelslip.configuration.text import read_text
 
 DONE, FAILED, FAULTY, DENIED, UNDONE, UNREACHED = 0, 1, 2, 3, 4, 5
-CODES = ("Exit codes: 0 done; 1 failed; 2 a fault in the arguments or a document; 3 denied by the server; "
-         "4 the change was undone; 5 no answer in time.")
+CODES = (
+    "Exit codes: 0 done; 1 failed; 2 a fault in the arguments or a document; 3 denied by the server; "
+    "4 the change was undone; 5 no answer in time."
+)
 POLL_S = 0.5
 NODES_AT_ONCE = 16
 
-SOCKET = click.option("--socket", "path", envvar="NICKELSLIP_SOCKET", required=True, metavar="PATH",
-                      help="The server's control socket. NICKELSLIP_SOCKET names it, too.")
+SOCKET = click.option(
+    "--socket",
+    "path",
+    envvar="NICKELSLIP_SOCKET",
+    required=True,
+    metavar="PATH",
+    help="The server's control socket. NICKELSLIP_SOCKET names it, too.",
+)
 JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 FORCE = click.option("--force", is_flag=True, help="Take a document that was undone not long ago.")
-WHOLE = click.option("--whole", is_flag=True,
-                     help="The files are the whole document; else they are laid over the one in force.")
+WHOLE = click.option(
+    "--whole", is_flag=True, help="The files are the whole document; else they are laid over the one in force."
+)
 FILES = click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 
 
@@ -70,8 +79,12 @@
     lines = [f"{fault.gravity.value}: {fault}" for fault in faults]
     if left_out:
         lines.append(f"and {left_out} more")
-    _stop(FAULTY, {"ok": False, "code": "faulty", "faults": [each.as_dict() for each in faults],
-                   "left_out": left_out}, as_json, lines)
+    _stop(
+        FAULTY,
+        {"ok": False, "code": "faulty", "faults": [each.as_dict() for each in faults], "left_out": left_out},
+        as_json,
+        lines,
+    )
 
 
 def _part(files: Sequence[str], as_json: bool) -> dict[str, Any]:
@@ -100,7 +113,8 @@
         _stop(UNREACHED, {"ok": False, "code": "unreachable", "text": str(fault)}, as_json, [str(fault)])
     if reply.get("ok") is not True:
         lines = [str(reply.get("text"))] + [
-            f"{each.get('path')}: {each.get('text')}" for each in reply.get("faults", [])]
+            f"{each.get('path')}: {each.get('text')}" for each in reply.get("faults", [])
+        ]
         _stop(FAULTY if reply.get("code") == "faulty" else DENIED, reply, as_json, lines)
     return reply
 
@@ -117,24 +131,50 @@
         _faulty(faulty.faults, faulty.left_out, as_json)
     lines = [f"{fault.gravity.value}: {fault}" for fault in told.warnings]
     if origins:
-        lines += [f"{'.'.join(path)} = {shown(value)}  ({told.origin(path)})"
-                  for path, value in paths_of(told.document).items()]
+        lines += [
+            f"{'.'.join(path)} = {shown(value)}  ({told.origin(path)})"
+            for path, value in paths_of(told.document).items()
+        ]
     settings = told.config.settings
-    lines.append(f"{told.config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
-                 f"{settings.cores} cores; in order")
-    _out({"ok": True, "warnings": [each.as_dict() for each in told.warnings], "document": told.document,
-          "origins": {".".join(path): origin for path, origin in told.origins.items()}}, as_json, lines)
+    lines.append(
+        f"{told.config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
+        f"{settings.cores} cores; in order"
+    )
+    _out(
+        {
+            "ok": True,
+            "warnings": [each.as_dict() for each in told.warnings],
+            "document": told.document,
+            "origins": {".".join(path): origin for path, origin in told.origins.items()},
+        },
+        as_json,
+        lines,
+    )
 
 
 @config.command(help="Print every word of the schema, its kind and when a change of it acts.")
 @JSON
 def words(as_json: bool) -> None:
     """The reference."""
-    rows = [{"path": path, "kind": word.kind.value, "effect": word.effect.value, "says": word.says,
-             "choices": list(word.choices), "default": repr(word.default)} for path, word in each_word()]
-    _out({"ok": True, "words": rows}, as_json, [
-        f"{row['path']}: {row['kind']}; {row['says'] or '-'}; {row['effect']}; default {row['default']}"
-        for row in rows])
+    rows = [
+        {
+            "path": path,
+            "kind": word.kind.value,
+            "effect": word.effect.value,
+            "says": word.says,
+            "choices": list(word.choices),
+            "default": repr(word.default),
+        }
+        for path, word in each_word()
+    ]
+    _out(
+        {"ok": True, "words": rows},
+        as_json,
+        [
+            f"{row['path']}: {row['kind']}; {row['says'] or '-'}; {row['effect']}; default {row['default']}"
+            for row in rows
+        ],
+    )
 
 
 @config.command(help="Print the plan from what a server has in force, or from a first file, to these files.")
@@ -162,8 +202,15 @@
 
 
 def _push(do: str, path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> dict[str, Any]:
-    return _ask(path, do, as_json, document=_part(files, as_json), whole=whole, force=force,
-                origin=f"{os.environ.get('USER', 'operator')}: {', '.join(map(os.path.basename, files))}")
+    return _ask(
+        path,
+        do,
+        as_json,
+        document=_part(files, as_json),
+        whole=whole,
+        force=force,
+        origin=f"{os.environ.get('USER', 'operator')}: {', '.join(map(os.path.basename, files))}",
+    )
 
 
 @config.command(help="Check files at a server, and stage them there.")
@@ -175,8 +222,14 @@
 def stage(path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> None:
     """One change waits."""
     reply = _push("stage", path, files, whole, force, as_json)
-    _out(reply, as_json, [f"change {reply['change']['number']} is staged",
-                          *(f"warning: {each['path']}: {each['text']}" for each in reply["warnings"])])
+    _out(
+        reply,
+        as_json,
+        [
+            f"change {reply['change']['number']} is staged",
+            *(f"warning: {each['path']}: {each['text']}" for each in reply["warnings"]),
+        ],
+    )
 
 
 @config.command(help="Apply what is staged, or with files stage and apply these.")
@@ -187,8 +240,9 @@
 @click.option("--wait", is_flag=True, help="Wait until it is confirmed or undone.")
 @click.option("--wait-ms", default=120_000.0, show_default=True, help="How long at most.")
 @JSON
-def apply(path: str, files: tuple[str, ...], whole: bool, force: bool, wait: bool, wait_ms: float,
-          as_json: bool) -> None:
+def apply(
+    path: str, files: tuple[str, ...], whole: bool, force: bool, wait: bool, wait_ms: float, as_json: bool
+) -> None:
     """Puts it in force, on probation."""
     reply = _push("apply", path, files, whole, force, as_json) if files else _ask(path, "apply", as_json)
     change = reply["change"]
@@ -241,9 +295,11 @@
 def status(path: str, as_json: bool) -> None:
     """One look."""
     reply = _ask(path, "status", as_json)
-    lines = [f"{reply['name']}: {reply['phase']}, {reply['in_hand']} in hand",
-             f"generation {reply['generation']} from {reply['origin']}, {reply['step'].replace('_', ' ')}; "
-             f"{reply['confirmed']} would be in force after a restart"]
+    lines = [
+        f"{reply['name']}: {reply['phase']}, {reply['in_hand']} in hand",
+        f"generation {reply['generation']} from {reply['origin']}, {reply['step'].replace('_', ' ')}; "
+        f"{reply['confirmed']} would be in force after a restart",
+    ]
     if reply["verdict"]:
         lines.append(f"verdict: {reply['verdict']['standing'].replace('_', ' ')}: {reply['verdict']['reason']}")
     if reply["staged"]:
@@ -259,28 +315,53 @@
 def history(path: str, as_json: bool) -> None:
     """The oldest first."""
     reply = _ask(path, "history", as_json)
-    _out(reply, as_json, [
-        f"{time.strftime('%Y-%m-%d %H:%M:%S', time.localtime(each['since_ms'] / 1000))}  {each['generation']:>4}  "
-        f"{each['event']:<12} {each['digest'][:12]}  {each['origin']}" + (f": {each['reason']}" if each["reason"]
-                                                                          else "")
-        for each in reply["records"]])
-
-
-@config.command(help="Apply files on several servers: a canary, then waves; all is undone at the first that undoes. "
-                     "Each NODE is the path of a control socket.")
+    _out(
+        reply,
+        as_json,
+        [
+            f"{time.strftime('%Y-%m-%d %H:%M:%S', time.localtime(each['since_ms'] / 1000))}  {each['generation']:>4}  "
+            f"{each['event']:<12} {each['digest'][:12]}  {each['origin']}"
+            + (f": {each['reason']}" if each["reason"] else "")
+            for each in reply["records"]
+        ],
+    )
+
+
+@config.command(
+    help="Apply files on several servers: a canary, then waves; all is undone at the first that undoes. "
+    "Each NODE is the path of a control socket."
+)
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.argument("nodes", nargs=-1, required=True)
-@click.option("--wave", "waves", multiple=True, type=click.FloatRange(0, 1), help="Part of all nodes that have been "
-              "asked when this wave ends; may be given again. [default: one node, 0.1, 0.5, 1]")
+@click.option(
+    "--wave",
+    "waves",
+    multiple=True,
+    type=click.FloatRange(0, 1),
+    help="Part of all nodes that have been "
+    "asked when this wave ends; may be given again. [default: one node, 0.1, 0.5, 1]",
+)
 @click.option("--lost-most", default=0, show_default=True, help="Nodes that may be lost before all is undone.")
 @click.option("--silent-ms", default=15_000.0, show_default=True, help="After which a silent node is lost.")
 @click.option("--watch-ms", default=180_000.0, show_default=True, help="The longest probation.")
 @JSON
-def rollout(file: str, nodes: tuple[str, ...], waves: tuple[float, ...], lost_most: int, silent_ms: float,
-            watch_ms: float, as_json: bool) -> None:
+def rollout(
+    file: str,
+    nodes: tuple[str, ...],
+    waves: tuple[float, ...],
+    lost_most: int,
+    silent_ms: float,
+    watch_ms: float,
+    as_json: bool,
+) -> None:
     """The fleet."""
-    terms = Terms(waves=waves or Terms.waves, lost_most=lost_most, silent_ms=silent_ms, watch_ms=watch_ms,
-                  answer_ms=min(5000.0, silent_ms))
+    terms = Terms(
+        waves=waves or Terms.waves,
+        lost_most=lost_most,
+        silent_ms=silent_ms,
+        watch_ms=watch_ms,
+        answer_ms=min(5000.0, silent_ms),
+    )
     try:
         plan = Rollout(nodes, terms, 0.0)
     except ValueError as fault:
@@ -293,13 +374,25 @@
     if plan.course is Course.DONE:
         _out(value, as_json, ["every wave is good"])
     else:
-        _stop(UNDONE if plan.course is Course.UNDONE else FAILED, value, as_json,
-              [f"{plan.course.value}: {plan.why}", *(f"{name}: {each['place']} {each['why']}"
-                                                     for name, each in places.items())])
-
-
-async def roll_out(plan: Rollout, terms: Terms, part: dict[str, Any], origin: str,
-                   tell: Callable[[str], None], ask: Callable[..., Awaitable[dict[str, Any]]] = ask_once) -> None:
+        _stop(
+            UNDONE if plan.course is Course.UNDONE else FAILED,
+            value,
+            as_json,
+            [
+                f"{plan.course.value}: {plan.why}",
+                *(f"{name}: {each['place']} {each['why']}" for name, each in places.items()),
+            ],
+        )
+
+
+async def roll_out(
+    plan: Rollout,
+    terms: Terms,
+    part: dict[str, Any],
+    origin: str,
+    tell: Callable[[str], None],
+    ask: Callable[..., Awaitable[dict[str, Any]]] = ask_once,
+) -> None:
     """Carry a roll-out through to its end: every order with a bound, so many at once."""
     digests: dict[str, str] = {}
     origin = f"roll-out {secrets.token_hex(4)}: {origin}"  # by which a node knows what is to be undone
@@ -314,8 +407,14 @@
         async with seats:
             try:
                 if order.do is Do.PUSH:
-                    reply = await ask(order.node, "apply", terms.answer_ms, document=part, origin=origin,
-                                      until_ms=time.time() * 1000 + terms.answer_ms)
+                    reply = await ask(
+                        order.node,
+                        "apply",
+                        terms.answer_ms,
+                        document=part,
+                        origin=origin,
+                        until_ms=time.time() * 1000 + terms.answer_ms,
+                    )
                     digests[order.node] = (reply.get("change") or {}).get("digest", "")
                 elif order.do is Do.LOOK:
                     reply = await ask(order.node, "status", terms.answer_ms)
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -114,11 +114,16 @@
         seed = 0
         faults.append(fault)
     return Config(
-        name=name, listen=address("listen"), pool=address("pool"),
+        name=name,
+        listen=address("listen"),
+        pool=address("pool"),
         records=address("records") if calls or told.get("records") else None,
-        directory=address("lookup"), seed=seed,
-        stop_ms=top.number("stop_ms", above=True), memory_mb=limits.number("memory_mb", above=True),
-        descriptors=limits.whole("sockets", least=32), settings=settings,
+        directory=address("lookup"),
+        seed=seed,
+        stop_ms=top.number("stop_ms", above=True),
+        memory_mb=limits.number("memory_mb", above=True),
+        descriptors=limits.whole("sockets", least=32),
+        settings=settings,
         gauges=gauge_names(told.get("settings"), faults),
     )
 
@@ -127,6 +132,9 @@
     """What a running server takes over of a fresh configuration: the addresses of its peers. And the names of the
     other fields that differ, which need a restart; the seed is drawn anew with each file and means nothing here."""
     taken = replace(now, pool=fresh.pool, records=fresh.records, directory=fresh.directory)
-    rest = [each.name for each in fields(Config)
-            if each.name != "seed" and getattr(taken, each.name) != getattr(fresh, each.name)]
+    rest = [
+        each.name
+        for each in fields(Config)
+        if each.name != "seed" and getattr(taken, each.name) != getattr(fresh, each.name)
+    ]
     return taken, rest
--- a/nickelslip/configuration/document.py
+++ b/nickelslip/configuration/document.py
@@ -198,8 +198,9 @@
     grace, slack = machine["drain_grace_ms"], machine["answer_slack_ms"]
     if grace + 2 * slack >= node["stop_ms"]:
         say("machine.drain_grace_ms", f"with twice the answer slack not under node.stop_ms of {node['stop_ms']:g}")
-    slots = machine["running_most"] if machine["running_most"] is not None else \
-        machine["cores"] * machine["crowd_multiple"]
+    slots = (
+        machine["running_most"] if machine["running_most"] is not None else machine["cores"] * machine["crowd_multiple"]
+    )
     reserved = sum(grade["reserve"] for grade in whole["grades"].values())
     if reserved > max(0.0, slots - 1) and reserved:
         say("grades", f"reserves of {reserved} slots leave none of {slots:g} for the rest")
@@ -232,32 +233,69 @@
     node, peers, machine, callers = whole["node"], whole["peers"], whole["machine"], whole["callers"]
     calls, changes = whole["calls"], whole["changes"]
     grades = tuple(
-        Grade(name=name, credit=each["credit"], quoted_ms=each["quoted_ms"], abandon_ms=each["abandon_ms"],
-              repeat=REPEATS[each["repeat"]], window_ms=each["window_ms"], late_share=each["late_share"],
-              stretch=each["stretch"], calls=each["calls"], omit_share=each["omit_share"], reserve=each["reserve"])
-        for name, each in whole["grades"].items())
+        Grade(
+            name=name,
+            credit=each["credit"],
+            quoted_ms=each["quoted_ms"],
+            abandon_ms=each["abandon_ms"],
+            repeat=REPEATS[each["repeat"]],
+            window_ms=each["window_ms"],
+            late_share=each["late_share"],
+            stretch=each["stretch"],
+            calls=each["calls"],
+            omit_share=each["omit_share"],
+            reserve=each["reserve"],
+        )
+        for name, each in whole["grades"].items()
+    )
     settings = Settings(
-        grades=grades, cores=machine["cores"], memory_kb=machine["memory_kb"], run_factor=machine["run_factor"],
-        cold=machine["cold"], cold_from=machine["cold_from"], cold_ms=machine["cold_ms"],
-        crowd_multiple=machine["crowd_multiple"], answer_slack_ms=machine["answer_slack_ms"],
-        drain_grace_ms=machine["drain_grace_ms"], tick_ms=machine["tick_ms"], servers=callers["servers"],
+        grades=grades,
+        cores=machine["cores"],
+        memory_kb=machine["memory_kb"],
+        run_factor=machine["run_factor"],
+        cold=machine["cold"],
+        cold_from=machine["cold_from"],
+        cold_ms=machine["cold_ms"],
+        crowd_multiple=machine["crowd_multiple"],
+        answer_slack_ms=machine["answer_slack_ms"],
+        drain_grace_ms=machine["drain_grace_ms"],
+        tick_ms=machine["tick_ms"],
+        servers=callers["servers"],
         callers=callers["callers"],
         customers=tuple(Customer(name, each["share_per_s"]) for name, each in whole["customers"].items()),
         beyond_share_worth=whole["ranking"]["beyond_share_worth"],
-        counted_by_work=whole["ranking"]["counted_by_work"], marks_again=callers["marks_again"],
-        stopping=STOPPINGS[machine["stopping"]], said=SAID[callers["said"]], advice_max_ms=callers["advice_most_ms"],
-        call_share=calls["share"], call_span_ms=calls["span_ms"], call_linger_ms=calls["linger_ms"],
-        entry_kb=whole["store"]["entry_kb"], fresh_ms=whole["store"]["fresh_ms"], idle_ms=callers["idle_ms"],
+        counted_by_work=whole["ranking"]["counted_by_work"],
+        marks_again=callers["marks_again"],
+        stopping=STOPPINGS[machine["stopping"]],
+        said=SAID[callers["said"]],
+        advice_max_ms=callers["advice_most_ms"],
+        call_share=calls["share"],
+        call_span_ms=calls["span_ms"],
+        call_linger_ms=calls["linger_ms"],
+        entry_kb=whole["store"]["entry_kb"],
+        fresh_ms=whole["store"]["fresh_ms"],
+        idle_ms=callers["idle_ms"],
         checks_work=callers["checks_work"],
-        running_most=inf if machine["running_most"] is None else machine["running_most"])
-    rules = ChangeRules(**{name: value for name, value in changes.items() if name != "reload"},
-                        reload_all=changes["reload"] == "all")
+        running_most=inf if machine["running_most"] is None else machine["running_most"],
+    )
+    rules = ChangeRules(
+        **{name: value for name, value in changes.items() if name != "reload"}, reload_all=changes["reload"] == "all"
+    )
     return Config(
-        name=node["name"], listen=address_from(node["listen"], "listen"), pool=address_from(peers["pool"], "pool"),
+        name=node["name"],
+        listen=address_from(node["listen"], "listen"),
+        pool=address_from(peers["pool"], "pool"),
         records=None if peers["records"] is None else address_from(peers["records"], "records"),
-        directory=address_from(peers["directory"], "directory"), seed=int(node["seed"], 16), stop_ms=node["stop_ms"],
-        memory_mb=node["memory_mb"], descriptors=node["descriptors"], settings=settings, gauges=machine["gauges"],
-        changes=rules, starts=node["starts"])
+        directory=address_from(peers["directory"], "directory"),
+        seed=int(node["seed"], 16),
+        stop_ms=node["stop_ms"],
+        memory_mb=node["memory_mb"],
+        descriptors=node["descriptors"],
+        settings=settings,
+        gauges=machine["gauges"],
+        changes=rules,
+        starts=node["starts"],
+    )
 
 
 def _address(address: tuple[str, int] | None) -> str | None:
@@ -275,31 +313,66 @@
     settings, rules = config.settings, config.changes
     most = settings.running_most
     return {
-        "node": {"name": config.name, "listen": _address(config.listen), "seed": f"{config.seed:x}",
-                 "stop_ms": config.stop_ms, "memory_mb": config.memory_mb, "descriptors": config.descriptors,
-                 "starts": config.starts},
-        "peers": {"pool": _address(config.pool), "records": _address(config.records),
-                  "directory": _address(config.directory)},
+        "node": {
+            "name": config.name,
+            "listen": _address(config.listen),
+            "seed": f"{config.seed:x}",
+            "stop_ms": config.stop_ms,
+            "memory_mb": config.memory_mb,
+            "descriptors": config.descriptors,
+            "starts": config.starts,
+        },
+        "peers": {
+            "pool": _address(config.pool),
+            "records": _address(config.records),
+            "directory": _address(config.directory),
+        },
         "machine": {
-            "cores": settings.cores, "memory_kb": settings.memory_kb, "run_factor": settings.run_factor,
-            "cold": settings.cold, "cold_from": settings.cold_from, "cold_ms": settings.cold_ms,
-            "crowd_multiple": settings.crowd_multiple, "running_most": None if most == inf else most,
-            "answer_slack_ms": settings.answer_slack_ms, "drain_grace_ms": settings.drain_grace_ms,
-            "tick_ms": settings.tick_ms, "stopping": _key(STOPPINGS, settings.stopping), "gauges": config.gauges},
-        "callers": {"servers": settings.servers, "callers": settings.callers, "said": _key(SAID, settings.said),
-                    "advice_most_ms": settings.advice_max_ms, "marks_again": settings.marks_again,
-                    "idle_ms": settings.idle_ms, "checks_work": settings.checks_work},
+            "cores": settings.cores,
+            "memory_kb": settings.memory_kb,
+            "run_factor": settings.run_factor,
+            "cold": settings.cold,
+            "cold_from": settings.cold_from,
+            "cold_ms": settings.cold_ms,
+            "crowd_multiple": settings.crowd_multiple,
+            "running_most": None if most == inf else most,
+            "answer_slack_ms": settings.answer_slack_ms,
+            "drain_grace_ms": settings.drain_grace_ms,
+            "tick_ms": settings.tick_ms,
+            "stopping": _key(STOPPINGS, settings.stopping),
+            "gauges": config.gauges,
+        },
+        "callers": {
+            "servers": settings.servers,
+            "callers": settings.callers,
+            "said": _key(SAID, settings.said),
+            "advice_most_ms": settings.advice_max_ms,
+            "marks_again": settings.marks_again,
+            "idle_ms": settings.idle_ms,
+            "checks_work": settings.checks_work,
+        },
         "ranking": {"beyond_share_worth": settings.beyond_share_worth, "counted_by_work": settings.counted_by_work},
-        "calls": {"share": settings.call_share, "span_ms": settings.call_span_ms,
-                  "linger_ms": settings.call_linger_ms},
+        "calls": {"share": settings.call_share, "span_ms": settings.call_span_ms, "linger_ms": settings.call_linger_ms},
         "store": {"entry_kb": settings.entry_kb, "fresh_ms": settings.fresh_ms},
-        "changes": {**{word.name: getattr(rules, word.name) for word in SECTIONS["changes"] if word.name != "reload"},
-                    "reload": "all" if rules.reload_all else "peers"},
-        "grades": {each.name: {
-            "credit": each.credit, "quoted_ms": each.quoted_ms, "abandon_ms": each.abandon_ms,
-            "repeat": _key(REPEATS, each.repeat), "window_ms": each.window_ms, "late_share": each.late_share,
-            "stretch": each.stretch, "calls": each.calls, "omit_share": each.omit_share, "reserve": each.reserve}
-            for each in settings.grades},
+        "changes": {
+            **{word.name: getattr(rules, word.name) for word in SECTIONS["changes"] if word.name != "reload"},
+            "reload": "all" if rules.reload_all else "peers",
+        },
+        "grades": {
+            each.name: {
+                "credit": each.credit,
+                "quoted_ms": each.quoted_ms,
+                "abandon_ms": each.abandon_ms,
+                "repeat": _key(REPEATS, each.repeat),
+                "window_ms": each.window_ms,
+                "late_share": each.late_share,
+                "stretch": each.stretch,
+                "calls": each.calls,
+                "omit_share": each.omit_share,
+                "reserve": each.reserve,
+            }
+            for each in settings.grades
+        },
         "customers": {each.name: {"share_per_s": each.share_per_s} for each in settings.customers},
     }
 
--- a/nickelslip/configuration/faults.py
+++ b/nickelslip/configuration/faults.py
@@ -39,8 +39,14 @@
 
     def as_dict(self) -> dict[str, object]:
         """For machines; the keys are stable."""
-        return {"path": ".".join(self.path), "text": self.text, "source": self.source, "line": self.line,
-                "column": self.column, "gravity": self.gravity.value}
+        return {
+            "path": ".".join(self.path),
+            "text": self.text,
+            "source": self.source,
+            "line": self.line,
+            "column": self.column,
+            "gravity": self.gravity.value,
+        }
 
 
 class Faulty(Malformed):
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -36,8 +36,9 @@
         too."""
         config = self.config
         entries_most = config.memory_mb * 1024 * RESULTS_PART / ENTRY_KB
-        return replace(config.settings, entry_kb=max(config.settings.entry_kb,
-                                                     config.settings.memory_kb / entries_most))
+        return replace(
+            config.settings, entry_kb=max(config.settings.entry_kb, config.settings.memory_kb / entries_most)
+        )
 
     @cached_property
     def repeats(self) -> Mapping[str, Repeat]:
@@ -67,12 +68,16 @@
 def canonical(document: Mapping[str, Any]) -> bytes:
     """The one text of a whole document, without what is never compared."""
     from nickelslip.configuration.schema import NEVER_COMPARED  # needed only where changes are taken
-    bare = {section: {name: value for name, value in inner.items() if (section, name) not in NEVER_COMPARED}
-            for section, inner in document.items()}
+
+    bare = {
+        section: {name: value for name, value in inner.items() if (section, name) not in NEVER_COMPARED}
+        for section, inner in document.items()
+    }
     return json.dumps(bare, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def digest_of(document: Mapping[str, Any]) -> str:
     """By which a document is known again: 32 hex digits of XXH3 over its canonical text."""
     import xxhash  # an extra: needed only where changes are taken
+
     return str(xxhash.xxh3_128_hexdigest(canonical(document)))
--- a/nickelslip/configuration/history.py
+++ b/nickelslip/configuration/history.py
@@ -54,6 +54,7 @@
 def encoded(record: Record) -> bytes:
     """One record as it stands in the file."""
     import xxhash
+
     body = orjson.dumps({**asdict(record), "event": record.event.value})
     if len(body) > RECORD_MOST:
         raise ValueError(f"a record over {RECORD_MOST} bytes")
@@ -69,6 +70,7 @@
     """The whole records of a file, in order, and up to which byte they reach: there the next one is written. A file
     with no magic line of this version holds none, and reaches to 0: it is begun anew."""
     import xxhash
+
     if not data.startswith(MAGIC):
         return [], 0
     records: list[Record] = []
@@ -77,13 +79,14 @@
     while upto + HEAD.size <= len(data):
         length, checksum = HEAD.unpack_from(data, upto)
         end = upto + HEAD.size + length
-        body = data[upto + HEAD.size:end]
+        body = data[upto + HEAD.size : end]
         if length > RECORD_MOST or end > len(data) or xxhash.xxh3_64_intdigest(body) != checksum:
             break
         try:
             told = orjson.loads(body)
-            record = Record(**{name: value for name, value in told.items() if name in known} | {
-                "event": Event(told["event"])})
+            record = Record(
+                **{name: value for name, value in told.items() if name in known} | {"event": Event(told["event"])}
+            )
         except (ValueError, TypeError, KeyError):
             break
         if records and record.at <= records[-1].at:
@@ -102,11 +105,12 @@
     """What a file written anew keeps: the latest records, without the documents that cannot be in force again but the
     one to which an operator would go back; and the one in force, in any case."""
     force = in_force(records)
-    earlier = in_force(records[:records.index(force)]) if force else None
+    earlier = in_force(records[: records.index(force)]) if force else None
     kept = [each for each in (earlier, force) if each is not None and each not in records[-KEPT_MOST:]]
     out: list[Record] = []
     for each in sorted([*kept, *records[-KEPT_MOST:]], key=lambda record: record.at):
         bare = each in (force, earlier) or each.document is None
-        out.append(each if bare else Record(**{**{f.name: getattr(each, f.name) for f in fields(Record)},
-                                               "document": None}))
+        out.append(
+            each if bare else Record(**{**{f.name: getattr(each, f.name) for f in fields(Record)}, "document": None})
+        )
     return out
--- a/nickelslip/configuration/judge.py
+++ b/nickelslip/configuration/judge.py
@@ -120,11 +120,15 @@
 
     def __init__(self, buckets: Iterable[Bucket]) -> None:
         every = list(buckets)
-        spans = [every[at:at + BURST] for at in range(0, len(every), BURST)]
+        spans = [every[at : at + BURST] for at in range(0, len(every), BURST)]
         reads = [sum(counts.reads for bucket in span for counts in bucket.pairs.values()) for span in spans]
         usual = median(reads) if reads else 0.0
-        self.buckets = [bucket for span, count in zip(spans, reads, strict=True) for bucket in span
-                        if count <= max(LOAD_CALM * usual, usual + 3 * sqrt(usual))]
+        self.buckets = [
+            bucket
+            for span, count in zip(spans, reads, strict=True)
+            for bucket in span
+            if count <= max(LOAD_CALM * usual, usual + 3 * sqrt(usual))
+        ]
         super().__init__(self.buckets)
         said = sorted(bucket.weight / bucket.weights for bucket in self.buckets if bucket.weights)
         self.low_weight = said[len(said) // LOW_OF] if said else 1.0
@@ -141,7 +145,7 @@
             return 1.0, inf
         part, mean = whole.in_time / whole.reads, whole.in_time / count
         spread = [0.0] * count
-        for at, bucket in enumerate(self.buckets[:count * BATCH]):
+        for at, bucket in enumerate(self.buckets[: count * BATCH]):
             for pair, counts in bucket.pairs.items():
                 if pair in pairs:
                     spread[at // BATCH] += counts.in_time - part * counts.reads
@@ -206,8 +210,11 @@
         load = self._load(since)
         in_time = self._before.sum(self._before.pairs).in_time
         expected = in_time * since.ms / self._before.ms if self._before.ms else 0.0
-        figures = {"load": round(load, 3), "expected": round(expected, 1),
-                   "in_time": float(since.sum(since.pairs).in_time)}
+        figures = {
+            "load": round(load, 3),
+            "expected": round(expected, 1),
+            "in_time": float(since.sum(since.pairs).in_time),
+        }
         if expected < ENOUGH or since.sum(since.pairs).in_time < ENOUGH / 4:
             return Verdict(Standing.TOO_SOON, "too few transactions to tell", figures)
         if load > LOAD_CALM:
@@ -260,9 +267,16 @@
             sigmas = max(sigmas, self._of_the_read(pairs, since, self._uneven[name][1]))
         if sigmas < self._sigmas:
             return None
-        return Verdict(Standing.HARM, f"{name}: {seen:.0f} answered in their quoted time where {expected:.0f} were due",
-                       {"expected": round(expected, 1), "in_time": seen, "sigmas": round(sigmas, 2),
-                        "load": round(self._load(since), 3)})
+        return Verdict(
+            Standing.HARM,
+            f"{name}: {seen:.0f} answered in their quoted time where {expected:.0f} were due",
+            {
+                "expected": round(expected, 1),
+                "in_time": seen,
+                "sigmas": round(sigmas, 2),
+                "load": round(self._load(since), 3),
+            },
+        )
 
     def _of_the_read(self, pairs: set[Pair], since: Stretch, variance: float) -> float:
         """By how many standard errors the part in time of what was read is under the part before."""
@@ -278,17 +292,28 @@
         """More forfeited, or more calls that go badly, than before."""
         before, load = self._before, self._load(since)
         was, now = before.sum(before.pairs), since.sum(since.pairs)
-        looks = (("forfeits", was.forfeited, _answers(was), now.forfeited, _answers(now),
-                  FORFEITS_LEAST + FORFEITS_BY_LOAD * max(0.0, load - 1)),
-                 ("calls", before.calls_bad, before.calls, since.calls_bad, since.calls, CALLS_LEAST))
+        looks = (
+            (
+                "forfeits",
+                was.forfeited,
+                _answers(was),
+                now.forfeited,
+                _answers(now),
+                FORFEITS_LEAST + FORFEITS_BY_LOAD * max(0.0, load - 1),
+            ),
+            ("calls", before.calls_bad, before.calls, since.calls_bad, since.calls, CALLS_LEAST),
+        )
         for name, bad_was, all_was, bad, every, least in looks:
             if not all_was or not every or bad < MISSING_LEAST or bad / every - bad_was / all_was < least:
                 continue
             part = (bad_was + bad + 1) / (all_was + every + 2)
             sigmas = (bad / every - bad_was / all_was) / sqrt(part * (1 - part) * (1 / all_was + 1 / every))
             if sigmas >= self._sigmas:
-                return Verdict(Standing.HARM, f"{name}: {bad} of {every}, before {bad_was} of {all_was}",
-                               {"sigmas": round(sigmas, 2), "load": round(load, 3)})
+                return Verdict(
+                    Standing.HARM,
+                    f"{name}: {bad} of {every}, before {bad_was} of {all_was}",
+                    {"sigmas": round(sigmas, 2), "load": round(load, 3)},
+                )
         return None
 
 
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -14,7 +14,13 @@
 
 from nickelslip.configuration.config import Config, told_by
 from nickelslip.configuration.document import (
-    Document, checked, config_from, is_platforms, part_of, shaped, wrong,
+    Document,
+    checked,
+    config_from,
+    is_platforms,
+    part_of,
+    shaped,
+    wrong,
 )
 from nickelslip.configuration.faults import Fault, Faulty, Gravity, Path, grave
 from nickelslip.configuration.schema import NAMED, SECTIONS, Kind, Word, word_at
@@ -85,7 +91,7 @@
         if not variable.startswith(PREFIX):
             continue
         source = f"environment:{variable}"
-        path = tuple(step.lower() for step in variable[len(PREFIX):].split("__"))
+        path = tuple(step.lower() for step in variable[len(PREFIX) :].split("__"))
         word = word_at(path)
         if word is None:
             faults.append(Fault(path, "unknown", source, gravity=Gravity.WARNING))
@@ -127,8 +133,12 @@
     faults += found
     if grave(faults):
         raise Faulty(faults)
-    return Layered(config_from(whole), whole, {path: origin for path, origin in origins.items()
-                                               if _there(whole, path)}, tuple(faults))
+    return Layered(
+        config_from(whole),
+        whole,
+        {path: origin for path, origin in origins.items() if _there(whole, path)},
+        tuple(faults),
+    )
 
 
 def _placed(fault: Fault, origins: Mapping[Path, str]) -> Fault:
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -44,6 +44,7 @@
     """All layers: the files in their order, then the environment. Raises Faulty."""
     from nickelslip.configuration.layers import layered  # the long way: most starts never take it
     from nickelslip.configuration.text import read_text
+
     texts, faults = [], []
     for path in paths:
         try:
--- a/nickelslip/configuration/meter.py
+++ b/nickelslip/configuration/meter.py
@@ -92,8 +92,9 @@
         """A first try was read."""
         self._counts(now, grade, customer).reads += 1
 
-    def ended(self, now: float, grade: str, customer: str | None, state: State, elapsed_ms: float,
-              work_ms: float) -> None:
+    def ended(
+        self, now: float, grade: str, customer: str | None, state: State, elapsed_ms: float, work_ms: float
+    ) -> None:
         """A transaction has its answer, or has been abandoned, so long after it reached the machine."""
         counts = self._counts(now, grade, customer)
         if state is State.SATISFIED:
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -34,8 +34,13 @@
 
     def as_dict(self) -> dict[str, Any]:
         """For machines; the keys are stable."""
-        return {"path": ".".join(self.path), "old": self.old, "new": self.new, "effect": self.effect.name.lower(),
-                "hindrance": self.hindrance}
+        return {
+            "path": ".".join(self.path),
+            "old": self.old,
+            "new": self.new,
+            "effect": self.effect.name.lower(),
+            "hindrance": self.hindrance,
+        }
 
 
 @dataclass(frozen=True)
@@ -69,8 +74,11 @@
 
     def as_dict(self) -> dict[str, Any]:
         """For machines; the keys are stable."""
-        return {"differences": [each.as_dict() for each in self.differences], "restart": bool(self.restart),
-                "links_only": self.links_only}
+        return {
+            "differences": [each.as_dict() for each in self.differences],
+            "restart": bool(self.restart),
+            "links_only": self.links_only,
+        }
 
 
 def shown(value: Any) -> str:
@@ -95,8 +103,11 @@
         before, after = old[section], new[section]
         for name in [*before, *(each for each in after if each not in before)]:
             if (name in before) is not (name in after):
-                out.append(Difference((section, name), before.get(name, ABSENT), after.get(name, ABSENT),
-                                      COMES_AND_GOES[section]))
+                out.append(
+                    Difference(
+                        (section, name), before.get(name, ABSENT), after.get(name, ABSENT), COMES_AND_GOES[section]
+                    )
+                )
     was, now = paths_of(old), paths_of(new)
     for path in now:
         word = word_at(path)
@@ -104,7 +115,8 @@
             continue
         before, after = was[path], now[path]
         if (tuple(before) if isinstance(before, list) else before) != (
-                tuple(after) if isinstance(after, list) else after):
+            tuple(after) if isinstance(after, list) else after
+        ):
             out.append(Difference(path, before, after, word.effect, _hindrance(path, before, after)))
     return Plan(tuple(out))
 
--- a/nickelslip/configuration/protocol.py
+++ b/nickelslip/configuration/protocol.py
@@ -47,7 +47,7 @@
             if len(self._held) < end:
                 break
             try:
-                message = orjson.loads(self._held[HEAD.size:end])
+                message = orjson.loads(self._held[HEAD.size : end])
             except ValueError as error:
                 raise Improper(f"not JSON: {error}") from None
             if not isinstance(message, dict):
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -51,9 +51,13 @@
     Place.WAITING: (Place.ASKED,),
     Place.ASKED: (Place.WATCHED, Place.GOOD, Place.BAD, Place.LOST, Place.TO_REVERT),
     Place.WATCHED: (Place.GOOD, Place.BAD, Place.LOST, Place.TO_REVERT),
-    Place.GOOD: (Place.TO_REVERT,), Place.BAD: (), Place.LOST: (Place.TO_REVERT,),
-    Place.TO_REVERT: (Place.REVERTING,), Place.REVERTING: (Place.REVERTED, Place.STUCK, Place.TO_REVERT),
-    Place.REVERTED: (), Place.STUCK: (),
+    Place.GOOD: (Place.TO_REVERT,),
+    Place.BAD: (),
+    Place.LOST: (Place.TO_REVERT,),
+    Place.TO_REVERT: (Place.REVERTING,),
+    Place.REVERTING: (Place.REVERTED, Place.STUCK, Place.TO_REVERT),
+    Place.REVERTED: (),
+    Place.STUCK: (),
 }
 OPEN = (Place.ASKED, Place.WATCHED)
 FINAL_UNDONE = (Place.WAITING, Place.BAD, Place.REVERTED, Place.STUCK)
@@ -136,7 +140,7 @@
 
     def _next_wave(self) -> None:
         self.wave += 1
-        for node in list(self._nodes.values())[:self._sizes[self.wave]]:
+        for node in list(self._nodes.values())[: self._sizes[self.wave]]:
             if node.place is Place.WAITING:
                 self._enter(node, Place.ASKED, self._now)
                 node.heard_ms = node.next_ms = self._now
@@ -172,7 +176,7 @@
             self._enter(node, Place.LOST, now, "its probation does not end")
 
     def _judge_wave(self, now: float) -> None:
-        asked = list(self._nodes.values())[:self._sizes[self.wave]]
+        asked = list(self._nodes.values())[: self._sizes[self.wave]]
         bad = next((node for node in asked if node.place is Place.BAD), None)
         lost = [node for node in asked if node.place is Place.LOST]
         if bad is not None:
@@ -180,7 +184,7 @@
         elif len(lost) > self._terms.lost_most:
             self._undo(now, f"{len(lost)} lost: {', '.join(node.name for node in lost[:5])}")
         elif not any(node.place in OPEN for node in asked):
-            new = asked[self._sizes[self.wave - 1] if self.wave else 0:]
+            new = asked[self._sizes[self.wave - 1] if self.wave else 0 :]
             if not any(node.place is Place.GOOD for node in new):
                 self._undo(now, "a whole wave is lost")
             elif self.wave + 1 < len(self._sizes):
--- a/nickelslip/configuration/schema.py
+++ b/nickelslip/configuration/schema.py
@@ -82,8 +82,13 @@
     _number("stop_ms", _A, says="from the notice to leave to the kill", above=True, most=SPAN_MOST_MS),
     _number("memory_mb", _R, says="of this process", above=True),
     _whole("descriptors", _A, says="of this process", least=32),
-    Word("starts", Kind.TEXT, _R, "", says="a folder that outlives the server, where early deaths are remembered; "
-                                           "empty: they are not"),
+    Word(
+        "starts",
+        Kind.TEXT,
+        _R,
+        "",
+        says="a folder that outlives the server, where early deaths are remembered; empty: they are not",
+    ),
 )
 PEERS = (
     Word("pool", Kind.ADDRESS, _L, says="the worker pool"),
@@ -100,18 +105,34 @@
     _number("crowd_multiple", _A, says="running transactions a core that a warm server survives", least=1.0),
     _whole("running_most", _A, None, "transactions on the cores at once; absent: as many as the crowd allows"),
     _number("answer_slack_ms", _A, 0.0, "by which an answer may be late", most=SPAN_MOST_MS),
-    _number("drain_grace_ms", _A, says="after the notice to leave, in which what arrives may still be run",
-            most=SPAN_MOST_MS),
+    _number(
+        "drain_grace_ms",
+        _A,
+        says="after the notice to leave, in which what arrives may still be run",
+        most=SPAN_MOST_MS,
+    ),
     _number("tick_ms", _A, says="how finely time is told", above=True, most=1000.0),
-    Word("stopping", Kind.CHOICE, _R, "never", choices=("never", "drop", "pause"),
-         says="whether a run can be taken off the cores"),
+    Word(
+        "stopping",
+        Kind.CHOICE,
+        _R,
+        "never",
+        choices=("never", "drop", "pause"),
+        says="whether a run can be taken off the cores",
+    ),
     Word("gauges", Kind.TEXTS, _R, (), says="names of the gauges, in the worker pool's order"),
 )
 CALLERS = (
     _whole("servers", _A, 1, "in the fleet"),
     _whole("callers", _A, 1, "balancers in front of it"),
-    Word("said", Kind.CHOICE, _A, "nothing", choices=("nothing", "chance", "slots", "rank"),
-         says="what callers take the said weight for"),
+    Word(
+        "said",
+        Kind.CHOICE,
+        _A,
+        "nothing",
+        choices=("nothing", "chance", "slots", "rank"),
+        says="what callers take the said weight for",
+    ),
     _number("advice_most_ms", _A, 0.0, "longest advice that callers heed; 0: none is given", most=SPAN_MOST_MS),
     Word("marks_again", Kind.FLAG, _A, False, says="whether further tries are marked"),
     _number("idle_ms", _A, 0.0, "after which callers close unused connections", most=SPAN_MOST_MS),
@@ -137,8 +158,9 @@
     _number("history_kb", _R, 1024.0, "after which the history is written anew with what counts", least=64.0),
     _number("probation_ms", _A, 10_000.0, "in which a change must do no harm", least=1000.0, most=SPAN_MOST_MS),
     _number("probation_most_ms", _A, 60_000.0, "where too little can be told before", most=SPAN_MOST_MS),
-    _number("baseline_ms", _A, 20_000.0, "how far back the time before a change is looked at", least=2000.0,
-            most=300_000.0),
+    _number(
+        "baseline_ms", _A, 20_000.0, "how far back the time before a change is looked at", least=2000.0, most=300_000.0
+    ),
     _number("sigmas", _A, 4.0, "by so many standard errors worse is no chance", least=2.0, most=20.0),
     _number("held_off_ms", _A, 600_000.0, "how long an undone document is refused", most=SPAN_MOST_MS),
     Word("reload", Kind.CHOICE, _A, "all", choices=("peers", "all"), says="what SIGHUP takes of a changed file"),
@@ -147,8 +169,13 @@
     _number("credit", _N, says="of a transaction satisfied in its quoted time"),
     _number("quoted_ms", _N, says="within which an answer is wanted", above=True, most=SPAN_MOST_MS),
     _number("abandon_ms", _N, says="after which a client gives up", above=True, most=SPAN_MOST_MS),
-    Word("repeat", Kind.CHOICE, _R, choices=("replayable", "referenced", "single-use"),
-         says="what may happen to it a second time"),
+    Word(
+        "repeat",
+        Kind.CHOICE,
+        _R,
+        choices=("replayable", "referenced", "single-use"),
+        says="what may happen to it a second time",
+    ),
     _number("window_ms", _N, 0.0, "referenced: a repeat may come so long after an arrival", most=SPAN_MOST_MS),
     _number("late_share", _N, 0.0, "of its credit that an answer after the quoted time earns", most=1.0),
     _number("stretch", _N, 0.0, "extra quoted time, as a multiple of the work"),
@@ -159,8 +186,14 @@
 CUSTOMER = (_number("share_per_s", _A, 0.0, "transactions a second, over all servers, that count in full"),)
 
 SECTIONS: Mapping[str, tuple[Word, ...]] = {
-    "node": NODE, "peers": PEERS, "machine": MACHINE, "callers": CALLERS, "ranking": RANKING, "calls": CALLS,
-    "store": STORE, "changes": CHANGES,
+    "node": NODE,
+    "peers": PEERS,
+    "machine": MACHINE,
+    "callers": CALLERS,
+    "ranking": RANKING,
+    "calls": CALLS,
+    "store": STORE,
+    "changes": CHANGES,
 }
 NAMED: Mapping[str, tuple[Word, ...]] = {"grades": GRADE, "customers": CUSTOMER}  # a section for each name
 NAMED_MOST: Mapping[str, int] = {"grades": 64, "customers": 4096}
--- a/nickelslip/configuration/text.py
+++ b/nickelslip/configuration/text.py
@@ -59,10 +59,10 @@
             at += 1
             while at < len(data) and data[at] not in (byte, 10):
                 at += 2 if data[at] == 92 else 1
-        elif byte == 47 and data[at + 1:at + 2] == b"/":
+        elif byte == 47 and data[at + 1 : at + 2] == b"/":
             end = data.find(b"\n", at)
             at = len(data) if end < 0 else end
-        elif byte == 47 and data[at + 1:at + 2] == b"*":
+        elif byte == 47 and data[at + 1 : at + 2] == b"*":
             end = data.find(b"*/", at + 2)
             at = len(data) if end < 0 else end + 1
         elif byte in OPEN:
@@ -105,6 +105,7 @@
 
 def _with_places(data: bytes, source: str) -> Read:
     from json5.loader import ModelLoader, loads  # an extra: only where documents are written by hand
+
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
--- a/nickelslip/emulator/callers.py
+++ b/nickelslip/emulator/callers.py
@@ -75,8 +75,16 @@
     """One balancer. It goes round the listed servers by what they say of themselves, keeps a connection to each, and
     tries again elsewhere where that does no harm."""
 
-    def __init__(self, number: int, addresses: dict[str, Address], listed: Callable[[], list[str]], traffic: Traffic,
-                 habits: Habits, seed: int, history: History) -> None:
+    def __init__(
+        self,
+        number: int,
+        addresses: dict[str, Address],
+        listed: Callable[[], list[str]],
+        traffic: Traffic,
+        habits: Habits,
+        seed: int,
+        history: History,
+    ) -> None:
         self.number, self._addresses, self._listed = number, addresses, listed
         self.traffic, self.habits, self.history = traffic, habits, history
         self._random = random.Random(f"balancer {number} {seed}")
@@ -131,8 +139,9 @@
                     due = self.history.clock()  # the rate may have changed meanwhile; without memory, so that is fair
                     continue
             self.lag_ms = max(self.lag_ms, -wait)
-            grade = self._random.choices(list(self.traffic.grades),
-                                         [each.part for each in self.traffic.grades.values()])[0]
+            grade = self._random.choices(
+                list(self.traffic.grades), [each.part for each in self.traffic.grades.values()]
+            )[0]
             self._spawn(self._client(grade))
 
     def _choose(self, but: set[str]) -> str | None:
@@ -141,8 +150,9 @@
             self._at += 1
             name = listed[self._at % len(listed)]
             weight, at = self._said.get(name, (1.0, 0.0))
-            if self.habits.heeds and (now < self._away.get(name, 0.0)
-                                      or (now - at < SAID_FOR_MS and self._random.random() > weight)):
+            if self.habits.heeds and (
+                now < self._away.get(name, 0.0) or (now - at < SAID_FOR_MS and self._random.random() > weight)
+            ):
                 continue
             return name
         return None
@@ -167,8 +177,9 @@
             if word not in ("later", "nowhere", "crossed") and not told.replayable:
                 return  # it may have run: not asked again anywhere
 
-    async def _try(self, name: str, grade: str, told: GradeTraffic, mark: str, body: bytes, left: float,
-                   again: bool) -> tuple[str, str]:
+    async def _try(
+        self, name: str, grade: str, told: GradeTraffic, mark: str, body: bytes, left: float, again: bool
+    ) -> tuple[str, str]:
         """One try: how it ended, and its id; `nowhere` where no connection came about, which proves that nothing
         ran."""
         line = self._lines.get(name)
@@ -179,9 +190,12 @@
             self._lines[name] = line
         ident = f"{self._random.getrandbits(64):016x}"
         customer = self._random.choices(list(self.traffic.customers), list(self.traffic.customers.values()))[0]
-        fields = (f"req={ident},ts={time.time() * 1000:.0f},via={self.number},owner={customer},timeout={left:.0f},"
-                  f"need=20,level={self._random.random():.4f}" + (",resent=1" if again else "")
-                  + (f",opkey={mark}" if mark else ""))
+        fields = (
+            f"req={ident},ts={time.time() * 1000:.0f},via={self.number},owner={customer},timeout={left:.0f},"
+            f"need=20,level={self._random.random():.4f}"
+            + (",resent=1" if again else "")
+            + (f",opkey={mark}" if mark else "")
+        )
         return await line.ask(ident, grade, fields, mark, body, left), ident
 
     def heard(self, name: str, word: str, fields: dict[str, str]) -> None:
--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -104,8 +104,9 @@
         return any(since < end and begin < until for since, until in self.cuts[server])
 
 
-def rules(history: History, replayable: Iterable[str], grace_ms: float, slack_ms: float,
-          window_ms: float = inf) -> list[str]:
+def rules(
+    history: History, replayable: Iterable[str], grace_ms: float, slack_ms: float, window_ms: float = inf
+) -> list[str]:
     """What breaks rule 1, 2 or 3. The slack is what the rules and a crowded machine may add. What a server held that
     was killed outright is no longer owed; one that was told to leave owes it to the end."""
     seen, found = Seen(history), []
@@ -115,9 +116,18 @@
         life = seen.life(one.server, one.written)
         what = f"{one.grade} {one.ident} at {one.server}, written {one.written:.0f}"
         due = seen.spared(one.server, one.due)
-        excused = one.gone <= due + slack_ms or one.crossed or one.written == inf or (
-            life is not None and (life.killed <= due + slack_ms
-                                  or (life.ended < inf and seen.cut_off(one.server, one.written, life.ended))))
+        excused = (
+            one.gone <= due + slack_ms
+            or one.crossed
+            or one.written == inf
+            or (
+                life is not None
+                and (
+                    life.killed <= due + slack_ms
+                    or (life.ended < inf and seen.cut_off(one.server, one.written, life.ended))
+                )
+            )
+        )
         words = [word for _, word, _ in one.words]
         if len(words) > 1:
             found.append(f"duplicate: {what}: answered {words}")
@@ -153,9 +163,11 @@
 def bad_ends(history: History) -> list[str]:
     """Processes that ended by themselves with a failure, or without having been told to leave."""
     seen = Seen(history)
-    return [f"ended: {event.server} with {event.detail}" for event in history.of(Kind.ENDED)
-            if event.detail != 0 or seen.lives[event.server] and all(
-                life.told == inf for life in seen.lives[event.server])]
+    return [
+        f"ended: {event.server} with {event.detail}"
+        for event in history.of(Kind.ENDED)
+        if event.detail != 0 or seen.lives[event.server] and all(life.told == inf for life in seen.lives[event.server])
+    ]
 
 
 # Properties of a whole fleet
@@ -208,15 +220,21 @@
     """Credit asked for by clients that began within this time, and credit satisfied of theirs within the quoted time;
     the second by these servers alone, where some are named. A run without its call earns a part."""
     asked = sum(event.detail[1] for event in history.of(Kind.ASKED) if begin <= event.at < end)
-    return asked, sum(worth for event, worth in earned(history)
-                      if begin <= event.detail[3] < end and (servers is None or event.server in servers))
+    return asked, sum(
+        worth
+        for event, worth in earned(history)
+        if begin <= event.detail[3] < end and (servers is None or event.server in servers)
+    )
 
 
 def earned(history: History) -> list[tuple[Event, float]]:
     """Each answer that a client had within its quoted time, and the credit earned."""
     left_out = {event.ident for event in history.of(Kind.LEFT_OUT)}
-    return [(event, event.detail[1] * (event.detail[4] if event.ident in left_out else 1.0))
-            for event in history.of(Kind.SATISFIED) if event.detail[2]]
+    return [
+        (event, event.detail[1] * (event.detail[4] if event.ident in left_out else 1.0))
+        for event in history.of(Kind.SATISFIED)
+        if event.detail[2]
+    ]
 
 
 def tallied(lines: Iterable[str]) -> dict[str, int]:
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -44,9 +44,11 @@
 
 def grades() -> dict[str, GradeTraffic]:
     """Three service grades, one of each kind."""
-    return {"read": GradeTraffic(0.6, 1.0, 1000.0, 2000.0, True),
-            "pay": GradeTraffic(0.3, 3.0, 500.0, 1200.0, False),
-            "book": GradeTraffic(0.1, 2.0, 800.0, 1500.0, False, True)}
+    return {
+        "read": GradeTraffic(0.6, 1.0, 1000.0, 2000.0, True),
+        "pay": GradeTraffic(0.3, 3.0, 500.0, 1200.0, False),
+        "book": GradeTraffic(0.1, 2.0, 800.0, 1500.0, False, True),
+    }
 
 
 @dataclass(frozen=True)
@@ -58,8 +60,9 @@
     rate: float = 60.0  # transactions a second, of all clients together
     balancers: int = 4
     grades: dict[str, GradeTraffic] = field(default_factory=grades)
-    work: Work = field(default_factory=lambda: Work({"read": 30.0, "pay": 15.0, "book": 10.0},
-                                                    {"read": 1.0, "pay": 1.0}))
+    work: Work = field(
+        default_factory=lambda: Work({"read": 30.0, "pay": 15.0, "book": 10.0}, {"read": 1.0, "pay": 1.0})
+    )
     machine: MachineKind = field(default_factory=MachineKind)
     service: ServiceKind = field(default_factory=ServiceKind)
     habits: Habits = field(default_factory=Habits)
@@ -85,22 +88,46 @@
         share = self.service.survives / self.size if self.call_share is None else self.call_share
         return {
             "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
-            "classes": [{"name": name, "gain": each.credit, "aim-ms": each.quoted_ms, "deadline-ms": each.patience_ms,
-                         "idempotency": "idempotency_key" if each.marked else kinds[each.replayable],
-                         **({"memory-span-ms": self.window_ms} if each.marked else {})}
-                        for name, each in self.grades.items()],
-            "client-habits": {"marks-retry": True}, "tenants": [{"name": "acme", "quota-rps": self.rate}],
-            "tick-ms": 5.0, "servers": self.size,
-            "invariants": {"answer-slack-ms": 20.0, "cold-from": self.machine.cold_from,
-                           "cold-ms": max(1.0, self.machine.cold_ms), "fall-multiple": self.machine.fall_multiple,
-                           "stop-sending-within-ms": self.grace_ms},
-            "specifics": {"cpus": self.machine.cores, "memory-kb": 9000.0, "run-factor": 16.0, "say": "bias",
-                          "callers": self.balancers, "cold": self.cold, "below": "common", "dep-share": share,
-                          "calls-over-ms": self.service.span_ms, "stays-for-ms": self.service.linger_ms,
-                          "kb-per-key": 20.0, "stop-mode": "drop", "idle-ms": 15000.0,
-                          "class-calls": [self.work.calls.get(name, 0.0) > 0 for name in self.grades],
-                          "class-skip-worth": [0.6 if each.replayable else 0.0 for each in self.grades.values()],
-                          "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"]},
+            "classes": [
+                {
+                    "name": name,
+                    "gain": each.credit,
+                    "aim-ms": each.quoted_ms,
+                    "deadline-ms": each.patience_ms,
+                    "idempotency": "idempotency_key" if each.marked else kinds[each.replayable],
+                    **({"memory-span-ms": self.window_ms} if each.marked else {}),
+                }
+                for name, each in self.grades.items()
+            ],
+            "client-habits": {"marks-retry": True},
+            "tenants": [{"name": "acme", "quota-rps": self.rate}],
+            "tick-ms": 5.0,
+            "servers": self.size,
+            "invariants": {
+                "answer-slack-ms": 20.0,
+                "cold-from": self.machine.cold_from,
+                "cold-ms": max(1.0, self.machine.cold_ms),
+                "fall-multiple": self.machine.fall_multiple,
+                "stop-sending-within-ms": self.grace_ms,
+            },
+            "specifics": {
+                "cpus": self.machine.cores,
+                "memory-kb": 9000.0,
+                "run-factor": 16.0,
+                "say": "bias",
+                "callers": self.balancers,
+                "cold": self.cold,
+                "below": "common",
+                "dep-share": share,
+                "calls-over-ms": self.service.span_ms,
+                "stays-for-ms": self.service.linger_ms,
+                "kb-per-key": 20.0,
+                "stop-mode": "drop",
+                "idle-ms": 15000.0,
+                "class-calls": [self.work.calls.get(name, 0.0) > 0 for name in self.grades],
+                "class-skip-worth": [0.6 if each.replayable else 0.0 for each in self.grades.values()],
+                "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"],
+            },
         }
 
 
@@ -143,9 +170,17 @@
 
     async def start(self) -> None:
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "nickelslip.emulator.surround", str(self._spec_file), str(self.out), cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=self._log,
-            preexec_fn=with_its_parent(os.getpid()))
+            sys.executable,
+            "-m",
+            "nickelslip.emulator.surround",
+            str(self._spec_file),
+            str(self.out),
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self._log,
+            preexec_fn=with_its_parent(os.getpid()),
+        )
         ready = self._waiting[0] = asyncio.get_running_loop().create_future()
         self._reader = asyncio.get_running_loop().create_task(self._read())
         async with asyncio.timeout(HOST_S):
@@ -195,8 +230,13 @@
 class Fleet:
     """One run: servers, surroundings, faults and history."""
 
-    def __init__(self, plan: Plan, folder: Path | None = None, argv: Callable[[str], Sequence[str]] | None = None,
-                 cwd: Path = ROOT) -> None:
+    def __init__(
+        self,
+        plan: Plan,
+        folder: Path | None = None,
+        argv: Callable[[str], Sequence[str]] | None = None,
+        cwd: Path = ROOT,
+    ) -> None:
         self.plan, self.names, self.history = plan, plan.names, History()
         self._own_folder = tempfile.TemporaryDirectory(prefix="fleet") if folder is None else None
         self.folder = Path(self._own_folder.name) if self._own_folder is not None else folder or Path()
@@ -230,8 +270,19 @@
             if not plan.relayed:
                 at |= {port: block.shared(port) for port in (RECORDS, DIRECTORY)}
             servers[name] = Places(*(at[port] for port in (LISTEN, POOL, RECORDS, DIRECTORY)))
-        self.spec = Spec(servers, plan.grades, plan.work, plan.machine, plan.service, plan.habits, plan.balancers,
-                         plan.rate, seed=plan.seed, relayed=plan.relayed, read_list=plan.read_list)
+        self.spec = Spec(
+            servers,
+            plan.grades,
+            plan.work,
+            plan.machine,
+            plan.service,
+            plan.habits,
+            plan.balancers,
+            plan.rate,
+            seed=plan.seed,
+            relayed=plan.relayed,
+            read_list=plan.read_list,
+        )
         settings = plan.settings()
         for name, places in servers.items():
             self.configure(name, settings, places)
@@ -241,7 +292,7 @@
             return
         self._hosts = [Host(self.folder, 0, self.spec, [], True)]
         for number in range(1, plan.hosts + 1):
-            part = self.names[number - 1::plan.hosts]
+            part = self.names[number - 1 :: plan.hosts]
             self._hosts.append(Host(self.folder, number, self.spec, part, False))
             self._of.update(dict.fromkeys(part, self._hosts[-1]))
         for host in self._hosts:
@@ -250,12 +301,24 @@
 
     def configure(self, name: str, settings: dict[str, Any], places: Places) -> None:
         """Write this server's configuration, whole or not at all."""
-        texts = {what: f"{host}:{port}" for what, (host, port) in (
-            ("listen", places.listen), ("pool", places.pool), ("records", places.records),
-            ("lookup", places.directory))}
+        texts = {
+            what: f"{host}:{port}"
+            for what, (host, port) in (
+                ("listen", places.listen),
+                ("pool", places.pool),
+                ("records", places.records),
+                ("lookup", places.directory),
+            )
+        }
         seed = f"{random.Random(f'{self.plan.seed} {name}').getrandbits(64):016x}"
-        config = {"name": name, **texts, "seed": seed, "stop_ms": self.plan.stop_ms, "settings": settings,
-                  "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": 256}}
+        config = {
+            "name": name,
+            **texts,
+            "seed": seed,
+            "stop_ms": self.plan.stop_ms,
+            "settings": settings,
+            "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": 256},
+        }
         file = self.config(name)
         file.with_suffix(".new").write_text(json.dumps(config))
         file.with_suffix(".new").rename(file)
@@ -317,8 +380,11 @@
         await self.do("came_up", name, up_ms=up_ms)
         self.history.add(Kind.STARTED, name)
         process = self.processes[name] = Process(
-            self._argv(str(self.config(name))), self.folder / f"{name}.log",
-            lambda code: self._ended(name, process, code), self._cwd)
+            self._argv(str(self.config(name))),
+            self.folder / f"{name}.log",
+            lambda code: self._ended(name, process, code),
+            self._cwd,
+        )
         self.pids.append(process.pid)
 
     def _ended(self, name: str, process: Process, code: int) -> None:
@@ -413,7 +479,8 @@
         """Whether these are listed and have their worker pools; of surroundings in this process."""
         assert self.here is not None and self.here.directory is not None
         return set(names) <= set(self.here.directory.listed()) and all(
-            name in self.here.pools and self.here.pools[name].linked for name in names)
+            name in self.here.pools and self.here.pools[name].linked for name in names
+        )
 
     async def up(self, *names: str, wait_s: float = 15.0) -> None:
         """Wait until these, or all, serve."""
--- a/nickelslip/emulator/history.py
+++ b/nickelslip/emulator/history.py
@@ -88,8 +88,10 @@
     @staticmethod
     def load(path: Path) -> History:
         with path.open() as file:
-            return History(Event(at, Kind[kind], server, ident, detail)
-                           for at, kind, server, ident, detail in map(json.loads, file))
+            return History(
+                Event(at, Kind[kind], server, ident, detail)
+                for at, kind, server, ident, detail in map(json.loads, file)
+            )
 
     @staticmethod
     def joined(parts: Iterable[History]) -> History:
--- a/nickelslip/emulator/parties.py
+++ b/nickelslip/emulator/parties.py
@@ -82,8 +82,16 @@
     """One life of one server's worker pool: a listener, its links, its runs. `up_ms` after its beginning it is up;
     until then links are accepted and nothing is said on them."""
 
-    def __init__(self, server: str, kind: MachineKind, work: Work, seed: int, history: History,
-                 up_ms: float = 0.0, on_fall: Callable[[str], None] = lambda server: None) -> None:
+    def __init__(
+        self,
+        server: str,
+        kind: MachineKind,
+        work: Work,
+        seed: int,
+        history: History,
+        up_ms: float = 0.0,
+        on_fall: Callable[[str], None] = lambda server: None,
+    ) -> None:
         self.server, self._kind, self._work, self._seed, self._history = server, kind, work, seed, history
         self._on_fall = on_fall
         self._machine = Machine(kind, history.clock() + up_ms)
@@ -229,8 +237,13 @@
 
     def _finish(self, run: Run, end: str) -> None:
         del self._runs[run.ident]
-        self._tell(op="finished", id=run.ident, end=end, ms=self._history.clock() - run.began,
-                   body=b64encode(turned_round(run.body)).decode() if end == "fine" else "")
+        self._tell(
+            op="finished",
+            id=run.ident,
+            end=end,
+            ms=self._history.clock() - run.began,
+            body=b64encode(turned_round(run.body)).decode() if end == "fine" else "",
+        )
 
     def _tell(self, **line: object) -> None:
         self._seq += 1
--- a/nickelslip/emulator/processes.py
+++ b/nickelslip/emulator/processes.py
@@ -42,11 +42,24 @@
 class Process:
     """One process, from its start to its end."""
 
-    def __init__(self, argv: Sequence[str], log: Path, on_end: Callable[[int], None], cwd: Path | None = None,
-                 environment: dict[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        argv: Sequence[str],
+        log: Path,
+        on_end: Callable[[int], None],
+        cwd: Path | None = None,
+        environment: dict[str, str] | None = None,
+    ) -> None:
         with log.open("ab") as out:
-            self._popen = subprocess.Popen(list(argv), stdin=subprocess.DEVNULL, stdout=out, stderr=out, cwd=cwd,
-                                           env=environment, preexec_fn=with_its_parent(os.getpid()))
+            self._popen = subprocess.Popen(
+                list(argv),
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                cwd=cwd,
+                env=environment,
+                preexec_fn=with_its_parent(os.getpid()),
+            )
         self._on_end, self._over = on_end, asyncio.Event()
         self._fd = os.pidfd_open(self.pid)
         asyncio.get_running_loop().add_reader(self._fd, self._ended)
--- a/nickelslip/emulator/schedule.py
+++ b/nickelslip/emulator/schedule.py
@@ -43,8 +43,12 @@
     "reload": {},
     "loop": {"times": Word("number", 1, needed=True), "every_ms": Word("number", 1, needed=True)},
     "cut": {"link": Word("choice", choices=LINKS), "ways": Word("ways"), "for_ms": FOR},
-    "link": {"link": Word("choice", choices=LINKS), "ways": Word("ways"), "faults": Word("faults", needed=True),
-             "for_ms": FOR},
+    "link": {
+        "link": Word("choice", choices=LINKS),
+        "ways": Word("ways"),
+        "faults": Word("faults", needed=True),
+        "for_ms": FOR,
+    },
     "reset": {"link": Word("choice", choices=LINKS)},
     "directory_down": {"for_ms": FOR, "empty": Word("flag")},
     "records_down": {"for_ms": FOR},
@@ -53,8 +57,18 @@
     "ask": {"rate": Word("number", needed=True)},
 }
 OF_SERVERS = ("kill", "leave", "replace", "start", "stand_still", "reload", "loop", "cut", "link", "reset")
-DRAWN = ("kill", "replace", "stand_still", "cut", "link", "reset", "directory_down", "records_down", "records_slow",
-         "restart_balancers")
+DRAWN = (
+    "kill",
+    "replace",
+    "stand_still",
+    "cut",
+    "link",
+    "reset",
+    "directory_down",
+    "records_down",
+    "records_slow",
+    "restart_balancers",
+)
 
 
 @dataclass(frozen=True)
@@ -112,15 +126,20 @@
 
 
 def _number(value: Any, place: str, least: float, faults: list[str]) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) \
-            or not least <= value <= MOST_MS:
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int | float)
+        or not math.isfinite(value)
+        or not least <= value <= MOST_MS
+    ):
         faults.append(f"{place}: a number from {least:g} to {MOST_MS:g} is needed")
         return least
     return float(value)
 
 
-def _servers(value: Any, place: str, names: Sequence[str], zones: int, chance: random.Random,
-             faults: list[str]) -> tuple[str, ...]:
+def _servers(
+    value: Any, place: str, names: Sequence[str], zones: int, chance: random.Random, faults: list[str]
+) -> tuple[str, ...]:
     if isinstance(value, list) and value and all(each in names for each in value):
         return tuple(value)
     if isinstance(value, dict) and list(value) == ["part"]:
@@ -167,10 +186,14 @@
         if do == "kill":
             values["back_after_ms"] = min(most, chance.uniform(100, 2000))
         elif do == "link":
-            values["faults"] = chance.choice((
-                {"delay_ms": chance.uniform(5, 50), "jitter_ms": chance.uniform(0, 50)},
-                {"lost": chance.uniform(0.1, 0.5)}, {"doubled": chance.uniform(0.1, 0.5)},
-                {"bytes_per_s": chance.uniform(20_000, 200_000)}))
+            values["faults"] = chance.choice(
+                (
+                    {"delay_ms": chance.uniform(5, 50), "jitter_ms": chance.uniform(0, 50)},
+                    {"lost": chance.uniform(0.1, 0.5)},
+                    {"doubled": chance.uniform(0.1, 0.5)},
+                    {"bytes_per_s": chance.uniform(20_000, 200_000)},
+                )
+            )
             values["link"] = chance.choice(LINKS)
         elif do == "cut":
             values["link"] = chance.choice(LINKS)
@@ -185,8 +208,11 @@
             values["part"] = chance.uniform(0.3, 1.0)
         servers: tuple[str, ...] = ()
         if do in OF_SERVERS:
-            servers = (zone_of(names, zones, chance.randrange(zones)) if chance.random() < 0.3 and len(names) >= zones
-                       else part_of(names, chance.uniform(0.1, 0.6), chance))
+            servers = (
+                zone_of(names, zones, chance.randrange(zones))
+                if chance.random() < 0.3 and len(names) >= zones
+                else part_of(names, chance.uniform(0.1, 0.6), chance)
+            )
         steps.append(Step(at, do, servers, values))
         at += chance.expovariate(1 / every_ms)
     return steps
--- a/nickelslip/emulator/surround.py
+++ b/nickelslip/emulator/surround.py
@@ -63,12 +63,21 @@
 
     @staticmethod
     def load(value: dict[str, Any]) -> Spec:
-        servers = {name: Places(*(tuple(each[at]) for at in ("listen", "pool", "records", "directory")))
-                   for name, each in value["servers"].items()}
-        return Spec(**{**value, "servers": servers,
-                       "grades": {name: GradeTraffic(**each) for name, each in value["grades"].items()},
-                       "work": Work(**value["work"]), "machine": MachineKind(**value["machine"]),
-                       "service": ServiceKind(**value["service"]), "habits": Habits(**value["habits"])})
+        servers = {
+            name: Places(*(tuple(each[at]) for at in ("listen", "pool", "records", "directory")))
+            for name, each in value["servers"].items()
+        }
+        return Spec(
+            **{
+                **value,
+                "servers": servers,
+                "grades": {name: GradeTraffic(**each) for name, each in value["grades"].items()},
+                "work": Work(**value["work"]),
+                "machine": MachineKind(**value["machine"]),
+                "service": ServiceKind(**value["service"]),
+                "habits": Habits(**value["habits"]),
+            }
+        )
 
 
 def behind(address: Address, relayed: bool) -> Address:
@@ -79,8 +88,9 @@
 class Surround:
     """Parties and relays of a part: the worker pools of some servers, or all that is shared, or both."""
 
-    def __init__(self, spec: Spec, pools: list[str], shared: bool, history: History,
-                 on_fall: Callable[[str], None]) -> None:
+    def __init__(
+        self, spec: Spec, pools: list[str], shared: bool, history: History, on_fall: Callable[[str], None]
+    ) -> None:
         self.spec, self.history, self._names, self._shared, self._on_fall = spec, history, pools, shared, on_fall
         self.pools: dict[str, Pool] = {}
         self.relays: dict[str, dict[str, Relay]] = {name: {} for name in spec.servers}
@@ -110,8 +120,9 @@
                 await self._relay(name, "records", places.records, Way.OUT)
                 await self._relay(name, "directory", places.directory, Way.OUT)
                 asks_at[name] = behind(places.listen, True)
-                relay = self.relays[name]["balancers"] = Relay("balancers", name, places.listen, Way.IN, spec.seed,
-                                                               self.history)
+                relay = self.relays[name]["balancers"] = Relay(
+                    "balancers", name, places.listen, Way.IN, spec.seed, self.history
+                )
                 await relay.listen(asks_at[name])
             else:
                 asks_at[name] = places.listen
@@ -120,15 +131,19 @@
         for address in {behind(each.directory, spec.relayed) for each in spec.servers.values()}:
             await self.directory.hear(address)
         traffic = Traffic(spec.rate / max(1, spec.balancers), spec.grades)
-        self.balancers = [Balancer(number, asks_at, self.directory.listed, traffic, spec.habits, spec.seed,
-                                   self.history) for number in range(1, spec.balancers + 1)]
+        self.balancers = [
+            Balancer(number, asks_at, self.directory.listed, traffic, spec.habits, spec.seed, self.history)
+            for number in range(1, spec.balancers + 1)
+        ]
         if spec.read_list:
             self._tasks.append(asyncio.get_running_loop().create_task(self._read_list()))
 
-    async def _relay(self, server: str, what: str, address: Address, towards: Way,
-                     target: Address | None = None) -> None:
-        relay = self.relays[server][what] = Relay(what, server, target or behind(address, True), towards,
-                                                  self.spec.seed, self.history)
+    async def _relay(
+        self, server: str, what: str, address: Address, towards: Way, target: Address | None = None
+    ) -> None:
+        relay = self.relays[server][what] = Relay(
+            what, server, target or behind(address, True), towards, self.spec.seed, self.history
+        )
         await (relay.hear if what == "directory" else relay.listen)(address)
 
     async def move(self, server: str) -> list[Address]:
@@ -161,8 +176,9 @@
     async def pool(self, server: str, up_ms: float = 0.0) -> None:
         """A new life of this server's worker pool, which knows nothing; the one before is gone."""
         self.end_pool(server, "replaced")
-        pool = self.pools[server] = Pool(server, self.spec.machine, self.spec.work, self.spec.seed, self.history,
-                                         up_ms, self._on_fall)
+        pool = self.pools[server] = Pool(
+            server, self.spec.machine, self.spec.work, self.spec.seed, self.history, up_ms, self._on_fall
+        )
         self._listeners[server].append(await pool.listen(behind(self.spec.servers[server].pool, self.spec.relayed)))
 
     def end_pool(self, server: str, why: str) -> None:
@@ -218,16 +234,27 @@
                 each.begin()
 
     def restart_balancers(self, part: float = 1.0) -> None:
-        for each in self.balancers[:round(part * len(self.balancers))]:
+        for each in self.balancers[: round(part * len(self.balancers))]:
             each.restart()
 
     def figures(self) -> dict[str, Any]:
         """What only the parties themselves can tell."""
         records = self.records.service if self.records is not None else None
-        return {"lag_ms": max((each.lag_ms for each in self.balancers), default=0.0),
-                "machines_worst": max([self._worst, *(each.worst for each in self.pools.values())]),
-                **({"records_falls": records.falls, "records_over_ms": records.over_ms, "records_most": records.most,
-                    "records_calls": records.calls, "records_worst": records.worst} if records is not None else {})}
+        return {
+            "lag_ms": max((each.lag_ms for each in self.balancers), default=0.0),
+            "machines_worst": max([self._worst, *(each.worst for each in self.pools.values())]),
+            **(
+                {
+                    "records_falls": records.falls,
+                    "records_over_ms": records.over_ms,
+                    "records_most": records.most,
+                    "records_calls": records.calls,
+                    "records_worst": records.worst,
+                }
+                if records is not None
+                else {}
+            ),
+        }
 
     async def do(self, what: str, **values: Any) -> Any:
         """One command by its name."""
@@ -251,8 +278,22 @@
             self.records.close()
 
 
-COMMANDS = ("pool", "end_pool", "came_up", "set_link", "reset_links", "directory_down", "directory_up",
-            "directory_loses", "records_down", "records_slow", "move", "ask", "restart_balancers", "figures")
+COMMANDS = (
+    "pool",
+    "end_pool",
+    "came_up",
+    "set_link",
+    "reset_links",
+    "directory_down",
+    "directory_up",
+    "directory_loses",
+    "records_down",
+    "records_slow",
+    "move",
+    "ask",
+    "restart_balancers",
+    "figures",
+)
 
 
 async def _host(spec: Spec, pools: list[str], shared: bool, out: Path) -> None:
--- a/nickelslip/server/balancers.py
+++ b/nickelslip/server/balancers.py
@@ -34,8 +34,18 @@
 SILENT_CANDIDATES = 8  # the oldest silent connections, among which one with nothing to be read makes room
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 NEWCOMER_FAILED = (  # errors that an accept passes on from the one connection it would have returned
-    errno.ECONNABORTED, errno.EPROTO, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENETDOWN,
-    errno.ENETUNREACH, errno.ENONET, errno.EOPNOTSUPP, errno.EPERM, errno.ETIMEDOUT)
+    errno.ECONNABORTED,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.EHOSTUNREACH,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.ENONET,
+    errno.EOPNOTSUPP,
+    errno.EPERM,
+    errno.ETIMEDOUT,
+)
 SO_ATTACH_FILTER = 26  # of Linux; the socket module has no name for it
 BPF_RETURN = 0x06  # the instruction of a packet filter that ends it with the number of bytes to keep
 
@@ -228,8 +238,7 @@
         self._ending_counts[ended.ending] += 1
         count = self._ending_counts[ended.ending]
         if _is_power_of_two(count):
-            self.host.log.info("balancer connection ended", ending=ended.ending.name, detail=ended.detail,
-                               so_far=count)
+            self.host.log.info("balancer connection ended", ending=ended.ending.name, detail=ended.detail, so_far=count)
 
     # Ending connections
 
--- a/nickelslip/server/changing.py
+++ b/nickelslip/server/changing.py
@@ -50,8 +50,7 @@
     raise Faulty(checker.faults)
 
 
-def begin(config: Config, store: Store | None, now: float,
-          log: Any) -> tuple[Config, Document, Start, list[Record]]:
+def begin(config: Config, store: Store | None, now: float, log: Any) -> tuple[Config, Document, Start, list[Record]]:
     """With what this server starts: its files' configuration, or the last one confirmed over those same files; and
     what the files say. What the history holds is checked like any document, and passed over where it does not do any
     more."""
@@ -80,8 +79,15 @@
 class Changing:
     """The changes of one node."""
 
-    def __init__(self, node: Node, file: Document, start: Start, records: list[Record], read: Callable[[], Config],
-                 store: Store | None) -> None:
+    def __init__(
+        self,
+        node: Node,
+        file: Document,
+        start: Start,
+        records: list[Record],
+        read: Callable[[], Config],
+        store: Store | None,
+    ) -> None:
         self._node, self._read_again, self._store = node, read, store
         config = node.generation.config
         node.generation = Generation(start.number, config, start.origin, node.clock())
@@ -98,9 +104,14 @@
         self._reloads = 0
 
     def _tell(self, change: Change) -> None:
-        self._node.log.info("configuration change", number=change.number, step=change.step.name, why=change.reason,
-                            origin=change.origin[:SHOWN_MOST],
-                            generation=change.generation.number if change.generation else None)
+        self._node.log.info(
+            "configuration change",
+            number=change.number,
+            step=change.step.name,
+            why=change.reason,
+            origin=change.origin[:SHOWN_MOST],
+            generation=change.generation.number if change.generation else None,
+        )
 
     # Watching
 
@@ -145,8 +156,11 @@
         if step is Step.ROLLED_BACK:
             await self._undo(self.verdict.reason)
         elif step is Step.CONFIRMED:
-            reason = self.verdict.reason if self.verdict.standing is Standing.NO_HARM else \
-                f"nothing speaks against it: {self.verdict.reason}"
+            reason = (
+                self.verdict.reason
+                if self.verdict.standing is Standing.NO_HARM
+                else f"nothing speaks against it: {self.verdict.reason}"
+            )
             record = self.changes.confirm(now, reason)
             self._settled()
             await self._write_or_keep(record)
@@ -196,8 +210,7 @@
             try:
                 await self._write(self._unwritten[0])
             except OSError as error:
-                self._node.log.error("the history cannot be written", fault=error.strerror,
-                                     behind=len(self._unwritten))
+                self._node.log.error("the history cannot be written", fault=error.strerror, behind=len(self._unwritten))
                 return
             del self._unwritten[0]
 
@@ -227,12 +240,17 @@
             peers, _ = moved(self._node.generation.config, config)
             if peers != self._node.generation.config:
                 generation, record = self.changes.moved(
-                    self._node.clock(), peers, {**self.changes.in_force.document, "peers": document["peers"]},
-                    "SIGHUP")
+                    self._node.clock(), peers, {**self.changes.in_force.document, "peers": document["peers"]}, "SIGHUP"
+                )
                 self._adopt(generation)
                 await self._write_or_keep(record)
-            self._node.log.info("configuration taken", pool=config.pool, records=config.records,
-                                directory=config.directory, rest=[".".join(each.path) for each in rest[:20]])
+            self._node.log.info(
+                "configuration taken",
+                pool=config.pool,
+                records=config.records,
+                directory=config.directory,
+                rest=[".".join(each.path) for each in rest[:20]],
+            )
             if rest and self.changes.rules.reload_all:
                 base = self.changes.base
                 self.changes.base = digest_of(document)
@@ -248,9 +266,16 @@
     async def command(self, request: dict[str, Any]) -> dict[str, Any]:
         """Carry out one command; the result. Raises Denied or Faulty."""
         commands: dict[str, Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]] = {
-            "status": self._status, "check": self._check, "diff": self._check, "stage": self._stage,
-            "apply": self._apply, "confirm": self._confirm, "rollback": self._rollback, "drop": self._drop,
-            "history": self._history}
+            "status": self._status,
+            "check": self._check,
+            "diff": self._check,
+            "stage": self._stage,
+            "apply": self._apply,
+            "confirm": self._confirm,
+            "rollback": self._rollback,
+            "drop": self._drop,
+            "history": self._history,
+        }
         do = commands.get(request["do"])
         if do is None:
             raise Denied(Denial.NONE, f"no command {request['do'][:40]!r}")
@@ -294,9 +319,13 @@
         """A dry run: what would change, and when it would act. Nothing is drafted."""
         whole, warnings = self._document(request)
         plan = plan_of(self.changes.in_force.document, whole)
-        return {"plan": plan.as_dict(), "lines": [str(each) for each in plan.differences],
-                "warnings": [each.as_dict() for each in warnings], "digest": digest_of(whole),
-                "against": self.changes.in_force.generation.number}
+        return {
+            "plan": plan.as_dict(),
+            "lines": [str(each) for each in plan.differences],
+            "warnings": [each.as_dict() for each in warnings],
+            "digest": digest_of(whole),
+            "against": self.changes.in_force.generation.number,
+        }
 
     async def _stage(self, request: dict[str, Any]) -> dict[str, Any]:
         change, warnings = self._drafted(request)
@@ -358,8 +387,9 @@
         was = node.generation.quoted_ms
         self._adopt(generation)
         # an answer within either quoted time is one in time: what is asked is whether the node does worse
-        self.meter.count_as_in_time({name: max(was.get(name, 0.0), quoted)
-                                     for name, quoted in {**was, **generation.quoted_ms}.items()})
+        self.meter.count_as_in_time(
+            {name: max(was.get(name, 0.0), quoted) for name, quoted in {**was, **generation.quoted_ms}.items()}
+        )
         confirmed = changes.applied(node.clock())
         self.verdict = None
         if confirmed is None:
@@ -391,20 +421,40 @@
             return {"change": current.as_dict()}
         held = self.changes.earlier(asked)
         document = {**held.document, "peers": self.changes.in_force.document["peers"]}
-        change = await self._push(config_from(document), document,
-                                  f"back to generation {held.generation.number}", True)
+        change = await self._push(config_from(document), document, f"back to generation {held.generation.number}", True)
         return {"change": change.as_dict()}
 
     async def _status(self, request: dict[str, Any]) -> dict[str, Any]:
         node = self._node
-        verdict = None if self.verdict is None else {
-            "standing": self.verdict.standing.name.lower(), "reason": self.verdict.reason, **self.verdict.figures}
-        return {"name": node.generation.config.name, "phase": node.phase.name.lower(), "healthy": node.healthy,
-                "in_hand": len(node.transactions), "verdict": verdict, "apply_us": self.apply_us[-8:],
-                "history_behind": len(self._unwritten), **self.changes.status(node.clock())}
+        verdict = (
+            None
+            if self.verdict is None
+            else {"standing": self.verdict.standing.name.lower(), "reason": self.verdict.reason, **self.verdict.figures}
+        )
+        return {
+            "name": node.generation.config.name,
+            "phase": node.phase.name.lower(),
+            "healthy": node.healthy,
+            "in_hand": len(node.transactions),
+            "verdict": verdict,
+            "apply_us": self.apply_us[-8:],
+            "history_behind": len(self._unwritten),
+            **self.changes.status(node.clock()),
+        }
 
     async def _history(self, request: dict[str, Any]) -> dict[str, Any]:
         records = list(self.changes.records)[-HISTORY_SHOWN:]
-        return {"records": [{"at": each.at, "event": each.event.value, "generation": each.generation,
-                             "digest": each.digest, "origin": each.origin, "since_ms": each.since_ms,
-                             "reason": each.reason} for each in records]}
+        return {
+            "records": [
+                {
+                    "at": each.at,
+                    "event": each.event.value,
+                    "generation": each.generation,
+                    "digest": each.digest,
+                    "origin": each.origin,
+                    "since_ms": each.since_ms,
+                    "reason": each.reason,
+                }
+                for each in records
+            ]
+        }
--- a/nickelslip/server/cli.py
+++ b/nickelslip/server/cli.py
@@ -25,20 +25,32 @@
         """One of them."""
         if name == "config":
             from nickelslip.configuration.commands import config
+
             return config
         if name == "turns":
             from nickelslip.coming_up.commands import turns
+
             return turns
         return super().get_command(ctx, name)
 
 
-CONFIG = click.option("--config", "paths", envvar="ROUTER_CONFIG", required=True, metavar="FILE", multiple=True,
-                      help="The server's configuration, as JSON or JSON5; given again, a layer over the one before. "
-                           "ROUTER_CONFIG names it, too.")
+CONFIG = click.option(
+    "--config",
+    "paths",
+    envvar="ROUTER_CONFIG",
+    required=True,
+    metavar="FILE",
+    multiple=True,
+    help="The server's configuration, as JSON or JSON5; given again, a layer over the one before. "
+    "ROUTER_CONFIG names it, too.",
+)
 
 
-@click.group(cls=Program, help="Admission and scheduling for the servers behind other people's balancers.",
-             epilog="Exit codes: 0 done, 1 failed while serving, 2 a fault in the arguments or the configuration.")
+@click.group(
+    cls=Program,
+    help="Admission and scheduling for the servers behind other people's balancers.",
+    epilog="Exit codes: 0 done, 1 failed while serving, 2 a fault in the arguments or the configuration.",
+)
 def main() -> None:
     """The program."""
 
@@ -48,6 +60,7 @@
 def serve(paths: tuple[str, ...]) -> None:
     """One server."""
     from nickelslip.server import program
+
     program.serve(paths)
 
 
@@ -57,10 +70,13 @@
     """A configuration without a server."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGTERM})
     from nickelslip.server import program
+
     config = program.loaded(paths)
     settings = config.settings
-    click.echo(f"{config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
-               f"{settings.cores} cores, {settings.memory_kb:g} kB; in order")
+    click.echo(
+        f"{config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
+        f"{settings.cores} cores, {settings.memory_kb:g} kB; in order"
+    )
 
 
 @main.command(help="Print the version.")
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -55,8 +55,9 @@
 class ControlSocket:
     """The door of one server."""
 
-    def __init__(self, around: Surroundings, path: str, mode: int,
-                 command: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]) -> None:
+    def __init__(
+        self, around: Surroundings, path: str, mode: int, command: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
+    ) -> None:
         self._around, self._path, self._mode, self._command = around, path, mode, command
         self.open = 0
 
@@ -121,7 +122,7 @@
             if stream.data is None:
                 continue
             was_half = frames.half
-            messages = frames.feed(bytes(stream.data[stream.start:stream.end]))
+            messages = frames.feed(bytes(stream.data[stream.start : stream.end]))
             stream.take(stream.end)
             if messages or not was_half:
                 began = time.monotonic()
@@ -137,5 +138,10 @@
         except Denied as refusal:
             return denied(request, refusal.denial.name.lower(), str(refusal))
         except Faulty as faulty:
-            return denied(request, "faulty", str(faulty), faults=[each.as_dict() for each in faulty.faults],
-                          left_out=faulty.left_out)
+            return denied(
+                request,
+                "faulty",
+                str(faulty),
+                faults=[each.as_dict() for each in faulty.faults],
+                left_out=faulty.left_out,
+            )
--- a/nickelslip/server/endings.py
+++ b/nickelslip/server/endings.py
@@ -42,7 +42,10 @@
 
 RUN_ENDS = {"fine": Outcome.OK, "fault": Outcome.ERROR, "broken_off": Outcome.CANCELLED, "late": Outcome.MOOT}
 CALL_ENDS = {
-    b"DONE": Outcome.OK, b"WAIT": Outcome.FULL, b"ERROR": Outcome.ERROR, b"PAST": Outcome.TIMEOUT,
+    b"DONE": Outcome.OK,
+    b"WAIT": Outcome.FULL,
+    b"ERROR": Outcome.ERROR,
+    b"PAST": Outcome.TIMEOUT,
     b"EMPTY": Outcome.MOOT,
 }
 CALL_GIVEN_UP = Outcome.TIMEOUT
--- a/nickelslip/server/messages.py
+++ b/nickelslip/server/messages.py
@@ -74,8 +74,9 @@
     return value
 
 
-def asked_from(parts: list[bytes], repeats: Mapping[str, Repeat], customers: frozenset[str], now: float,
-               longest_wait_ms: float) -> Asked:
+def asked_from(
+    parts: list[bytes], repeats: Mapping[str, Repeat], customers: frozenset[str], now: float, longest_wait_ms: float
+) -> Asked:
     """The transaction in an ASK behind its tag: grade, fields and body.
 
     Raises BadField. Where several fields are wrong, the order of the steps decides which one is named: the arrival
@@ -94,8 +95,18 @@
     key = _key(fields, repeats[head.grade])
     limits = _time_limits(fields)
     return Asked(
-        ident=identity.ident, grade=head.grade, body=head.body, reached=reached, kb=kb, customer=identity.customer,
-        wait_ms=limits.wait_ms, cost_hint_ms=limits.cost_hint_ms, again=again, caller=caller, key=key)
+        ident=identity.ident,
+        grade=head.grade,
+        body=head.body,
+        reached=reached,
+        kb=kb,
+        customer=identity.customer,
+        wait_ms=limits.wait_ms,
+        cost_hint_ms=limits.cost_hint_ms,
+        again=again,
+        caller=caller,
+        key=key,
+    )
 
 
 def _head(parts: list[bytes]) -> Head:
@@ -120,8 +131,9 @@
     return fields
 
 
-def _identity(head: Head, fields: Mapping[str, str], repeats: Mapping[str, Repeat],
-              customers: frozenset[str]) -> Identity:
+def _identity(
+    head: Head, fields: Mapping[str, str], repeats: Mapping[str, Repeat], customers: frozenset[str]
+) -> Identity:
     """Its identifier and its customer; the grade must be known, and the body within its size."""
     ident = fields.get("req", "")
     if len(ident) != IDENT_DIGITS or not HEX_DIGITS.issuperset(ident):
--- a/nickelslip/server/node.py
+++ b/nickelslip/server/node.py
@@ -81,8 +81,9 @@
         self._origin = time.time() * 1000 - time.monotonic() * 1000
         self.phase = Phase.WAITING
         settings = config.settings
-        self.coming_up = Start(config.name, config.seed, self.clock(), part_of_calls(settings), settings.cold,
-                               settings.cold_ms)
+        self.coming_up = Start(
+            config.name, config.seed, self.clock(), part_of_calls(settings), settings.cold, settings.cold_ms
+        )
         self._calls_most = inf  # that the module was told last
         self._step, self._steps = Step.STARTED, Counter[Step]()
         self.said: float | None = None
@@ -115,8 +116,14 @@
     async def run(self) -> bool:
         """Serve until told to leave; whether all was seen to its end."""
         async with anyio.create_task_group() as self.tasks:
-            for part in (self._notices, self.workers.run, self.directory.run, self._timer,
-                         *self.parts, *(front.serve for front in self.fronts)):
+            for part in (
+                self._notices,
+                self.workers.run,
+                self.directory.run,
+                self._timer,
+                *self.parts,
+                *(front.serve for front in self.fronts),
+            ):
                 self.tasks.start_soon(self.guard, part)
             await self._leave_when_due()
             self.tasks.cancel_scope.cancel()
@@ -146,8 +153,13 @@
         except Malformed as fault:
             self.log.error("configuration not taken", fault=str(fault))
             return
-        self.log.info("configuration taken", pool=config.pool, records=config.records, directory=config.directory,
-                      needs_restart=rest)
+        self.log.info(
+            "configuration taken",
+            pool=config.pool,
+            records=config.records,
+            directory=config.directory,
+            needs_restart=rest,
+        )
         self.generation = Generation(self.generation.number + 1, config, "SIGHUP", self.clock())
         self._move_links()
 
@@ -250,7 +262,8 @@
             for front in self.fronts:  # what comes from here on is not run, and does better elsewhere at once
                 front.shut_door()
         while self.phase is Phase.DRAINING and any(
-                not one.answered and not one.gone for one in self.transactions.values()):
+            not one.answered and not one.gone for one in self.transactions.values()
+        ):
             await self._change()
         self._enter(Phase.LEAVING)
         left = min(self._kill - self.clock(), self.generation.config.stop_ms)
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -41,7 +41,7 @@
         """Write one line."""
         if self._lost:
             text = f'{text[:-1]},"lines_lost":{self._lost}}}'
-        data = text.encode("utf-8", "replace")[:LINE_MOST - 1] + b"\n"
+        data = text.encode("utf-8", "replace")[: LINE_MOST - 1] + b"\n"
         try:
             if select.select([], [self._descriptor], [], 0)[1]:
                 os.write(self._descriptor, data)
@@ -57,16 +57,24 @@
 def _shorten(_logger: Any, _name: str, line: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """Keep the end of a traceback, which names the cause, within what one line holds."""
     if "exception" in line:
-        line["exception"] = str(line["exception"])[-LINE_MOST // 2:]
+        line["exception"] = str(line["exception"])[-LINE_MOST // 2 :]
     return line
 
 
 def set_up_logging(descriptor: int) -> None:
     lines = Lines(descriptor)
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, _shorten, structlog.processors.JSONRenderer()],
-        logger_factory=lambda *_: lines, wrapper_class=structlog.BoundLogger, cache_logger_on_first_use=True)
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            _shorten,
+            structlog.processors.JSONRenderer(),
+        ],
+        logger_factory=lambda *_: lines,
+        wrapper_class=structlog.BoundLogger,
+        cache_logger_on_first_use=True,
+    )
 
 
 def say(text: str) -> None:
@@ -91,6 +99,7 @@
     lasting = None
     if config.starts:
         from nickelslip.server.lasting import Lasting
+
         lasting = Lasting(config.starts, config.seed, structlog.get_logger())
         if not lasting.wait():
             sys.exit(0)
@@ -105,8 +114,7 @@
         node.parts.append(lasting.run)
     gc.freeze()  # what the start made stays, and is never looked through: a look would cost a tenth of the start
     gc.enable()
-    node.log.info("serving", version=nickelslip.__version__, name=config.name,
-                  listen=":".join(map(str, config.listen)))
+    node.log.info("serving", version=nickelslip.__version__, name=config.name, listen=":".join(map(str, config.listen)))
     in_order = anyio.run(node.run, backend_options={"use_uvloop": True})
     if in_order and lasting is not None:
         lasting.well()
@@ -118,12 +126,14 @@
     if not config.changes.on:
         return Node(config, read)
     from importlib.util import find_spec
+
     if find_spec("xxhash") is None:  # an extra, which the platform does without
         say("changes: pip install nickelslip[settings] is needed")
         sys.exit(BAD_CONFIGURATION)
     from nickelslip.configuration.store import Store
     from nickelslip.server.changing import Changing, begin
     from nickelslip.server.control_socket import ControlSocket
+
     rules = config.changes
     try:
         store = Store(rules.history, rules.history_kb) if rules.history else None
--- a/nickelslip/server/records.py
+++ b/nickelslip/server/records.py
@@ -61,8 +61,9 @@
             if self.address is None:
                 raise Ended(Ending.REFUSED, "no address was given")
             with self._dial:
-                self._stream = await connect(self.address, self._around.buffers, self._around.tasks, BACKLOG_MOST,
-                                             HALF_MS)
+                self._stream = await connect(
+                    self.address, self._around.buffers, self._around.tasks, BACKLOG_MOST, HALF_MS
+                )
             if self.one is None or self._stream is None:  # given up in the meantime, and never written
                 raise Ended(Ending.IDLE)
             self._records.reached(None)
@@ -94,9 +95,13 @@
     @property
     def ready(self) -> bool:
         """Whether it may carry another call; one that has stood idle may be dead without showing it."""
-        return (self.state is Line.IDLE and self._stream is not None and self._stream.quiet
-                and self.address == self._around.generation.config.records
-                and self._around.clock() - self.used <= REUSE_MS)
+        return (
+            self.state is Line.IDLE
+            and self._stream is not None
+            and self._stream.quiet
+            and self.address == self._around.generation.config.records
+            and self._around.clock() - self.used <= REUSE_MS
+        )
 
     def end(self, ended: Ended) -> None:
         """The connection has ended, with what that proves of the call on it."""
@@ -127,7 +132,7 @@
                 if stream.end - stream.start >= HEAD_MOST:
                     raise Ended(Ending.GARBLED, "a line without an end")
                 return
-            parts = bytes(stream.data[stream.start:stop]).split(b" ")
+            parts = bytes(stream.data[stream.start : stop]).split(b" ")
             if len(parts) < 2 or parts[1] not in CALL_ENDS or (parts[1] == b"DONE") is not (len(parts) == 3):
                 raise Ended(Ending.GARBLED, repr(b" ".join(parts)))
             upto, body = stop + 2, b""
@@ -137,9 +142,9 @@
                 size = int(parts[2])
                 if stream.end < upto + size + 2:
                     return
-                body = bytes(stream.data[upto:upto + size])
+                body = bytes(stream.data[upto : upto + size])
                 upto += size + 2
-                if stream.data[upto - 2:upto] != b"\r\n":
+                if stream.data[upto - 2 : upto] != b"\r\n":
                     raise Ended(Ending.GARBLED, "a reply that is longer than its length")
             one = self.one
             if one is None or parts[0] != one.asked.ident.encode():
@@ -243,5 +248,6 @@
         """Calls that ended with their connection: the first, and then every power of two of them, makes a line."""
         self._broken += 1
         if not self._broken & (self._broken - 1):
-            self.around.log.warning("call ended with its connection", ending=ended.ending.name, detail=ended.detail,
-                                  so_far=self._broken)
+            self.around.log.warning(
+                "call ended with its connection", ending=ended.ending.name, detail=ended.detail, so_far=self._broken
+            )
--- a/nickelslip/server/resp.py
+++ b/nickelslip/server/resp.py
@@ -30,7 +30,7 @@
         if end - at >= DIGITS_MOST + 3:
             raise Garbled("a size without an end", parts)
         return None
-    digits = bytes(data[at + 1:stop])
+    digits = bytes(data[at + 1 : stop])
     if not digits.isdigit() or int(digits) > most:
         raise Garbled(f"not a size, or over {most}", parts)
     return int(digits), stop + 2
@@ -56,9 +56,9 @@
             raise Garbled(f"a message over {BULK_MOST}", parts)
         if end < at + size + 2:
             return None
-        if data[at + size:at + size + 2] != b"\r\n":
+        if data[at + size : at + size + 2] != b"\r\n":
             raise Garbled("a part longer than its size", parts)
-        parts.append(bytes(data[at:at + size]))
+        parts.append(bytes(data[at : at + size]))
         at += size + 2
     return parts, at
 
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -51,8 +51,15 @@
 class Stream:
     """One connected socket. data[start:end] is what was read and not yet taken."""
 
-    def __init__(self, sock: socket.socket, buffers: Buffers, tasks: TaskGroup, stall_ms: float,
-                 backlog_most: int, own: bool = False) -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        buffers: Buffers,
+        tasks: TaskGroup,
+        stall_ms: float,
+        backlog_most: int,
+        own: bool = False,
+    ) -> None:
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -89,12 +96,12 @@
             self.data, self.start, self.end = self._buffers.take(self._own), 0, 0
         elif self.start:
             left = self.end - self.start
-            self.data[:left] = self.data[self.start:self.end]
+            self.data[:left] = self.data[self.start : self.end]
             self.start, self.end = 0, left
         if self.end == SIZE:
             raise Ended(Ending.GARBLED, "a message over the size of a buffer")
         try:
-            count = self._sock.recv_into(memoryview(self.data)[self.end:])
+            count = self._sock.recv_into(memoryview(self.data)[self.end :])
         except (BlockingIOError, InterruptedError):
             if late:
                 raise Ended(late) from None
@@ -173,7 +180,7 @@
                     return
             buffer, held = self._out[-1]
             count = min(len(rest), SIZE - held)
-            buffer[held:held + count] = rest[:count]
+            buffer[held : held + count] = rest[:count]
             self._out[-1] = buffer, held + count
             rest = rest[count:]
 
@@ -186,7 +193,7 @@
                     return
                 buffer, held = self._out[0]
                 try:
-                    self._out_from += self._sock.send(memoryview(buffer)[self._out_from:held])
+                    self._out_from += self._sock.send(memoryview(buffer)[self._out_from : held])
                 except (BlockingIOError, InterruptedError):
                     continue
                 if self._out_from == held:
@@ -246,8 +253,9 @@
             self.data, self.start, self.end = None, 0, 0
 
 
-async def connect(address: tuple[str, int], buffers: Buffers, tasks: TaskGroup, backlog_most: int,
-                  stall_ms: float = inf) -> Stream:
+async def connect(
+    address: tuple[str, int], buffers: Buffers, tasks: TaskGroup, backlog_most: int, stall_ms: float = inf
+) -> Stream:
     """A stream to the address, which may stand still for so long half way through what it reads."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
--- a/nickelslip/server/transactions.py
+++ b/nickelslip/server/transactions.py
@@ -41,10 +41,18 @@
 
     def arrival(self, number: int, now: float, forerunner: int | None) -> Arrival:
         return Arrival(
-            id=number, grade=self.grade, kb=self.kb, customer=self.customer,
-            due_ms=None if self.wait_ms is None else self.reached + self.wait_ms, cost_hint_ms=self.cost_hint_ms,
-            again=self.again, caller=self.caller, unread_ms=max(0.0, now - self.reached), forerunner=forerunner,
-            keyed=self.key is not None)
+            id=number,
+            grade=self.grade,
+            kb=self.kb,
+            customer=self.customer,
+            due_ms=None if self.wait_ms is None else self.reached + self.wait_ms,
+            cost_hint_ms=self.cost_hint_ms,
+            again=self.again,
+            caller=self.caller,
+            unread_ms=max(0.0, now - self.reached),
+            forerunner=forerunner,
+            keyed=self.key is not None,
+        )
 
 
 class Answer(NamedTuple):
--- a/nickelslip/server/workers.py
+++ b/nickelslip/server/workers.py
@@ -243,10 +243,10 @@
                 if stop < 0:
                     if stream.end - stream.start < SIZE:
                         break
-                    head = head or bytes(stream.data[stream.start:stream.end])
+                    head = head or bytes(stream.data[stream.start : stream.end])
                     stream.take(stream.end)
                     continue
-                line, whole = head or bytes(stream.data[stream.start:stop]), not head
+                line, whole = head or bytes(stream.data[stream.start : stop]), not head
                 head = b""
                 stream.take(stop + 1)
                 if not whole:
@@ -357,8 +357,15 @@
         that nothing was heard of since is stopped, and the module starts it anew; left alone it would stand there,
         with its slot, until it is due."""
         one = command.one
-        return (one is not None and one.run_out and not one.heard and one.state is State.RUNNING
-                and command.op == "supply" and self._halts and self._replayable(one))
+        return (
+            one is not None
+            and one.run_out
+            and not one.heard
+            and one.state is State.RUNNING
+            and command.op == "supply"
+            and self._halts
+            and self._replayable(one)
+        )
 
     def _replayable(self, one: Transaction) -> bool:
         return one.generation.repeats[one.asked.grade] is Repeat.REPLAYABLE
@@ -375,8 +382,11 @@
         if self._link is Link.MOVING and not self._unproven:
             self._proven.set()
         names = self._around.generation.config.gauges
-        read = {GAUGES[name]: float(value) for name, value in zip(names, values, strict=False)
-                if name in GAUGES and value is not None}
+        read = {
+            GAUGES[name]: float(value)
+            for name, value in zip(names, values, strict=False)
+            if name in GAUGES and value is not None
+        }
         self._gauges = Gauges(**read)
 
     def _unknown(self, command: str, one: Transaction | None) -> None:
--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -53,8 +53,9 @@
         value = self._value.get(name) if needed else self._value.get(name) or {}
         return Fields(value, self._at(name), self._faults)
 
-    def number(self, name: str, default: float | None = None, least: float = 0.0, most: float = math.inf,
-               above: bool = False) -> float:
+    def number(
+        self, name: str, default: float | None = None, least: float = 0.0, most: float = math.inf, above: bool = False
+    ) -> float:
         """A number between least and most, and over least where `above` says so; null counts as absent."""
         value = self._value.get(name)
         if value is None and default is not None:
@@ -133,9 +134,13 @@
     known_calls, omit_shares = facts.values("class-calls"), facts.values("class-skip-worth")
     grades = tuple(
         Grade(
-            name=each.text("name"), credit=each.number("gain"), quoted_ms=each.number("aim-ms", above=True),
-            abandon_ms=each.number("deadline-ms", above=True), repeat=each.one_of("idempotency", REPEATS),
-            window_ms=each.number("memory-span-ms", 0.0), late_share=each.number("late-worth", 0.0),
+            name=each.text("name"),
+            credit=each.number("gain"),
+            quoted_ms=each.number("aim-ms", above=True),
+            abandon_ms=each.number("deadline-ms", above=True),
+            repeat=each.one_of("idempotency", REPEATS),
+            window_ms=each.number("memory-span-ms", 0.0),
+            late_share=each.number("late-worth", 0.0),
             stretch=each.number("aim-stretch", 0.0),
             calls=calls_are != "silent" and (bool(known_calls[at]) if at < len(known_calls) else True),
             omit_share=_share(omit_shares[at], at, faults) if at < len(omit_shares) else 0.0,
@@ -143,23 +148,35 @@
         for at, each in enumerate(info.each("classes"))
     )
     return Settings(
-        grades=grades, cores=facts.whole("cpus"), memory_kb=facts.number("memory-kb", above=True),
-        run_factor=facts.number("run-factor", least=1.0), cold=facts.flag("cold"),
-        cold_from=rules.number("cold-from", most=1.0), cold_ms=rules.number("cold-ms", above=True),
-        crowd_multiple=rules.number("fall-multiple", least=1.0), answer_slack_ms=rules.number("answer-slack-ms"),
-        drain_grace_ms=rules.number("stop-sending-within-ms"), tick_ms=info.number("tick-ms", above=True),
-        servers=info.whole("servers", 1, 0) or 1, callers=facts.whole("callers", 1, 0) or 1,
-        customers=tuple(Customer(each.text("name"), each.number("quota-rps", 0.0))
-                        for each in info.each("tenants", needed=False)),
+        grades=grades,
+        cores=facts.whole("cpus"),
+        memory_kb=facts.number("memory-kb", above=True),
+        run_factor=facts.number("run-factor", least=1.0),
+        cold=facts.flag("cold"),
+        cold_from=rules.number("cold-from", most=1.0),
+        cold_ms=rules.number("cold-ms", above=True),
+        crowd_multiple=rules.number("fall-multiple", least=1.0),
+        answer_slack_ms=rules.number("answer-slack-ms"),
+        drain_grace_ms=rules.number("stop-sending-within-ms"),
+        tick_ms=info.number("tick-ms", above=True),
+        servers=info.whole("servers", 1, 0) or 1,
+        callers=facts.whole("callers", 1, 0) or 1,
+        customers=tuple(
+            Customer(each.text("name"), each.number("quota-rps", 0.0)) for each in info.each("tenants", needed=False)
+        ),
         beyond_share_worth=info.number("over-share-worth", 1.0),
         counted_by_work=info.one_of("counted-by", {"work": True, "request": False}, "request"),
         marks_again=habits.flag("marks-retry"),
-        stopping=facts.one_of("stop-mode", STOPPINGS, "silent"), said=facts.one_of("say", SAID, "silent"),
+        stopping=facts.one_of("stop-mode", STOPPINGS, "silent"),
+        said=facts.one_of("say", SAID, "silent"),
         advice_max_ms=bounds.number("max-retry-after-ms", 0.0) if bounds.flag("retry-after") else 0.0,
         call_share=facts.number("dep-share", 0.0) if calls_are == "common" else 0.0,
-        call_span_ms=facts.number("calls-over-ms", 0.0), call_linger_ms=facts.number("stays-for-ms", 0.0),
-        entry_kb=facts.number("kb-per-key", 0.0), fresh_ms=facts.number("fresh-ms", 0.0),
-        idle_ms=facts.number("idle-ms", 0.0), checks_work=facts.flag("real-checks"),
+        call_span_ms=facts.number("calls-over-ms", 0.0),
+        call_linger_ms=facts.number("stays-for-ms", 0.0),
+        entry_kb=facts.number("kb-per-key", 0.0),
+        fresh_ms=facts.number("fresh-ms", 0.0),
+        idle_ms=facts.number("idle-ms", 0.0),
+        checks_work=facts.flag("real-checks"),
     )
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -31,4 +31,5 @@
     for each in config.stash[KNOWN]:
         passed = any(covers(each, report.nodeid) for report in terminalreporter.getreports("xpassed"))
         terminalreporter.write_line(
-            f"known red: {each.test}: {each.cause} ({each.issue}){'; it passed: take it off' if passed else ''}")
+            f"known red: {each.test}: {each.cause} ({each.issue}){'; it passed: take it off' if passed else ''}"
+        )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,16 @@
 
 from nickelslip.admission.control import Control
 from nickelslip.admission.interface import (
-    Arrival, Gauges, Grade, Outcome, Repeat, Result, Said, Settings, State, Stopping,
+    Arrival,
+    Gauges,
+    Grade,
+    Outcome,
+    Repeat,
+    Result,
+    Said,
+    Settings,
+    State,
+    Stopping,
 )
 from nickelslip.server import resp
 from nickelslip.server.balancers import Balancers, bind
@@ -39,9 +48,24 @@
 
 def settings(**changes: object) -> Settings:
     base: dict[str, object] = dict(
-        grades=(READ, PAY, BOOK), cores=2, memory_kb=2000.0, run_factor=4.0, cold=False, cold_from=0.3, cold_ms=8000.0,
-        crowd_multiple=4.0, answer_slack_ms=60.0, drain_grace_ms=1000.0, tick_ms=5.0, said=Said.CHANCE,
-        advice_max_ms=999.0, call_share=2.0, call_span_ms=2000.0, call_linger_ms=200.0, entry_kb=20., marks_again=True,
+        grades=(READ, PAY, BOOK),
+        cores=2,
+        memory_kb=2000.0,
+        run_factor=4.0,
+        cold=False,
+        cold_from=0.3,
+        cold_ms=8000.0,
+        crowd_multiple=4.0,
+        answer_slack_ms=60.0,
+        drain_grace_ms=1000.0,
+        tick_ms=5.0,
+        said=Said.CHANCE,
+        advice_max_ms=999.0,
+        call_share=2.0,
+        call_span_ms=2000.0,
+        call_linger_ms=200.0,
+        entry_kb=20.0,
+        marks_again=True,
     )
     return Settings(**{**base, **changes})  # type: ignore[arg-type]
 
@@ -142,8 +166,9 @@
             mean = sum(max(0.0, min(end, self.now) - max(since, begin)) for since, end in spans) / self.s.call_span_ms
             assert mean <= self.s.call_share + 1e-6
 
-    def read(self, ident: int, grade: Grade, kb: float = 10.0, wait: float | None = None, unread: float = 0.0,
-             **more: object) -> Result:
+    def read(
+        self, ident: int, grade: Grade, kb: float = 10.0, wait: float | None = None, unread: float = 0.0, **more: object
+    ) -> Result:
         reached = self.now - unread
         due = None if wait is None else max(self.now, reached + wait)
         self.known[ident] = Known(grade, kb, due or max(self.now, reached + grade.abandon_ms), reached)
@@ -180,8 +205,13 @@
         """Other settings; what was within a bound that is lowered now may stay until it ends."""
         fresh = replace(self.told, **changes)  # type: ignore[arg-type]
         self.told, old = fresh, self.s
-        self.s = replace(fresh, **{name: max(getattr(old, name), getattr(fresh, name)) for name in (
-            "memory_kb", "cores", "crowd_multiple", "call_share")})
+        self.s = replace(
+            fresh,
+            **{
+                name: max(getattr(old, name), getattr(fresh, name))
+                for name in ("memory_kb", "cores", "crowd_multiple", "call_share")
+            },
+        )
         return self.take(self.control.change(self.now, fresh))
 
     def drain(self, left: float) -> Result:
@@ -213,16 +243,41 @@
     "classes": [
         {"name": "read", "gain": 1.0, "aim-ms": 1000.0, "deadline-ms": 3000.0, "idempotency": "read_like"},
         {"name": "pay", "gain": 3.0, "aim-ms": 500.0, "deadline-ms": 1500.0, "idempotency": "non_idempotent"},
-        {"name": "book", "gain": 2.0, "aim-ms": 800.0, "deadline-ms": 2000.0, "idempotency": "idempotency_key",
-         "memory-span-ms": 4000.0},
+        {
+            "name": "book",
+            "gain": 2.0,
+            "aim-ms": 800.0,
+            "deadline-ms": 2000.0,
+            "idempotency": "idempotency_key",
+            "memory-span-ms": 4000.0,
+        },
     ],
-    "client-habits": {"marks-retry": True}, "tenants": [{"name": "acme", "quota-rps": 100.0}], "tick-ms": 5.0,
-    "invariants": {"answer-slack-ms": 20.0, "cold-from": 0.2, "cold-ms": 9000.0, "fall-multiple": 8.0,
-                   "stop-sending-within-ms": 200.0},
-    "specifics": {"cpus": 2, "memory-kb": 9000.0, "run-factor": 16.0, "say": "bias", "below": "common",
-                  "dep-share": 4.0, "calls-over-ms": 5000.0, "stays-for-ms": 200.0, "kb-per-key": 20.0,
-                  "fresh-ms": 1000.0, "stop-mode": "drop", "class-skip-worth": [0.6, 0.0, 0.0], "idle-ms": 15000.0,
-                  "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"]},
+    "client-habits": {"marks-retry": True},
+    "tenants": [{"name": "acme", "quota-rps": 100.0}],
+    "tick-ms": 5.0,
+    "invariants": {
+        "answer-slack-ms": 20.0,
+        "cold-from": 0.2,
+        "cold-ms": 9000.0,
+        "fall-multiple": 8.0,
+        "stop-sending-within-ms": 200.0,
+    },
+    "specifics": {
+        "cpus": 2,
+        "memory-kb": 9000.0,
+        "run-factor": 16.0,
+        "say": "bias",
+        "below": "common",
+        "dep-share": 4.0,
+        "calls-over-ms": 5000.0,
+        "stays-for-ms": 200.0,
+        "kb-per-key": 20.0,
+        "fresh-ms": 1000.0,
+        "stop-mode": "drop",
+        "class-skip-worth": [0.6, 0.0, 0.0],
+        "idle-ms": 15000.0,
+        "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"],
+    },
 }
 
 
@@ -351,9 +406,9 @@
             size = int(rest[1]) if rest else 0
             if rest and len(held) < start + size + 2:
                 return held
-            self.seen.append((verb, ident, held[start:start + size]))
+            self.seen.append((verb, ident, held[start : start + size]))
             self.lines[ident] = stream
-            held = held[start + (size + 2 if rest else 0):]
+            held = held[start + (size + 2 if rest else 0) :]
         return held
 
     async def reply(self, ident: str, word: str, body: bytes | None = None, to: str = "") -> None:
@@ -370,12 +425,21 @@
     async def send(self, *parts: bytes | str) -> None:
         await self.stream.send(resp.message(*(each.encode() if isinstance(each, str) else each for each in parts)))
 
-    async def ask(self, ident: str, grade: str = "read", body: bytes = b"body", without: str = "",
-                  **fields: object) -> int:
+    async def ask(
+        self, ident: str, grade: str = "read", body: bytes = b"body", without: str = "", **fields: object
+    ) -> int:
         """Ask with the usual fields, changed or left out, under the next tag."""
         self.tag += 1
-        known = {"req": ident, "ts": int(time.time() * 1000), "via": 4, "owner": "acme", "timeout": 2500, "need": 24.5,
-                 "level": 0.5, **fields}
+        known = {
+            "req": ident,
+            "ts": int(time.time() * 1000),
+            "via": 4,
+            "owner": "acme",
+            "timeout": 2500,
+            "need": 24.5,
+            "level": 0.5,
+            **fields,
+        }
         text = ",".join(f"{name}={value}" for name, value in known.items() if name != without)
         await self.send("ASK", str(self.tag), grade, text, body)
         return self.tag
@@ -401,8 +465,16 @@
 
 def asking(ident: str, grade: str = "read", tag: int = 2, body: bytes = b"body", **fields: object) -> bytes:
     """The bytes of one transaction as a balancer sends it; a field that is None is left out."""
-    known = {"req": ident, "ts": int(time.time() * 1000), "via": 4, "owner": "acme", "timeout": 2500, "need": 24.5,
-             "level": 0.5, **fields}
+    known = {
+        "req": ident,
+        "ts": int(time.time() * 1000),
+        "via": 4,
+        "owner": "acme",
+        "timeout": 2500,
+        "need": 24.5,
+        "level": 0.5,
+        **fields,
+    }
     text = ",".join(f"{name}={value}" for name, value in known.items() if value is not None)
     return resp.message(b"ASK", b"%d" % tag, grade.encode(), text.encode(), body)
 
@@ -468,8 +540,14 @@
         self.told = copy.deepcopy(TOLD)
         self.told["specifics"].update(facts)
         self.pool, self.records, self.reports, self.clean = Pool(), Service(), [], None
-        self.config = {"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f", "stop_ms": 700,
-                       "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 200}, "settings": self.told}
+        self.config = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "seed": "8c1f",
+            "stop_ms": 700,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 200},
+            "settings": self.told,
+        }
 
     async def __aenter__(self) -> Place:
         self._tasks = anyio.create_task_group()
@@ -477,8 +555,9 @@
         await self.pool.listen(self._tasks)
         await self.records.listen(self._tasks)
         lookup = await self.directory_up()
-        self.config.update(pool=f"127.0.0.1:{self.pool.port}", records=f"127.0.0.1:{self.records.port}",
-                           lookup=f"127.0.0.1:{lookup}")
+        self.config.update(
+            pool=f"127.0.0.1:{self.pool.port}", records=f"127.0.0.1:{self.records.port}", lookup=f"127.0.0.1:{lookup}"
+        )
         self.listener = bind(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
         self.node = Node(self.read(), self.read)
@@ -502,8 +581,7 @@
         self.changing = Changing(self.node, file, start, records, self.read, store)
         self.node.parts.append(self.changing.run)
         if rules.socket:
-            self.node.parts.append(ControlSocket(self.node, rules.socket, rules.socket_mode,
-                                                 self.changing.command).run)
+            self.node.parts.append(ControlSocket(self.node, rules.socket, rules.socket_mode, self.changing.command).run)
 
     async def push(self, part: dict[str, object], **more: object) -> dict[str, object]:
         """Apply a document over the one in force, as an operator would."""
@@ -571,8 +649,14 @@
 
     def connection_of(self, peer: Peer) -> Connection | None:
         """The server's side of this peer's connection, while it stands."""
-        return next((each for each in self.node.fronts[0]._connections
-                     if not each.stream.ending and each.stream._sock.getpeername() == peer.name), None)
+        return next(
+            (
+                each
+                for each in self.node.fronts[0]._connections
+                if not each.stream.ending and each.stream._sock.getpeername() == peer.name
+            ),
+            None,
+        )
 
     async def running(self, caller: Caller, ident: str, grade: str = "read", **fields: object) -> int:
         """Ask, and wait until its run has been started."""
@@ -588,8 +672,6 @@
         return tag
 
 
-
-
 @asynccontextmanager
 async def serving(place: Place, folder: Path) -> AsyncIterator[subprocess.Popen[bytes]]:
     """The program itself, in a process of its own, with this place round it."""
@@ -598,9 +680,15 @@
         place.port = probe.getsockname()[1]
     file = folder / "config.json"
     file.write_text(json.dumps({**place.config, "listen": f"127.0.0.1:{place.port}"}))
-    with (folder / "log").open("wb") as log, subprocess.Popen(
-            [sys.executable, "-B", "deploy/serve.py", "serve"], env={**os.environ, "ROUTER_CONFIG": str(file)},
-            stdout=log, stderr=log) as process:
+    with (
+        (folder / "log").open("wb") as log,
+        subprocess.Popen(
+            [sys.executable, "-B", "deploy/serve.py", "serve"],
+            env={**os.environ, "ROUTER_CONFIG": str(file)},
+            stdout=log,
+            stderr=log,
+        ) as process,
+    ):
         try:
             await until(lambda: place.pool.polls, 10.0)
             yield process
