--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from benchmarks.capacity.texts import encoded, own_document, tenant
-from nickelslip.admission.control import Control, Ring
-from nickelslip.admission.interface import Arrival, Outcome, Settings, State
+from nickelslip.admission.control import AdmissionController, SlidingWindowSum
+from nickelslip.admission.interface import Arrival, Outcome, Settings, RequestState
 from nickelslip.configuration.changes import RECORDS_MOST, Changes
 from nickelslip.configuration.document import Checker, Document, checked, config_from
 from nickelslip.configuration.generations import Generation, digest_of
@@ -60,7 +60,7 @@
     def __init__(self, whole: Document) -> None:
         generation = Generation(1, config_from(whole))
         self.changes = Changes(generation, whole, [], digest_of(whole), 0.0)
-        self.control = Control(generation.settings, SEED, 0.0)
+        self.control = AdmissionController(generation.settings, SEED, 0.0)
         self.now = 0.0
 
     def push(self, part: Document) -> None:
@@ -69,11 +69,13 @@
         found = Checker(Read(part, "document")).part()
         whole, _ = checked(merged(self.changes.in_force.document, found))
         change = self.changes.draft(self.now, config_from(whole), whole, "benchmark")
-        Control(Generation(0, change.config).settings, 0, 0.0)  # made for nothing, as the server proves a change
+        AdmissionController(
+            Generation(0, change.config).settings, 0, 0.0
+        )  # made for nothing, as the server proves a change
         self.changes.stage(self.now, change)
         begun, _ = self.changes.begin(self.now)
         assert begun.generation is not None
-        self.control.change(self.now, begun.generation.settings)
+        self.control.settings_changed(self.now, begun.generation.settings)
         if self.changes.applied(self.now) is None:  # on probation
             self.changes.confirm(self.now, "benchmark")
 
@@ -111,7 +113,7 @@
     whole = whole_of(document)
     other, _ = checked(merged(whole, part_for(0)))
     old, new = Generation(1, config_from(whole)).settings, Generation(2, config_from(other)).settings
-    control = Control(old, SEED, 0.0)
+    control = AdmissionController(old, SEED, 0.0)
     changing, number = Changing(whole), iter(range(1, 1000))
     return ConfigurationCost(
         text_bytes=len(text),
@@ -120,9 +122,9 @@
         build_ms=processor_ms(lambda: config_from(whole), repeats),
         plan_ms=processor_ms(lambda: plan_of(whole, other), repeats),
         digest_ms=processor_ms(lambda: digest_of(whole), repeats),
-        prove_ms=processor_ms(lambda: Control(new, SEED, 0.0), repeats),
-        apply_ms=processor_ms(lambda: control.change(1.0, new), repeats),
-        undo_ms=processor_ms(lambda: control.change(1.0, old), repeats),
+        prove_ms=processor_ms(lambda: AdmissionController(new, SEED, 0.0), repeats),
+        apply_ms=processor_ms(lambda: control.settings_changed(1.0, new), repeats),
+        undo_ms=processor_ms(lambda: control.settings_changed(1.0, old), repeats),
         change_ms=processor_ms(lambda: changing.push(part_for(next(number))), repeats),
     )
 
@@ -145,7 +147,7 @@
         generation = Generation(1, config_from(whole))
         assert len(generation.customers) == tenants
         configuration = counted()
-        control = Control(generation.settings, SEED, 0.0)
+        control = AdmissionController(generation.settings, SEED, 0.0)
         tables = counted()
         del control
         changing = Changing(whole)
@@ -184,7 +186,7 @@
     tracemalloc.start()
     try:
         begun = counted()
-        rings = [Ring(float(RING_BUCKETS)) for _ in range(RINGS)]
+        rings = [SlidingWindowSum(float(RING_BUCKETS)) for _ in range(RINGS)]
         for ring in rings:
             for bucket in range(RING_BUCKETS):
                 ring.add(bucket + 0.5, 1.0)
@@ -205,47 +207,49 @@
 def decision_us(settings: Settings, rate: float, requests: int, seed: int) -> float:
     """Processor time of the module for one request (read and ended), at this rate and with cores enough."""
     chance = random.Random(seed)
-    control = Control(settings, seed, 0.0)
+    control = AdmissionController(settings, seed, 0.0)
     control.start(0.0)
-    customers = [customer.name for customer in settings.customers]
+    customers = [customer.name for customer in settings.tenants]
     owners = [chance.choice(customers) for _ in range(requests)]
-    grades = [chance.choice(settings.grades).name for _ in range(requests)]
+    grades = [chance.choice(settings.traffic_classes).name for _ in range(requests)]
     running: list[tuple[float, int]] = []
     begun = time.process_time_ns()
     for ident in range(requests):
         now = ident * 1000 / rate
         while running and running[0][0] <= now:
             end, done = running.pop(0)
-            control.ended(end, done, Outcome.OK, WORK_MS)
-        result = control.read(now, Arrival(ident, grades[ident], 8.0, customer=owners[ident]))
-        running += [(now + WORK_MS, change.id) for change in result.changes if change.state is State.RUNNING]
+            control.run_ended(end, done, Outcome.OK, WORK_MS)
+        result = control.request_received(now, Arrival(ident, grades[ident], 8.0, tenant=owners[ident]))
+        running += [
+            (now + WORK_MS, change.id) for change in result.state_changes if change.state is RequestState.RUNNING
+        ]
     return (time.process_time_ns() - begun) / 1000 / requests
 
 
 def held_decision_us(settings: Settings, held: int, events: int) -> float:
     """Processor time of the module for one event while so many items are held, none of them due."""
-    grade = settings.grades[0]
-    control = Control(settings, SEED, 0.0)
+    grade = settings.traffic_classes[0]
+    control = AdmissionController(settings, SEED, 0.0)
     control.start(0.0)
-    customer = settings.customers[0].name
+    customer = settings.tenants[0].name
     running: list[int] = []
     now, ident = 0.0, 0
 
     def read() -> None:
         nonlocal ident
-        arrival = Arrival(ident, grade.name, 1.0, customer=customer, cost_hint_ms=1.0)
-        take(control.read(now, arrival))
+        arrival = Arrival(ident, grade.name, 1.0, tenant=customer, cost_hint_ms=1.0)
+        take(control.request_received(now, arrival))
         ident += 1
 
     def take(result: Any) -> None:
-        running.extend(change.id for change in result.changes if change.state is State.RUNNING)
+        running.extend(change.id for change in result.state_changes if change.state is RequestState.RUNNING)
 
-    for _ in range(held + settings.cores):
+    for _ in range(held + settings.core_count):
         read()
     begun = time.process_time_ns()
     for _ in range(events // 2):
         now += 1000 / 70.0
-        take(control.ended(now, running.pop(0), Outcome.OK, 1.0))
+        take(control.run_ended(now, running.pop(0), Outcome.OK, 1.0))
         read()
     spent = time.process_time_ns() - begun
     return spent / 1000 / (2 * (events // 2))
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -146,7 +146,7 @@
         rate = PLAN.requests_per_server_s
 
         def one(tenants: int, grades: int | None = None, at_rate: float = rate) -> float:
-            settings = hollow.settings_for(tenants, grades, cores=RATE_CORES)
+            settings = hollow.settings_for(tenants, grades, core_count=RATE_CORES)
             return median(
                 hollow.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
             )
@@ -157,8 +157,10 @@
         self.measured.add("grades_decision_us", "grades", "us a request", HOLLOW, points)
         shares = {at: one(PLAN.tenants, None, at) * at / 1e6 for at in sizes.rates}
         self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
-        settings = hollow.settings_for(FEW_TENANTS, cores=HELD_CORES)
-        grades = tuple(replace(grade, quoted_ms=hollow.LONG_MS, abandon_ms=hollow.LONG_MS) for grade in settings.grades)
+        settings = hollow.settings_for(FEW_TENANTS, core_count=HELD_CORES)
+        grades = tuple(
+            replace(grade, quoted_ms=hollow.LONG_MS, abandon_ms=hollow.LONG_MS) for grade in settings.traffic_classes
+        )
         settings = replace(settings, grades=grades)
         points = {size: hollow.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
         self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
--- a/benchmarks/watched.py
+++ b/benchmarks/watched.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from nickelslip.admission.control import Control
+from nickelslip.admission.control import AdmissionController
 from nickelslip.server.node import Node
 
 
@@ -29,7 +29,7 @@
         self.mixed: set[int] = set()
         self.events = self.across = 0
 
-    def adopted(self, control: Control, settings: object) -> None:
+    def adopted(self, control: AdmissionController, settings: object) -> None:
         """The module has taken settings: the gradings that it made are of these."""
         self.adoptions += 1
         self.kept.append(settings)
@@ -52,9 +52,9 @@
 
 def watch(witness: Witness) -> None:
     """Put the witness beside the module's adoption of settings and every event of a transaction."""
-    adopt, decide = Control._adopt, Node._decide
+    adopt, decide = AdmissionController._adopt, Node._decide
 
-    def adopted(control: Control, settings: Any) -> None:
+    def adopted(control: AdmissionController, settings: Any) -> None:
         adopt(control, settings)
         witness.adopted(control, settings)
 
@@ -62,13 +62,13 @@
         number = (
             values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) if values else None
         )
-        if isinstance(number, int) and call is not Control.drain:
+        if isinstance(number, int) and call is not AdmissionController.drain:
             witness.event(node, number)
         decide(node, call, *values)
-        if isinstance(number, int) and call is not Control.drain:
+        if isinstance(number, int) and call is not AdmissionController.drain:
             witness.event(node, number)
 
-    Control._adopt, Node._decide = adopted, decided  # type: ignore[method-assign]
+    AdmissionController._adopt, Node._decide = adopted, decided  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/nickelslip/bench/adapter.py
+++ b/nickelslip/bench/adapter.py
@@ -6,8 +6,8 @@
 from functools import partial
 from typing import TextIO
 
-from nickelslip.admission.control import Control
-from nickelslip.admission.interface import Result, Settings
+from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.interface import Decisions, Settings
 from nickelslip.bench import codec
 from nickelslip.settings import Malformed, settings_from
 
@@ -35,7 +35,7 @@
     """The instances of one process, each with a module of its own."""
 
     def __init__(self) -> None:
-        self._controls: dict[str, Control] = {}
+        self._controls: dict[str, AdmissionController] = {}
 
     def handle(self, now: float, line: str) -> list[str]:
         """Replies to one event line."""
@@ -62,8 +62,8 @@
             self._controls.pop(instance, None)
             return [_fault(instance, error)]
 
-    def _start(self, instance: str, settings: Settings, seed: int, now: float) -> Result:
-        control = self._controls[instance] = Control(settings, seed, now)
+    def _start(self, instance: str, settings: Settings, seed: int, now: float) -> Decisions:
+        control = self._controls[instance] = AdmissionController(settings, seed, now)
         return control.start(now)
 
     @staticmethod
@@ -81,18 +81,18 @@
             return [float(parts[0])]
         return [int(parts[0])]
 
-    def _event(self, instance: str, now: float, verb: str, values: list[object]) -> Result:
+    def _event(self, instance: str, now: float, verb: str, values: list[object]) -> Decisions:
         control = self._controls.get(instance)
         if control is None:
-            return Result()
+            return Decisions()
         call = {
-            "ASK": control.read,
-            "FINISHED": control.ended,
-            "STALLED_ON_CALL": control.at_call,
+            "ASK": control.request_received,
+            "FINISHED": control.run_ended,
+            "STALLED_ON_CALL": control.call_requested,
             "RETURNED": control.call_returned,
-            "TIMED_OUT_CLIENT": control.caller_gone,
+            "TIMED_OUT_CLIENT": control.client_disconnected,
             "DRAIN": control.drain,
-            "WAKE": control.timer,
+            "WAKE": control.timer_fired,
         }[verb]
         return call(now, *values)  # type: ignore[operator,no-any-return]
 
--- a/nickelslip/bench/codec.py
+++ b/nickelslip/bench/codec.py
@@ -4,26 +4,26 @@
 
 import math
 
-from nickelslip.admission.interface import Arrival, Gauges, Outcome, Result, State
+from nickelslip.admission.interface import Arrival, Gauges, Outcome, Decisions, RequestState
 
 OUTCOMES = {
     "0": Outcome.OK,
     "5": Outcome.ERROR,
-    "11": Outcome.FULL,
+    "11": Outcome.REJECTED,
     "110": Outcome.TIMEOUT,
-    "111": Outcome.UNREACHED,
+    "111": Outcome.CONNECT_FAILED,
     "104": Outcome.RESET,
     "125": Outcome.CANCELLED,
-    "114": Outcome.MOOT,
+    "114": Outcome.NOT_STARTED,
 }
 VERBS = {
-    State.HELD: "STOP",
-    State.PAUSED: "STOP",
-    State.SPENT: "STOP",
-    State.RUNNING: "DISPATCH",
-    State.OMITTED: "OMIT",
-    State.JOINED: "ANSWER_FROM",
-    State.FORFEITED: "DROP_REQUEST",
+    RequestState.QUEUED: "STOP",
+    RequestState.PAUSED: "STOP",
+    RequestState.ORPHANED: "STOP",
+    RequestState.RUNNING: "DISPATCH",
+    RequestState.DEGRADED: "OMIT",
+    RequestState.COALESCED: "ANSWER_FROM",
+    RequestState.FAILED: "DROP_REQUEST",
 }
 
 
@@ -56,16 +56,16 @@
         raise ValueError("a transaction needs an id and a service grade")
     return Arrival(
         id=int(ident),
-        grade=grade,
-        customer=customer,
-        kb=_number(kb or "0"),
-        due_ms=_number(due or "0") or None,
+        traffic_class=grade,
+        tenant=customer,
+        memory_kb=_number(kb or "0"),
+        deadline_at_ms=_number(due or "0") or None,
         cost_hint_ms=_number(hint or "0") or None,
-        again=again == "1",
-        caller=None if caller is None else int(caller),
-        unread_ms=_number(unread or "0"),
-        forerunner=int(earlier or "0") or None,
-        keyed=key is not None,
+        is_retry=again == "1",
+        client=None if caller is None else int(caller),
+        read_delay_ms=_number(unread or "0"),
+        original_request_id=int(earlier or "0") or None,
+        has_key=key is not None,
     )
 
 
@@ -81,26 +81,28 @@
     return OUTCOMES[text]
 
 
-def lines_from(instance: str, result: Result) -> list[str]:
+def lines_from(instance: str, result: Decisions) -> list[str]:
     """The lines that carry a result out, in the order that Result states."""
     lines = []
-    if result.said is not None:
-        lines.append(f"STAMP {instance} {result.said:.6f}")
+    if result.advertised_weight is not None:
+        lines.append(f"STAMP {instance} {result.advertised_weight:.6f}")
     if result.health is not None:
-        lines.append(f"HEALTH {instance} {int(result.health.stored)} {int(result.health.good)}")
-    if result.idle_ms is not None:
-        lines.append(f"TRIM_AFTER {instance} {result.idle_ms:.3f}")
-    for entry in result.table:
+        lines.append(f"HEALTH {instance} {int(result.health.is_cached)} {int(result.health.is_healthy)}")
+    if result.idle_connection_timeout_ms is not None:
+        lines.append(f"TRIM_AFTER {instance} {result.idle_connection_timeout_ms:.3f}")
+    for entry in result.idempotency_updates:
         lines.append(
-            f"REMEMBER {instance} {entry.id} {entry.span_ms:.3f}"
-            if entry.span_ms > 0
+            f"REMEMBER {instance} {entry.id} {entry.retention_ms:.3f}"
+            if entry.retention_ms > 0
             else f"FORGET {instance} {entry.id}"
         )
-    for change in result.changes:
-        if change.state is State.DISMISSED:
-            lines.append(f"PUSH_BACK {instance} {change.id} {change.span_ms:.3f} {int(change.last)}")
-        elif change.state is State.CALLING:
-            lines.append(f"INVOKE {instance} {change.id} {change.span_ms:.3f}")
+    for change in result.state_changes:
+        if change.state is RequestState.REJECTED:
+            lines.append(
+                f"PUSH_BACK {instance} {change.id} {change.duration_ms:.3f} {int(change.retry_elsewhere_useless)}"
+            )
+        elif change.state is RequestState.CALL_IN_FLIGHT:
+            lines.append(f"INVOKE {instance} {change.id} {change.duration_ms:.3f}")
         else:
             lines.append(f"{VERBS[change.state]} {instance} {change.id}")
     if result.wake_in_ms is not None:
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -137,8 +137,8 @@
         ]
     settings = told.config.settings
     lines.append(
-        f"{told.config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
-        f"{settings.cores} cores; in order"
+        f"{told.config.name}: {len(settings.traffic_classes)} service grades, {len(settings.tenants)} customers, "
+        f"{settings.core_count} cores; in order"
     )
     _out(
         {
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -100,7 +100,7 @@
             return NOWHERE
 
     settings = settings_of(told.get("settings"), faults)
-    calls = any(grade.calls for grade in settings.grades)
+    calls = any(grade.makes_calls for grade in settings.traffic_classes)
     name = top.text("name")
     if any(letter.isspace() for letter in name):
         if faults is None:
--- a/nickelslip/configuration/document.py
+++ b/nickelslip/configuration/document.py
@@ -12,7 +12,7 @@
 from math import inf, isfinite
 from typing import Any
 
-from nickelslip.admission.interface import Customer, Grade, Repeat, Said, Settings, Stopping
+from nickelslip.admission.interface import Tenant, TrafficClass, RetrySafety, LoadSignal, Settings, Preemption
 from nickelslip.configuration.config import ChangeRules, Config, address_from, config_of
 from nickelslip.configuration.descriptors import shares_of
 from nickelslip.configuration.faults import Fault, Faulty, Gravity, Path, grave
@@ -21,9 +21,18 @@
 from nickelslip.settings import Malformed
 
 Document = dict[str, Any]  # whole: every section, every word
-REPEATS = {"replayable": Repeat.REPLAYABLE, "referenced": Repeat.REFERENCED, "single-use": Repeat.SINGLE_USE}
-STOPPINGS = {"never": Stopping.NEVER, "drop": Stopping.DROP, "pause": Stopping.PAUSE}
-SAID = {"nothing": Said.NOTHING, "chance": Said.CHANCE, "slots": Said.SLOTS, "rank": Said.RANK}
+REPEATS = {
+    "replayable": RetrySafety.IDEMPOTENT,
+    "referenced": RetrySafety.IDEMPOTENCY_KEY,
+    "single-use": RetrySafety.NON_IDEMPOTENT,
+}
+STOPPINGS = {"never": Preemption.NEVER, "drop": Preemption.DISCARD_PROGRESS, "pause": Preemption.KEEP_PROGRESS}
+SAID = {
+    "nothing": LoadSignal.NONE,
+    "chance": LoadSignal.SELECTION_PROBABILITY,
+    "slots": LoadSignal.CLIENT_CONCURRENCY,
+    "rank": LoadSignal.PRIORITY_THRESHOLD,
+}
 PLATFORM_KEYS = frozenset({"settings", "limits", "lookup"})  # by which its form is told from ours
 SOCKET_PATH_MOST = 100  # bytes that the system takes for the path of a local socket, with room for its end
 CALLERS_LEAST = 32  # connections, under which a configuration is warned of
@@ -233,50 +242,50 @@
     node, peers, machine, callers = whole["node"], whole["peers"], whole["machine"], whole["callers"]
     calls, changes = whole["calls"], whole["changes"]
     grades = tuple(
-        Grade(
+        TrafficClass(
             name=name,
-            credit=each["credit"],
-            quoted_ms=each["quoted_ms"],
-            abandon_ms=each["abandon_ms"],
-            repeat=REPEATS[each["repeat"]],
-            window_ms=each["window_ms"],
-            late_share=each["late_share"],
-            stretch=each["stretch"],
-            calls=each["calls"],
-            omit_share=each["omit_share"],
-            reserve=each["reserve"],
+            priority_weight=each["credit"],
+            latency_objective_ms=each["quoted_ms"],
+            timeout_ms=each["abandon_ms"],
+            retry_safety=REPEATS[each["repeat"]],
+            idempotency_window_ms=each["window_ms"],
+            late_value_fraction=each["late_share"],
+            objective_stretch=each["stretch"],
+            makes_calls=each["calls"],
+            degraded_value_fraction=each["omit_share"],
+            reserved_slot_count=each["reserve"],
         )
         for name, each in whole["grades"].items()
     )
     settings = Settings(
-        grades=grades,
-        cores=machine["cores"],
+        traffic_classes=grades,
+        core_count=machine["cores"],
         memory_kb=machine["memory_kb"],
-        run_factor=machine["run_factor"],
-        cold=machine["cold"],
-        cold_from=machine["cold_from"],
-        cold_ms=machine["cold_ms"],
-        crowd_multiple=machine["crowd_multiple"],
+        running_memory_factor=machine["run_factor"],
+        starts_cold=machine["cold"],
+        cold_speed_fraction=machine["cold_from"],
+        warm_up_ms=machine["cold_ms"],
+        overload_concurrency_per_core=machine["crowd_multiple"],
         answer_slack_ms=machine["answer_slack_ms"],
         drain_grace_ms=machine["drain_grace_ms"],
         tick_ms=machine["tick_ms"],
-        servers=callers["servers"],
-        callers=callers["callers"],
-        customers=tuple(Customer(name, each["share_per_s"]) for name, each in whole["customers"].items()),
-        beyond_share_worth=whole["ranking"]["beyond_share_worth"],
-        counted_by_work=whole["ranking"]["counted_by_work"],
-        marks_again=callers["marks_again"],
-        stopping=STOPPINGS[machine["stopping"]],
-        said=SAID[callers["said"]],
-        advice_max_ms=callers["advice_most_ms"],
-        call_share=calls["share"],
-        call_span_ms=calls["span_ms"],
-        call_linger_ms=calls["linger_ms"],
-        entry_kb=whole["store"]["entry_kb"],
-        fresh_ms=whole["store"]["fresh_ms"],
-        idle_ms=callers["idle_ms"],
-        checks_work=callers["checks_work"],
-        running_most=inf if machine["running_most"] is None else machine["running_most"],
+        server_count=callers["servers"],
+        client_count=callers["callers"],
+        tenants=tuple(Tenant(name, each["share_per_s"]) for name, each in whole["customers"].items()),
+        over_quota_value_fraction=whole["ranking"]["beyond_share_worth"],
+        value_counts_work=whole["ranking"]["counted_by_work"],
+        clients_mark_retries=callers["marks_again"],
+        preemption=STOPPINGS[machine["stopping"]],
+        load_signal=SAID[callers["said"]],
+        retry_after_max_ms=callers["advice_most_ms"],
+        dependency_concurrency_share=calls["share"],
+        dependency_window_ms=calls["span_ms"],
+        abandoned_call_linger_ms=calls["linger_ms"],
+        idempotency_record_kb=whole["store"]["entry_kb"],
+        response_cache_ms=whole["store"]["fresh_ms"],
+        idle_connection_timeout_ms=callers["idle_ms"],
+        health_check_costs_work=callers["checks_work"],
+        max_concurrency=inf if machine["running_most"] is None else machine["running_most"],
     )
     rules = ChangeRules(
         **{name: value for name, value in changes.items() if name != "reload"}, reload_all=changes["reload"] == "all"
@@ -311,7 +320,7 @@
 def document_of(config: Config) -> Document:
     """The whole document of a Config."""
     settings, rules = config.settings, config.changes
-    most = settings.running_most
+    most = settings.max_concurrency
     return {
         "node": {
             "name": config.name,
@@ -328,52 +337,59 @@
             "directory": _address(config.directory),
         },
         "machine": {
-            "cores": settings.cores,
+            "cores": settings.core_count,
             "memory_kb": settings.memory_kb,
-            "run_factor": settings.run_factor,
-            "cold": settings.cold,
-            "cold_from": settings.cold_from,
-            "cold_ms": settings.cold_ms,
-            "crowd_multiple": settings.crowd_multiple,
+            "run_factor": settings.running_memory_factor,
+            "cold": settings.starts_cold,
+            "cold_from": settings.cold_speed_fraction,
+            "cold_ms": settings.warm_up_ms,
+            "crowd_multiple": settings.overload_concurrency_per_core,
             "running_most": None if most == inf else most,
             "answer_slack_ms": settings.answer_slack_ms,
             "drain_grace_ms": settings.drain_grace_ms,
             "tick_ms": settings.tick_ms,
-            "stopping": _key(STOPPINGS, settings.stopping),
+            "stopping": _key(STOPPINGS, settings.preemption),
             "gauges": config.gauges,
         },
         "callers": {
-            "servers": settings.servers,
-            "callers": settings.callers,
-            "said": _key(SAID, settings.said),
-            "advice_most_ms": settings.advice_max_ms,
-            "marks_again": settings.marks_again,
-            "idle_ms": settings.idle_ms,
-            "checks_work": settings.checks_work,
+            "servers": settings.server_count,
+            "callers": settings.client_count,
+            "said": _key(SAID, settings.load_signal),
+            "advice_most_ms": settings.retry_after_max_ms,
+            "marks_again": settings.clients_mark_retries,
+            "idle_ms": settings.idle_connection_timeout_ms,
+            "checks_work": settings.health_check_costs_work,
         },
-        "ranking": {"beyond_share_worth": settings.beyond_share_worth, "counted_by_work": settings.counted_by_work},
-        "calls": {"share": settings.call_share, "span_ms": settings.call_span_ms, "linger_ms": settings.call_linger_ms},
-        "store": {"entry_kb": settings.entry_kb, "fresh_ms": settings.fresh_ms},
+        "ranking": {
+            "beyond_share_worth": settings.over_quota_value_fraction,
+            "counted_by_work": settings.value_counts_work,
+        },
+        "calls": {
+            "share": settings.dependency_concurrency_share,
+            "span_ms": settings.dependency_window_ms,
+            "linger_ms": settings.abandoned_call_linger_ms,
+        },
+        "store": {"entry_kb": settings.idempotency_record_kb, "fresh_ms": settings.response_cache_ms},
         "changes": {
             **{word.name: getattr(rules, word.name) for word in SECTIONS["changes"] if word.name != "reload"},
             "reload": "all" if rules.reload_all else "peers",
         },
         "grades": {
             each.name: {
-                "credit": each.credit,
-                "quoted_ms": each.quoted_ms,
-                "abandon_ms": each.abandon_ms,
-                "repeat": _key(REPEATS, each.repeat),
-                "window_ms": each.window_ms,
-                "late_share": each.late_share,
-                "stretch": each.stretch,
-                "calls": each.calls,
-                "omit_share": each.omit_share,
-                "reserve": each.reserve,
+                "credit": each.priority_weight,
+                "quoted_ms": each.latency_objective_ms,
+                "abandon_ms": each.timeout_ms,
+                "repeat": _key(REPEATS, each.retry_safety),
+                "window_ms": each.idempotency_window_ms,
+                "late_share": each.late_value_fraction,
+                "stretch": each.objective_stretch,
+                "calls": each.makes_calls,
+                "omit_share": each.degraded_value_fraction,
+                "reserve": each.reserved_slot_count,
             }
-            for each in settings.grades
+            for each in settings.traffic_classes
         },
-        "customers": {each.name: {"share_per_s": each.share_per_s} for each in settings.customers},
+        "customers": {each.name: {"share_per_s": each.quota_per_s} for each in settings.tenants},
     }
 
 
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -13,7 +13,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from nickelslip.admission.interface import Repeat, Settings
+from nickelslip.admission.interface import RetrySafety, Settings
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.descriptors import CHANGES, Shares, shares_of
 
@@ -37,32 +37,35 @@
         config = self.config
         entries_most = config.memory_mb * 1024 * RESULTS_PART / ENTRY_KB
         return replace(
-            config.settings, entry_kb=max(config.settings.entry_kb, config.settings.memory_kb / entries_most)
+            config.settings,
+            idempotency_record_kb=max(config.settings.idempotency_record_kb, config.settings.memory_kb / entries_most),
         )
 
     @cached_property
-    def repeats(self) -> Mapping[str, Repeat]:
+    def repeats(self) -> Mapping[str, RetrySafety]:
         """What may happen a second time to transactions of each grade."""
-        return MappingProxyType({grade.name: grade.repeat for grade in self.config.settings.grades})
+        return MappingProxyType({grade.name: grade.retry_safety for grade in self.config.settings.traffic_classes})
 
     @cached_property
     def customers(self) -> frozenset[str]:
-        return frozenset(each.name for each in self.config.settings.customers)
+        return frozenset(each.name for each in self.config.settings.tenants)
 
     @cached_property
     def stall_ms(self) -> float:
         """The longest that any caller waits."""
-        return max(grade.abandon_ms for grade in self.config.settings.grades)
+        return max(grade.timeout_ms for grade in self.config.settings.traffic_classes)
 
     @cached_property
     def shares(self) -> Shares:
         """Of this process's descriptors."""
         theirs = CHANGES if self.config.changes.on else 0
-        return shares_of(self.config.descriptors - theirs, self.config.settings.call_share)
+        return shares_of(self.config.descriptors - theirs, self.config.settings.dependency_concurrency_share)
 
     @cached_property
     def quoted_ms(self) -> Mapping[str, float]:
-        return MappingProxyType({grade.name: grade.quoted_ms for grade in self.config.settings.grades})
+        return MappingProxyType(
+            {grade.name: grade.latency_objective_ms for grade in self.config.settings.traffic_classes}
+        )
 
 
 def canonical(document: Mapping[str, Any]) -> bytes:
--- a/nickelslip/configuration/meter.py
+++ b/nickelslip/configuration/meter.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterator, Mapping
 
-from nickelslip.admission.interface import State
+from nickelslip.admission.interface import RequestState
 
 WIDTH_MS = 250.0
 PAIRS_MOST = 256  # of grade and customer; what comes beyond counts under its grade alone
@@ -93,19 +93,19 @@
         self._counts(now, grade, customer).reads += 1
 
     def ended(
-        self, now: float, grade: str, customer: str | None, state: State, elapsed_ms: float, work_ms: float
+        self, now: float, grade: str, customer: str | None, state: RequestState, elapsed_ms: float, work_ms: float
     ) -> None:
         """A transaction has its answer, or has been abandoned, so long after it reached the machine."""
         counts = self._counts(now, grade, customer)
-        if state is State.SATISFIED:
+        if state is RequestState.COMPLETED:
             if elapsed_ms <= self._quoted.get(grade, 0.0):
                 counts.in_time += 1
                 counts.work_ms += work_ms
             else:
                 counts.late += 1
-        elif state is State.DISMISSED:
+        elif state is RequestState.REJECTED:
             counts.dismissed += 1
-        elif state is State.FORFEITED:
+        elif state is RequestState.FAILED:
             counts.forfeited += 1
         else:
             counts.abandoned += 1
--- a/nickelslip/server/changing.py
+++ b/nickelslip/server/changing.py
@@ -16,8 +16,8 @@
 import anyio
 import anyio.to_thread
 
-from nickelslip.admission.control import Control
-from nickelslip.admission.interface import Said
+from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.interface import LoadSignal
 from nickelslip.configuration.changes import Change, Changes, Denial, Denied, Start, Step, start_of
 from nickelslip.configuration.config import Config, moved
 from nickelslip.configuration.document import Checker, Document, checked, config_from, document_of
@@ -138,10 +138,10 @@
                 await self._undo(f"the judge failed: {error!r}"[:SHOWN_MOST])
 
     def _sample(self) -> None:
-        said, as_what = self._node.said, self._node.generation.settings.said
-        weight = 1.0 if said is None else 1 - said if as_what is Said.RANK else said
+        said, as_what = self._node.said, self._node.generation.settings.load_signal
+        weight = 1.0 if said is None else 1 - said if as_what is LoadSignal.PRIORITY_THRESHOLD else said
         gauges = self._node.gauges
-        self.meter.state(self._node.clock(), weight, gauges.memory, gauges.busy)
+        self.meter.state(self._node.clock(), weight, gauges.memory_utilization, gauges.cpu_utilization)
 
     async def _look(self) -> None:
         judge, now = self._judge, self._node.clock()
@@ -308,7 +308,7 @@
         now = self._node.clock()
         change = self.changes.draft(now, config, document, origin, forced)
         try:  # a module made of it, for nothing: what it raises now it does not raise in service
-            Control(Generation(0, config).settings, 0, 0.0)
+            AdmissionController(Generation(0, config).settings, 0, 0.0)
         except Exception as error:
             denied = Denied(Denial.UNPROVEN, repr(error))
             self.changes.refuse(now, change, denied)
--- a/nickelslip/server/cli.py
+++ b/nickelslip/server/cli.py
@@ -74,8 +74,8 @@
     config = program.loaded(paths)
     settings = config.settings
     click.echo(
-        f"{config.name}: {len(settings.grades)} service grades, {len(settings.customers)} customers, "
-        f"{settings.cores} cores, {settings.memory_kb:g} kB; in order"
+        f"{config.name}: {len(settings.traffic_classes)} service grades, {len(settings.tenants)} customers, "
+        f"{settings.core_count} cores, {settings.memory_kb:g} kB; in order"
     )
 
 
--- a/nickelslip/server/connection.py
+++ b/nickelslip/server/connection.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from nickelslip.admission.interface import State
+from nickelslip.admission.interface import RequestState
 from nickelslip.server import resp
 from nickelslip.server.endings import Ended, Ending
 from nickelslip.server.messages import BadField, asked_from, tag_in
@@ -31,7 +31,7 @@
 SEND_POLL_S = 0.05  # between two checks whether all answers have been sent
 ASK, STATUS, NEVERMIND = b"ASK", b"STATUS", b"NEVERMIND"
 HEALTHY, SICK, CLOSING = b"healthy", b"sick", b"closing"
-ANSWER_WORDS = {State.SATISFIED: b"done", State.DISMISSED: b"later", State.FORFEITED: b"error"}
+ANSWER_WORDS = {RequestState.COMPLETED: b"done", RequestState.REJECTED: b"later", RequestState.FAILED: b"error"}
 NO_TAG = 0  # of messages that belong to no request
 
 
@@ -207,7 +207,7 @@
 
     def _refuse(self, tag: int) -> None:
         """Answer a request with a failure."""
-        self._answer(tag, Answer(State.FORFEITED, self._host.said))
+        self._answer(tag, Answer(RequestState.FAILED, self._host.said))
 
     def _refuse_garbled(self, parts: list[bytes]) -> None:
         """Refuse a message that cannot be parsed to its end, if its first parts hold a tag that can be answered."""
@@ -287,7 +287,7 @@
     fields = []
     if answer.said is not None:
         fields.append(_signal_field(answer.said))
-    if answer.state is State.DISMISSED:
+    if answer.state is RequestState.REJECTED:
         if answer.retry_after_ms > 0:
             fields.append(b"holdoff=%.3f" % answer.retry_after_ms)
         if answer.last:
--- a/nickelslip/server/endings.py
+++ b/nickelslip/server/endings.py
@@ -29,7 +29,7 @@
     @property
     def outcome(self) -> Outcome:
         """What became of work that was out on it: only one that never came about proves that nothing ran."""
-        return Outcome.UNREACHED if self is Ending.REFUSED else Outcome.RESET
+        return Outcome.CONNECT_FAILED if self is Ending.REFUSED else Outcome.RESET
 
 
 class Ended(Exception):
@@ -40,16 +40,16 @@
         self.ending, self.detail = ending, detail
 
 
-RUN_ENDS = {"fine": Outcome.OK, "fault": Outcome.ERROR, "broken_off": Outcome.CANCELLED, "late": Outcome.MOOT}
+RUN_ENDS = {"fine": Outcome.OK, "fault": Outcome.ERROR, "broken_off": Outcome.CANCELLED, "late": Outcome.NOT_STARTED}
 CALL_ENDS = {
     b"DONE": Outcome.OK,
-    b"WAIT": Outcome.FULL,
+    b"WAIT": Outcome.REJECTED,
     b"ERROR": Outcome.ERROR,
     b"PAST": Outcome.TIMEOUT,
-    b"EMPTY": Outcome.MOOT,
+    b"EMPTY": Outcome.NOT_STARTED,
 }
 CALL_GIVEN_UP = Outcome.TIMEOUT
 SPOILT_END = Outcome.ERROR  # a run that is over, and nobody can read how
-UNREADABLE_CALL = Outcome.FULL  # one that was never made, since its body cannot be read
-NO_DESCRIPTOR = Outcome.FULL  # one that was never made, since there is none left for calls
+UNREADABLE_CALL = Outcome.REJECTED  # one that was never made, since its body cannot be read
+NO_DESCRIPTOR = Outcome.REJECTED  # one that was never made, since there is none left for calls
 NOT_CARRIED_OUT = Outcome.ERROR  # a start that the worker pool does not know: no run, no result
--- a/nickelslip/server/messages.py
+++ b/nickelslip/server/messages.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from nickelslip.admission.interface import Repeat
+from nickelslip.admission.interface import RetrySafety
 from nickelslip.server.transactions import Asked
 
 BODY_MOST = 2 * 1024  # bytes
@@ -75,7 +75,11 @@
 
 
 def asked_from(
-    parts: list[bytes], repeats: Mapping[str, Repeat], customers: frozenset[str], now: float, longest_wait_ms: float
+    parts: list[bytes],
+    repeats: Mapping[str, RetrySafety],
+    customers: frozenset[str],
+    now: float,
+    longest_wait_ms: float,
 ) -> Asked:
     """The transaction in an ASK behind its tag: grade, fields and body.
 
@@ -132,7 +136,7 @@
 
 
 def _identity(
-    head: Head, fields: Mapping[str, str], repeats: Mapping[str, Repeat], customers: frozenset[str]
+    head: Head, fields: Mapping[str, str], repeats: Mapping[str, RetrySafety], customers: frozenset[str]
 ) -> Identity:
     """Its identifier and its customer; the grade must be known, and the body within its size."""
     ident = fields.get("req", "")
@@ -186,9 +190,9 @@
     return int(via)
 
 
-def _key(fields: Mapping[str, str], repeat: Repeat) -> str | None:
+def _key(fields: Mapping[str, str], repeat: RetrySafety) -> str | None:
     """The idempotency key of a referenced transaction, or the subject of any other."""
-    key = fields.get("opkey" if repeat is Repeat.REFERENCED else "subject")
+    key = fields.get("opkey" if repeat is RetrySafety.IDEMPOTENCY_KEY else "subject")
     if key is not None and len(key) > KEY_MOST:
         raise BadField("opkey or subject")
     return key
--- a/nickelslip/server/node.py
+++ b/nickelslip/server/node.py
@@ -20,8 +20,16 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from nickelslip.admission.control import Control
-from nickelslip.admission.interface import Change, Gauges, Outcome, Remembrance, Result, Settings, State
+from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.interface import (
+    StateChange,
+    Gauges,
+    Outcome,
+    IdempotencyUpdate,
+    Decisions,
+    Settings,
+    RequestState,
+)
 from nickelslip.coming_up.start import Start, Step
 from nickelslip.configuration.config import Config, moved
 from nickelslip.configuration.generations import RESULTS_PART, Generation
@@ -42,7 +50,11 @@
 def part_of_calls(settings: Settings) -> float:
     """This server's part of the calls: one at least, so that a part which is not told is no bound; 0 where it makes
     none."""
-    return max(settings.call_share, FIRST_CALLS) if any(each.calls for each in settings.grades) else 0.0
+    return (
+        max(settings.dependency_concurrency_share, FIRST_CALLS)
+        if any(each.makes_calls for each in settings.traffic_classes)
+        else 0.0
+    )
 
 
 class Phase(Enum):
@@ -82,7 +94,7 @@
         self.phase = Phase.WAITING
         settings = config.settings
         self.coming_up = Start(
-            config.name, config.seed, self.clock(), part_of_calls(settings), settings.cold, settings.cold_ms
+            config.name, config.seed, self.clock(), part_of_calls(settings), settings.starts_cold, settings.warm_up_ms
         )
         self._calls_most = inf  # that the module was told last
         self._step, self._steps = Step.STARTED, Counter[Step]()
@@ -99,7 +111,7 @@
         self.tasks: TaskGroup
         self.parts: list[Callable[[], Awaitable[None]]] = []  # what else runs as long as the server
         self.gauges = Gauges()
-        self._control: Control | None = None
+        self._control: AdmissionController | None = None
         self._deciding = False
         self._clashes = 0  # transactions whose key is another one's
         self._wake = inf
@@ -169,7 +181,7 @@
         self.generation = generation
         self.coming_up.take_part(part_of_calls(generation.settings))
         if self._control is not None:
-            self._decide(Control.change, generation.settings)
+            self._decide(AdmissionController.settings_changed, generation.settings)
         self._move_links()
 
     def _move_links(self) -> None:
@@ -201,9 +213,9 @@
             self._forfeit(one)
 
     def _forfeit(self, one: Transaction) -> None:
-        one.answer(Answer(State.FORFEITED, self.said))
+        one.answer(Answer(RequestState.FAILED, self.said))
         one.run_out = False
-        one.enter(State.FORFEITED)
+        one.enter(RequestState.FAILED)
         one.nudge()
 
     def workers_up(self, ago_ms: float) -> None:
@@ -212,14 +224,16 @@
             return
         now = self.clock()
         try:
-            self._control = Control(self.generation.settings, self.generation.config.seed, now - max(0.0, ago_ms))
+            self._control = AdmissionController(
+                self.generation.settings, self.generation.config.seed, now - max(0.0, ago_ms)
+            )
         except Exception as error:
             self.fail(error)
             return
         self._enter(Phase.SERVING)
         self.coming_up.linked(now, max(0.0, ago_ms))
         self.directory.move()
-        self._decide(Control.start)
+        self._decide(AdmissionController.start)
         self.look()
 
     def look(self) -> None:
@@ -235,14 +249,14 @@
         most, rest_ms = self.coming_up.calls_most, self.coming_up.rest_ms(now)
         if (most != self._calls_most or rest_ms > 0) and self._control is not None and not self._deciding:
             self._calls_most = most
-            self._decide(Control.bound_calls, most, rest_ms)
+            self._decide(AdmissionController.limit_calls, most, rest_ms)
 
     def leave(self) -> None:
         """Told to leave: the notice counts once."""
         if self.phase is Phase.SERVING:
             self._kill = self.clock() + self.generation.config.stop_ms
             self._enter(Phase.DRAINING)
-            self._decide(Control.drain, self._kill)
+            self._decide(AdmissionController.drain, self._kill)
         elif self.phase is Phase.WAITING:
             self.healthy = False
             self.directory.tell()
@@ -309,7 +323,7 @@
             self.tasks.start_soon(self.guard, self._live, one)
         return True
 
-    def _watch(self, one: Transaction, state: State) -> None:
+    def _watch(self, one: Transaction, state: RequestState) -> None:
         """It has its answer, or its caller has gone."""
         if self.meter is not None:
             now = self.clock()
@@ -330,31 +344,31 @@
     def read(self, one: Transaction) -> None:
         earlier = self.table.forerunner(one)
         arrival = one.asked.arrival(one.number, self.clock(), earlier.number if earlier else None)
-        self._decide(Control.read, arrival)
+        self._decide(AdmissionController.request_received, arrival)
 
     def ended(self, one: Transaction, outcome: Outcome, took_ms: float) -> None:
         one.work_ms = took_ms
-        self._decide(Control.ended, one.number, outcome, took_ms)
+        self._decide(AdmissionController.run_ended, one.number, outcome, took_ms)
 
     def at_call(self, one: Transaction) -> None:
-        self._decide(Control.at_call, one.number)
+        self._decide(AdmissionController.call_requested, one.number)
 
     def call_returned(self, one: Transaction, outcome: Outcome, took_ms: float) -> None:
         if self.meter is not None:
             self.meter.call(self.clock(), outcome is not Outcome.OK)
-        if outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
+        if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT):
             self.coming_up.call_answered(self.clock(), took_ms if outcome is Outcome.OK else inf)
-        elif outcome is not Outcome.MOOT:
+        elif outcome is not Outcome.NOT_STARTED:
             self.coming_up.call_failed(self.clock())
-        self._decide(Control.call_returned, one.number, outcome, took_ms)
+        self._decide(AdmissionController.call_returned, one.number, outcome, took_ms)
         self.look()
 
     def caller_gone(self, one: Transaction) -> None:
-        self._decide(Control.caller_gone, one.number)
+        self._decide(AdmissionController.client_disconnected, one.number)
 
     # The module
 
-    def _decide(self, call: Callable[..., Result], *values: object) -> None:
+    def _decide(self, call: Callable[..., Decisions], *values: object) -> None:
         """One call of the module, and all that it decided."""
         if self._control is None:  # failed: what is still in hand has been answered
             for one in list(self.transactions.values()):
@@ -372,19 +386,19 @@
         finally:
             self._deciding = False
 
-    def _carry_out(self, result: Result) -> None:
+    def _carry_out(self, result: Decisions) -> None:
         """Outward words first, so that answers of the same result carry them; then the table; then the changes."""
-        if result.said is not None:
-            self.said = result.said
-        if result.health is not None and result.health.good is not self.healthy:
-            self.healthy = result.health.good
+        if result.advertised_weight is not None:
+            self.said = result.advertised_weight
+        if result.health is not None and result.health.is_healthy is not self.healthy:
+            self.healthy = result.health.is_healthy
             self.log.info("health", good=self.healthy)
             self.directory.tell()
-        if result.idle_ms is not None:
-            self.idle_ms = result.idle_ms
-        for entry in result.table:
+        if result.idle_connection_timeout_ms is not None:
+            self.idle_ms = result.idle_connection_timeout_ms
+        for entry in result.idempotency_updates:
             self._remember(entry)
-        for change in result.changes:
+        for change in result.state_changes:
             self._change_of(change)
         if result.wake_in_ms is not None:
             wake = self.clock() + result.wake_in_ms
@@ -392,15 +406,15 @@
                 self._wake = wake
                 self._wake_moved.set()
 
-    def _remember(self, entry: Remembrance) -> None:
+    def _remember(self, entry: IdempotencyUpdate) -> None:
         one = self.transactions.get(entry.id)
         if one is not None:
-            self.table.remember(one, entry.span_ms)
+            self.table.remember(one, entry.retention_ms)
 
-    def _change_of(self, change: Change) -> None:
+    def _change_of(self, change: StateChange) -> None:
         one = self.transactions.get(change.id)
         if one is not None:
-            if change.state is State.CALLING:
+            if change.state is RequestState.CALL_IN_FLIGHT:
                 self.coming_up.call_out(self.clock())
             one.carry_out(self, change)
             self._tell_change()
@@ -429,7 +443,7 @@
         self._wake = inf
         self._wake_moved.set()
         self.gauges = self.workers.take_gauges() or Gauges()
-        self._decide(Control.timer, self.gauges)
+        self._decide(AdmissionController.timer_fired, self.gauges)
 
     async def _until(self, at: float) -> None:
         """Wait for a moment, or until the wake is moved."""
--- a/nickelslip/server/records.py
+++ b/nickelslip/server/records.py
@@ -116,7 +116,7 @@
                 self._records.reached(ended.detail)
             else:
                 self._records.tell_broken(ended)
-            one.post(Returned(ended.ending.outcome if was is Line.OUT else Outcome.UNREACHED))
+            one.post(Returned(ended.ending.outcome if was is Line.OUT else Outcome.CONNECT_FAILED))
 
     def give_up(self) -> None:
         """Its call is waited for no longer: the end of its connection tells the service, and whatever still comes
--- a/nickelslip/server/table.py
+++ b/nickelslip/server/table.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from nickelslip.admission.interface import Outcome, Repeat
+from nickelslip.admission.interface import Outcome, RetrySafety
 from nickelslip.server.transactions import Finished, Transaction
 
 SLACK_MS = 50.0  # by which, by the protocol, every limit is longer on sockets: that on repeats, too
@@ -17,7 +17,7 @@
 PURGE_MS = 1000.0
 
 
-def _repeat(one: Transaction) -> Repeat:
+def _repeat(one: Transaction) -> RetrySafety:
     return one.generation.repeats[one.asked.grade]
 
 
@@ -34,7 +34,7 @@
 
     def __init__(self, holder: Transaction) -> None:
         self.number, self.fingerprint = holder.number, _fingerprint(holder)
-        self.referenced = _repeat(holder) is Repeat.REFERENCED
+        self.referenced = _repeat(holder) is RetrySafety.IDEMPOTENCY_KEY
         self.holder: Transaction | None = holder
         self.until = 0.0
         self.unread_ms = holder.generation.stall_ms  # a repeat that came in time may lie unread for so long
@@ -89,7 +89,7 @@
             return
         if span_ms <= 0:
             self.forget(one)
-        elif _repeat(one) is Repeat.REFERENCED or one.generation.settings.fresh_ms > 0:
+        elif _repeat(one) is RetrySafety.IDEMPOTENCY_KEY or one.generation.settings.response_cache_ms > 0:
             entry = self._entries.get(key)
             if entry is None or entry.number != one.number:
                 self._drop(key)
@@ -127,7 +127,7 @@
             self._kept[key] = len(body)
             self._bytes += len(body)
             if not entry.referenced:
-                entry.until = min(entry.until, now + one.generation.settings.fresh_ms)
+                entry.until = min(entry.until, now + one.generation.settings.response_cache_ms)
             self._let_go()
         elif not entry.referenced:
             self._drop(key)
--- a/nickelslip/server/transactions.py
+++ b/nickelslip/server/transactions.py
@@ -15,11 +15,11 @@
 
 import anyio
 
-from nickelslip.admission.interface import Arrival, Change, Outcome, State
+from nickelslip.admission.interface import Arrival, StateChange, Outcome, RequestState
 from nickelslip.configuration.generations import Generation
 from nickelslip.server.endings import CALL_GIVEN_UP
 
-FINAL = (State.SATISFIED, State.DISMISSED, State.FORFEITED, State.ABANDONED)
+FINAL = (RequestState.COMPLETED, RequestState.REJECTED, RequestState.FAILED, RequestState.CANCELLED)
 MAIL_MOST = 64  # what the worker pool and the records may have to say of one transaction at once
 
 
@@ -42,23 +42,23 @@
     def arrival(self, number: int, now: float, forerunner: int | None) -> Arrival:
         return Arrival(
             id=number,
-            grade=self.grade,
-            kb=self.kb,
-            customer=self.customer,
-            due_ms=None if self.wait_ms is None else self.reached + self.wait_ms,
+            traffic_class=self.grade,
+            memory_kb=self.kb,
+            tenant=self.customer,
+            deadline_at_ms=None if self.wait_ms is None else self.reached + self.wait_ms,
             cost_hint_ms=self.cost_hint_ms,
-            again=self.again,
-            caller=self.caller,
-            unread_ms=max(0.0, now - self.reached),
-            forerunner=forerunner,
-            keyed=self.key is not None,
+            is_retry=self.again,
+            client=self.caller,
+            read_delay_ms=max(0.0, now - self.reached),
+            original_request_id=forerunner,
+            has_key=self.key is not None,
         )
 
 
 class Answer(NamedTuple):
     """What a caller is told; `said` rides on every answer."""
 
-    state: State
+    state: RequestState
     said: float | None
     body: bytes = b""
     retry_after_ms: float = 0.0
@@ -143,7 +143,7 @@
 
     def __init__(self, asked: Asked, generation: Generation, answer: Callable[[Answer], None]) -> None:
         self.asked, self.number, self.generation = asked, int(asked.ident, 16), generation
-        self.state = State.HELD
+        self.state = RequestState.QUEUED
         self.answered = self.gone = False
         self.run_out = False  # the worker pool has a run of it that has not ended
         self.heard = False  # the worker pool has told something of that run since it was last led on
@@ -152,15 +152,15 @@
         self.call_until, self.call_since, self.joined_since = inf, 0.0, 0.0
         self.joiners: list[Transaction] = []
         self.work_ms = 0.0  # that its run took
-        self.watch: Callable[[Transaction, State], None] | None = None
+        self.watch: Callable[[Transaction, RequestState], None] | None = None
         self._answer = answer
         self._mail: deque[Happening] = deque()
         self._bell: anyio.Event | None = None
 
-    def enter(self, state: State) -> None:
+    def enter(self, state: RequestState) -> None:
         """The one place where it changes its state; a run that is still out keeps it from its end."""
         if self.state not in FINAL:
-            self.state = State.SPENT if state in FINAL and self.run_out else state
+            self.state = RequestState.ORPHANED if state in FINAL and self.run_out else state
 
     def answer(self, answer: Answer) -> None:
         """Answer, once, unless nobody waits any more."""
@@ -193,32 +193,32 @@
 
     # The module's orders
 
-    def carry_out(self, lead: Leads, change: Change) -> None:
+    def carry_out(self, lead: Leads, change: StateChange) -> None:
         """One change that the module decided: it is written out before this returns."""
-        calling = self.state is State.CALLING
+        calling = self.state is RequestState.CALL_IN_FLIGHT
         match change.state:
-            case State.RUNNING:
+            case RequestState.RUNNING:
                 self.run_out, self.heard = True, False
-                self.enter(State.RUNNING)
+                self.enter(RequestState.RUNNING)
                 lead.workers.start(self)
-            case State.HELD | State.PAUSED | State.SPENT:
+            case RequestState.QUEUED | RequestState.PAUSED | RequestState.ORPHANED:
                 if self.run_out:
                     lead.workers.stop(self)
-            case State.CALLING:
-                self.enter(State.CALLING)
-                self.call_since, self.call_until = lead.clock(), lead.clock() + change.span_ms
-                lead.records.call(self, change.span_ms)
-            case State.OMITTED:
-                self.enter(State.OMITTED)
+            case RequestState.CALL_IN_FLIGHT:
+                self.enter(RequestState.CALL_IN_FLIGHT)
+                self.call_since, self.call_until = lead.clock(), lead.clock() + change.duration_ms
+                lead.records.call(self, change.duration_ms)
+            case RequestState.DEGRADED:
+                self.enter(RequestState.DEGRADED)
                 lead.workers.go_on(self)
-            case State.JOINED:
-                self.enter(State.JOINED)
+            case RequestState.COALESCED:
+                self.enter(RequestState.COALESCED)
                 self.joined_since = lead.clock()
                 lead.table.join(self)
-            case State.DISMISSED | State.FORFEITED:
+            case RequestState.REJECTED | RequestState.FAILED:
                 if calling:
                     lead.records.give_up(self)
-                self.answer(Answer(change.state, lead.said, b"", change.span_ms, change.last))
+                self.answer(Answer(change.state, lead.said, b"", change.duration_ms, change.retry_elsewhere_useless))
                 self.enter(change.state)
         self.nudge()
 
@@ -227,43 +227,43 @@
     """The life of one transaction, from its reading on. Every call of the module carries its orders out before it
     returns."""
     while one.state not in FINAL:
-        happening = await one.next(one.call_until - lead.clock() if one.state is State.CALLING else inf)
-        if happening is None and one.state is State.CALLING and lead.clock() >= one.call_until:
+        happening = await one.next(one.call_until - lead.clock() if one.state is RequestState.CALL_IN_FLIGHT else inf)
+        if happening is None and one.state is RequestState.CALL_IN_FLIGHT and lead.clock() >= one.call_until:
             lead.records.give_up(one)
             happening = Returned(CALL_GIVEN_UP)
         match happening:
             case Blocked():
                 one.heard, one.call = True, happening
-                if one.state in (State.RUNNING, State.OMITTED):
-                    one.enter(State.AT_CALL)
+                if one.state in (RequestState.RUNNING, RequestState.DEGRADED):
+                    one.enter(RequestState.AWAITING_CALL)
                 lead.at_call(one)
-            case Returned(outcome, body) if one.state is State.CALLING:
+            case Returned(outcome, body) if one.state is RequestState.CALL_IN_FLIGHT:
                 if outcome is Outcome.OK:
-                    one.enter(State.RUNNING)
+                    one.enter(RequestState.RUNNING)
                     lead.workers.supply(one, body)
                 else:
-                    one.enter(State.AT_CALL)
+                    one.enter(RequestState.AWAITING_CALL)
                 lead.call_returned(one, outcome, lead.clock() - one.call_since)
             case Finished(outcome, took_ms, body, ran):
-                if one.state is State.CALLING:
+                if one.state is RequestState.CALL_IN_FLIGHT:
                     lead.records.give_up(one)
                 one.run_out = False
-                if outcome is Outcome.CANCELLED and one.state in (State.RUNNING, State.OMITTED):
-                    one.enter(State.HELD)  # off the cores, its answer still owed
+                if outcome is Outcome.CANCELLED and one.state in (RequestState.RUNNING, RequestState.DEGRADED):
+                    one.enter(RequestState.QUEUED)  # off the cores, its answer still owed
                     lead.ended(one, outcome, took_ms)
                     continue
                 lead.ended(one, outcome, took_ms)
-                end = State.SATISFIED if outcome is Outcome.OK else State.FORFEITED
+                end = RequestState.COMPLETED if outcome is Outcome.OK else RequestState.FAILED
                 one.answer(Answer(end, lead.said, body))
                 one.enter(end)
                 lead.table.settle(one, outcome, body)
                 if not ran:
                     lead.table.forget(one)
-            case Gone() if one.state not in (State.SPENT, *FINAL):
-                if one.state is State.CALLING:
+            case Gone() if one.state not in (RequestState.ORPHANED, *FINAL):
+                if one.state is RequestState.CALL_IN_FLIGHT:
                     lead.records.give_up(one)
                 one.gone = True
-                one.enter(State.ABANDONED)
+                one.enter(RequestState.CANCELLED)
                 if one.watch is not None and not one.answered:
-                    one.watch(one, State.ABANDONED)
+                    one.watch(one, RequestState.CANCELLED)
                 lead.caller_gone(one)
--- a/nickelslip/server/workers.py
+++ b/nickelslip/server/workers.py
@@ -19,7 +19,7 @@
 import anyio
 import orjson
 
-from nickelslip.admission.interface import Gauges, Outcome, Repeat, State, Stopping
+from nickelslip.admission.interface import Gauges, Outcome, RetrySafety, RequestState, Preemption
 from nickelslip.coming_up.spread import Backoff
 from nickelslip.configuration.config import Address
 from nickelslip.server.endings import NOT_CARRIED_OUT, RUN_ENDS, SPOILT_END, Ended, Ending
@@ -37,7 +37,12 @@
 BACKLOG_MOST = 1 << 20
 UNPROVEN_MOST = 4096
 PARTS_OF_NOTICE = re.compile(rb'"(op|seq|id)"\s*:\s*"?(\w+)')  # what can still be told of one that is no JSON
-GAUGES = {"cpu_busy": "busy", "runnable": "wanting", "mem_used": "memory", "sockets": "connections"}
+GAUGES = {
+    "cpu_busy": "cpu_utilization",
+    "runnable": "run_queue_length",
+    "mem_used": "memory_utilization",
+    "sockets": "connection_count",
+}
 
 
 class Link(Enum):
@@ -78,7 +83,7 @@
         self._gauges: Gauges | None = None
         self._waiting: deque[Command] = deque()  # never written: a transaction has few, and few are in hand
         self._unproven: deque[Command] = deque(maxlen=UNPROVEN_MOST)  # written, and not yet known to have got there
-        self._halts = around.generation.settings.stopping is not Stopping.NEVER  # never changes while it serves
+        self._halts = around.generation.settings.preemption is not Preemption.NEVER  # never changes while it serves
 
     @property
     def up(self) -> bool:
@@ -350,7 +355,7 @@
             return False
         if command.op == "spawn":
             return not one.heard and self._replayable(one)
-        return command.op == "pass" and one.state is State.OMITTED and command.fields["seq"] == one.call.seq
+        return command.op == "pass" and one.state is RequestState.DEGRADED and command.fields["seq"] == one.call.seq
 
     def _may_start_over(self, command: Command) -> bool:
         """A reply that may have been lost cannot be repeated: the run may stand at its next call. A replayable run
@@ -361,14 +366,14 @@
             one is not None
             and one.run_out
             and not one.heard
-            and one.state is State.RUNNING
+            and one.state is RequestState.RUNNING
             and command.op == "supply"
             and self._halts
             and self._replayable(one)
         )
 
     def _replayable(self, one: Transaction) -> bool:
-        return one.generation.repeats[one.asked.grade] is Repeat.REPLAYABLE
+        return one.generation.repeats[one.asked.grade] is RetrySafety.IDEMPOTENT
 
     def _polled(self, tag: str, values: list[Any]) -> None:
         self._answers += 1
--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -11,17 +11,22 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from nickelslip.admission.interface import Customer, Grade, Repeat, Said, Settings, Stopping
+from nickelslip.admission.interface import Tenant, TrafficClass, RetrySafety, LoadSignal, Settings, Preemption
 
 T = TypeVar("T")
 
 REPEATS = {
-    "read_like": Repeat.REPLAYABLE,
-    "idempotency_key": Repeat.REFERENCED,
-    "non_idempotent": Repeat.SINGLE_USE,
+    "read_like": RetrySafety.IDEMPOTENT,
+    "idempotency_key": RetrySafety.IDEMPOTENCY_KEY,
+    "non_idempotent": RetrySafety.NON_IDEMPOTENT,
+}
+STOPPINGS = {"silent": Preemption.NEVER, "drop": Preemption.DISCARD_PROGRESS, "pause": Preemption.KEEP_PROGRESS}
+SAID = {
+    "silent": LoadSignal.NONE,
+    "bias": LoadSignal.SELECTION_PROBABILITY,
+    "tokens": LoadSignal.CLIENT_CONCURRENCY,
+    "min_rank": LoadSignal.PRIORITY_THRESHOLD,
 }
-STOPPINGS = {"silent": Stopping.NEVER, "drop": Stopping.DROP, "pause": Stopping.PAUSE}
-SAID = {"silent": Said.NOTHING, "bias": Said.CHANCE, "tokens": Said.SLOTS, "min_rank": Said.RANK}
 
 
 class Malformed(Exception):
@@ -133,50 +138,50 @@
     calls_are = facts.one_of("below", {name: name for name in ("common", "next_hop", "silent")}, "silent")
     known_calls, omit_shares = facts.values("class-calls"), facts.values("class-skip-worth")
     grades = tuple(
-        Grade(
+        TrafficClass(
             name=each.text("name"),
-            credit=each.number("gain"),
-            quoted_ms=each.number("aim-ms", above=True),
-            abandon_ms=each.number("deadline-ms", above=True),
-            repeat=each.one_of("idempotency", REPEATS),
-            window_ms=each.number("memory-span-ms", 0.0),
-            late_share=each.number("late-worth", 0.0),
-            stretch=each.number("aim-stretch", 0.0),
-            calls=calls_are != "silent" and (bool(known_calls[at]) if at < len(known_calls) else True),
-            omit_share=_share(omit_shares[at], at, faults) if at < len(omit_shares) else 0.0,
+            priority_weight=each.number("gain"),
+            latency_objective_ms=each.number("aim-ms", above=True),
+            timeout_ms=each.number("deadline-ms", above=True),
+            retry_safety=each.one_of("idempotency", REPEATS),
+            idempotency_window_ms=each.number("memory-span-ms", 0.0),
+            late_value_fraction=each.number("late-worth", 0.0),
+            objective_stretch=each.number("aim-stretch", 0.0),
+            makes_calls=calls_are != "silent" and (bool(known_calls[at]) if at < len(known_calls) else True),
+            degraded_value_fraction=_share(omit_shares[at], at, faults) if at < len(omit_shares) else 0.0,
         )
         for at, each in enumerate(info.each("classes"))
     )
     return Settings(
-        grades=grades,
-        cores=facts.whole("cpus"),
+        traffic_classes=grades,
+        core_count=facts.whole("cpus"),
         memory_kb=facts.number("memory-kb", above=True),
-        run_factor=facts.number("run-factor", least=1.0),
-        cold=facts.flag("cold"),
-        cold_from=rules.number("cold-from", most=1.0),
-        cold_ms=rules.number("cold-ms", above=True),
-        crowd_multiple=rules.number("fall-multiple", least=1.0),
+        running_memory_factor=facts.number("run-factor", least=1.0),
+        starts_cold=facts.flag("cold"),
+        cold_speed_fraction=rules.number("cold-from", most=1.0),
+        warm_up_ms=rules.number("cold-ms", above=True),
+        overload_concurrency_per_core=rules.number("fall-multiple", least=1.0),
         answer_slack_ms=rules.number("answer-slack-ms"),
         drain_grace_ms=rules.number("stop-sending-within-ms"),
         tick_ms=info.number("tick-ms", above=True),
-        servers=info.whole("servers", 1, 0) or 1,
-        callers=facts.whole("callers", 1, 0) or 1,
-        customers=tuple(
-            Customer(each.text("name"), each.number("quota-rps", 0.0)) for each in info.each("tenants", needed=False)
+        server_count=info.whole("servers", 1, 0) or 1,
+        client_count=facts.whole("callers", 1, 0) or 1,
+        tenants=tuple(
+            Tenant(each.text("name"), each.number("quota-rps", 0.0)) for each in info.each("tenants", needed=False)
         ),
-        beyond_share_worth=info.number("over-share-worth", 1.0),
-        counted_by_work=info.one_of("counted-by", {"work": True, "request": False}, "request"),
-        marks_again=habits.flag("marks-retry"),
-        stopping=facts.one_of("stop-mode", STOPPINGS, "silent"),
-        said=facts.one_of("say", SAID, "silent"),
-        advice_max_ms=bounds.number("max-retry-after-ms", 0.0) if bounds.flag("retry-after") else 0.0,
-        call_share=facts.number("dep-share", 0.0) if calls_are == "common" else 0.0,
-        call_span_ms=facts.number("calls-over-ms", 0.0),
-        call_linger_ms=facts.number("stays-for-ms", 0.0),
-        entry_kb=facts.number("kb-per-key", 0.0),
-        fresh_ms=facts.number("fresh-ms", 0.0),
-        idle_ms=facts.number("idle-ms", 0.0),
-        checks_work=facts.flag("real-checks"),
+        over_quota_value_fraction=info.number("over-share-worth", 1.0),
+        value_counts_work=info.one_of("counted-by", {"work": True, "request": False}, "request"),
+        clients_mark_retries=habits.flag("marks-retry"),
+        preemption=facts.one_of("stop-mode", STOPPINGS, "silent"),
+        load_signal=facts.one_of("say", SAID, "silent"),
+        retry_after_max_ms=bounds.number("max-retry-after-ms", 0.0) if bounds.flag("retry-after") else 0.0,
+        dependency_concurrency_share=facts.number("dep-share", 0.0) if calls_are == "common" else 0.0,
+        dependency_window_ms=facts.number("calls-over-ms", 0.0),
+        abandoned_call_linger_ms=facts.number("stays-for-ms", 0.0),
+        idempotency_record_kb=facts.number("kb-per-key", 0.0),
+        response_cache_ms=facts.number("fresh-ms", 0.0),
+        idle_connection_timeout_ms=facts.number("idle-ms", 0.0),
+        health_check_costs_work=facts.flag("real-checks"),
     )
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,18 +18,18 @@
 import anyio
 import anyio.abc
 
-from nickelslip.admission.control import Control
+from nickelslip.admission.control import AdmissionController
 from nickelslip.admission.interface import (
     Arrival,
     Gauges,
-    Grade,
+    TrafficClass,
     Outcome,
-    Repeat,
-    Result,
-    Said,
+    RetrySafety,
+    Decisions,
+    LoadSignal,
     Settings,
-    State,
-    Stopping,
+    RequestState,
+    Preemption,
 )
 from nickelslip.server import resp
 from nickelslip.server.balancers import Balancers, bind
@@ -41,31 +41,31 @@
 from nickelslip.configuration.store import Store
 from nickelslip.server.node import Node, Phase
 
-READ = Grade("read", 1.0, 1000.0, 3000.0, Repeat.REPLAYABLE, calls=True, omit_share=0.5)
-PAY = Grade("pay", 3.0, 500.0, 1500.0, Repeat.SINGLE_USE, calls=True)
-BOOK = Grade("book", 2.0, 800.0, 2000.0, Repeat.REFERENCED, window_ms=4000.0)
+READ = TrafficClass("read", 1.0, 1000.0, 3000.0, RetrySafety.IDEMPOTENT, makes_calls=True, degraded_value_fraction=0.5)
+PAY = TrafficClass("pay", 3.0, 500.0, 1500.0, RetrySafety.NON_IDEMPOTENT, makes_calls=True)
+BOOK = TrafficClass("book", 2.0, 800.0, 2000.0, RetrySafety.IDEMPOTENCY_KEY, idempotency_window_ms=4000.0)
 
 
 def settings(**changes: object) -> Settings:
     base: dict[str, object] = dict(
-        grades=(READ, PAY, BOOK),
-        cores=2,
+        traffic_classes=(READ, PAY, BOOK),
+        core_count=2,
         memory_kb=2000.0,
-        run_factor=4.0,
-        cold=False,
-        cold_from=0.3,
-        cold_ms=8000.0,
-        crowd_multiple=4.0,
+        running_memory_factor=4.0,
+        starts_cold=False,
+        cold_speed_fraction=0.3,
+        warm_up_ms=8000.0,
+        overload_concurrency_per_core=4.0,
         answer_slack_ms=60.0,
         drain_grace_ms=1000.0,
         tick_ms=5.0,
-        said=Said.CHANCE,
-        advice_max_ms=999.0,
-        call_share=2.0,
-        call_span_ms=2000.0,
-        call_linger_ms=200.0,
-        entry_kb=20.0,
-        marks_again=True,
+        load_signal=LoadSignal.SELECTION_PROBABILITY,
+        retry_after_max_ms=999.0,
+        dependency_concurrency_share=2.0,
+        dependency_window_ms=2000.0,
+        abandoned_call_linger_ms=200.0,
+        idempotency_record_kb=20.0,
+        clients_mark_retries=True,
     )
     return Settings(**{**base, **changes})  # type: ignore[arg-type]
 
@@ -74,7 +74,7 @@
 class Known:
     """What the model knows of one transaction."""
 
-    grade: Grade
+    grade: TrafficClass
     kb: float
     due: float
     reached: float
@@ -97,111 +97,130 @@
         self.outs: list[tuple[float, float]] = []  # spans in which a call was out
         self.out_since: dict[int, float] = {}
         self.out_until: dict[int, float] = {}
-        self.control = Control(self.s, seed, 0.0)
+        self.control = AdmissionController(self.s, seed, 0.0)
         self.last = self.take(self.control.start(0.0))
 
-    def take(self, result: Result) -> Result:
+    def take(self, result: Decisions) -> Decisions:
         self.last = result
-        if result.said is not None:
-            self.said.append(result.said)
+        if result.advertised_weight is not None:
+            self.said.append(result.advertised_weight)
         if result.wake_in_ms is not None:
             assert result.wake_in_ms > 0
             self.wakes.append(self.now + result.wake_in_ms)
-        for entry in result.table:
-            self.entries[entry.id] = self.now + entry.span_ms
-        for change in result.changes:
-            self.carry_out(change.id, change.state, change.span_ms)
-        if result.changes or result.table:
+        for entry in result.idempotency_updates:
+            self.entries[entry.id] = self.now + entry.retention_ms
+        for change in result.state_changes:
+            self.carry_out(change.id, change.state, change.duration_ms)
+        if result.state_changes or result.idempotency_updates:
             self.check()
         return result
 
-    def carry_out(self, ident: int, state: State, span: float) -> None:
+    def carry_out(self, ident: int, state: RequestState, span: float) -> None:
         one = self.known[ident]
-        final_risk = one.runs and one.grade.repeat is not Repeat.REPLAYABLE
-        if state in (State.DISMISSED, State.FORFEITED):
+        final_risk = one.runs and one.grade.retry_safety is not RetrySafety.IDEMPOTENT
+        if state in (RequestState.REJECTED, RequestState.FAILED):
             one.answers += 1
             assert one.answers == 1 and not one.gone, "a second answer"
-            assert not (state is State.DISMISSED and final_risk), "dismissed after it ran"
+            assert not (state is RequestState.REJECTED and final_risk), "dismissed after it ran"
             if one.place != "core":
                 self.leave(ident)
-        elif state is State.RUNNING:
+        elif state is RequestState.RUNNING:
             assert one.place == "held" and not one.answers and not final_risk, "run twice"
             assert self.drained is None or one.reached <= self.drained + self.s.drain_grace_ms, "run past the grace"
-            if one.grade.repeat is Repeat.REFERENCED:
-                assert self.entries[ident] >= one.reached + one.grade.window_ms, "run without its entry"
+            if one.grade.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
+                assert self.entries[ident] >= one.reached + one.grade.idempotency_window_ms, "run without its entry"
             one.place, one.runs = "core", one.runs + 1
-        elif state is State.CALLING:
+        elif state is RequestState.CALL_IN_FLIGHT:
             assert one.place == "call" and not one.answers
-            assert one.grade.repeat is Repeat.REPLAYABLE or not one.unproven, "a call repeated"
+            assert one.grade.retry_safety is RetrySafety.IDEMPOTENT or not one.unproven, "a call repeated"
             one.place, self.out_since[ident], self.out_until[ident] = "out", self.now, self.now + (span or 1e9)
-        elif state is State.OMITTED:
-            assert one.place == "call" and one.grade.omit_share > 0
+        elif state is RequestState.DEGRADED:
+            assert one.place == "call" and one.grade.degraded_value_fraction > 0
             one.place = "core"
-        elif state is State.JOINED:
+        elif state is RequestState.COALESCED:
             one.place = "joined"
         else:
-            assert state is State.SPENT and self.s.stopping is not Stopping.NEVER and one.place in ("core", "off")
+            assert (
+                state is RequestState.ORPHANED
+                and self.s.preemption is not Preemption.NEVER
+                and one.place in ("core", "off")
+            )
             assert one.answers or one.gone
             self.leave(ident)
 
     def leave(self, ident: int) -> None:
         if self.known[ident].place == "out":
-            self.outs.append((self.out_since.pop(ident), self.now + self.s.call_linger_ms))
+            self.outs.append((self.out_since.pop(ident), self.now + self.s.abandoned_call_linger_ms))
         self.known[ident].place = "off"
 
     def check(self) -> None:
         """Rule 4 at the end of every call, and rule 1."""
         places = [one.place for one in self.known.values()]
-        warmth = min(1.0, self.s.cold_from + (1 - self.s.cold_from) * self.now / self.s.cold_ms) if self.s.cold else 1.0
-        assert places.count("core") <= self.s.cores * (1 + (self.s.crowd_multiple - 1) * warmth) + 1e-6
-        used = sum(self.s.entry_kb for until in self.entries.values() if until > self.now)
+        warmth = (
+            min(1.0, self.s.cold_speed_fraction + (1 - self.s.cold_speed_fraction) * self.now / self.s.warm_up_ms)
+            if self.s.starts_cold
+            else 1.0
+        )
+        assert (
+            places.count("core") <= self.s.core_count * (1 + (self.s.overload_concurrency_per_core - 1) * warmth) + 1e-6
+        )
+        used = sum(self.s.idempotency_record_kb for until in self.entries.values() if until > self.now)
         for one in self.known.values():
-            used += one.kb * {"off": 0, "held": 1, "joined": 1}.get(one.place, self.s.run_factor)
+            used += one.kb * {"off": 0, "held": 1, "joined": 1}.get(one.place, self.s.running_memory_factor)
             assert one.answers or one.gone or self.now <= one.due + self.s.answer_slack_ms, "an answer overdue"
             assert one.answers or one.gone or self.kill is None or self.now < self.kill
         assert used <= self.s.memory_kb + 1e-6
-        if self.s.call_share:
-            begin = self.now - self.s.call_span_ms
+        if self.s.dependency_concurrency_share:
+            begin = self.now - self.s.dependency_window_ms
             spans = self.outs + [(since, self.now) for since in self.out_since.values()]
-            mean = sum(max(0.0, min(end, self.now) - max(since, begin)) for since, end in spans) / self.s.call_span_ms
-            assert mean <= self.s.call_share + 1e-6
+            mean = (
+                sum(max(0.0, min(end, self.now) - max(since, begin)) for since, end in spans)
+                / self.s.dependency_window_ms
+            )
+            assert mean <= self.s.dependency_concurrency_share + 1e-6
 
     def read(
-        self, ident: int, grade: Grade, kb: float = 10.0, wait: float | None = None, unread: float = 0.0, **more: object
-    ) -> Result:
+        self,
+        ident: int,
+        grade: TrafficClass,
+        kb: float = 10.0,
+        wait: float | None = None,
+        unread: float = 0.0,
+        **more: object,
+    ) -> Decisions:
         reached = self.now - unread
         due = None if wait is None else max(self.now, reached + wait)
-        self.known[ident] = Known(grade, kb, due or max(self.now, reached + grade.abandon_ms), reached)
-        arrival = Arrival(ident, grade.name, kb, due_ms=due, unread_ms=unread, **more)  # type: ignore[arg-type]
-        return self.take(self.control.read(self.now, arrival))
+        self.known[ident] = Known(grade, kb, due or max(self.now, reached + grade.timeout_ms), reached)
+        arrival = Arrival(ident, grade.name, kb, deadline_at_ms=due, read_delay_ms=unread, **more)  # type: ignore[arg-type]
+        return self.take(self.control.request_received(self.now, arrival))
 
-    def end(self, ident: int, outcome: Outcome = Outcome.OK, took: float = 100.0) -> Result:
+    def end(self, ident: int, outcome: Outcome = Outcome.OK, took: float = 100.0) -> Decisions:
         one = self.known[ident]
         if one.place in ("core", "joined") and outcome in (Outcome.OK, Outcome.ERROR) and not one.gone:
             one.answers = 1
         self.leave(ident)
-        return self.take(self.control.ended(self.now, ident, outcome, took))
+        return self.take(self.control.run_ended(self.now, ident, outcome, took))
 
-    def call(self, ident: int) -> Result:
+    def call(self, ident: int) -> Decisions:
         one = self.known[ident]
         one.place = "off" if one.answers or one.gone else "call"
-        return self.take(self.control.at_call(self.now, ident))
+        return self.take(self.control.call_requested(self.now, ident))
 
-    def back(self, ident: int, outcome: Outcome) -> Result:
+    def back(self, ident: int, outcome: Outcome) -> Decisions:
         one, since = self.known[ident], self.out_since.pop(ident)
-        self.outs.append((since, self.now + (self.s.call_linger_ms if outcome is Outcome.TIMEOUT else 0.0)))
+        self.outs.append((since, self.now + (self.s.abandoned_call_linger_ms if outcome is Outcome.TIMEOUT else 0.0)))
         one.place = "core" if outcome is Outcome.OK else "call"
         one.unproven = outcome is not Outcome.OK and not outcome.proves_never_ran
         return self.take(self.control.call_returned(self.now, ident, outcome, self.now - since))
 
-    def gone(self, ident: int) -> Result:
+    def gone(self, ident: int) -> Decisions:
         one = self.known[ident]
         one.gone = True
         if one.place != "core":
             self.leave(ident)
-        return self.take(self.control.caller_gone(self.now, ident))
+        return self.take(self.control.client_disconnected(self.now, ident))
 
-    def change(self, **changes: object) -> Result:
+    def change(self, **changes: object) -> Decisions:
         """Other settings; what was within a bound that is lowered now may stay until it ends."""
         fresh = replace(self.told, **changes)  # type: ignore[arg-type]
         self.told, old = fresh, self.s
@@ -209,12 +228,12 @@
             fresh,
             **{
                 name: max(getattr(old, name), getattr(fresh, name))
-                for name in ("memory_kb", "cores", "crowd_multiple", "call_share")
+                for name in ("memory_kb", "core_count", "overload_concurrency_per_core", "dependency_concurrency_share")
             },
         )
-        return self.take(self.control.change(self.now, fresh))
+        return self.take(self.control.settings_changed(self.now, fresh))
 
-    def drain(self, left: float) -> Result:
+    def drain(self, left: float) -> Decisions:
         self.drained, self.kill = self.now, self.now + left
         return self.take(self.control.drain(self.now, self.kill))
 
@@ -230,7 +249,7 @@
                 if self.out_until[ident] <= self.now:
                     self.back(ident, Outcome.TIMEOUT)
             for _ in due:
-                self.take(self.control.timer(self.now, Gauges(busy=busy)))
+                self.take(self.control.timer_fired(self.now, Gauges(cpu_utilization=busy)))
 
     def at(self, place: str) -> list[int]:
         return [ident for ident, one in self.known.items() if one.place == place]
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from nickelslip.admission.control import Control
+from nickelslip.admission.control import AdmissionController
 from nickelslip.bench.adapter import main
 from nickelslip.settings import settings_from
 
@@ -100,7 +100,7 @@
     def broken(self, now, arrival):
         raise RuntimeError("lost count")
 
-    monkeypatch.setattr(Control, "read", broken)
+    monkeypatch.setattr(AdmissionController, "request_received", broken)
     code, out, _ = play("TICK 0", START, "ASK server/1 1 p", "OVER_TO_YOU")
     assert code == 0 and out[-2].startswith("BROKEN server/1 RuntimeError: lost count at test_bench.py:")
 
@@ -115,4 +115,9 @@
 
 def test_settings_keep_their_meaning():
     told = settings_from(json.dumps(INFO))
-    assert (told.call_share, told.grades[0].calls, told.advice_max_ms, told.customers) == (2.0, True, 1000.0, ())
+    assert (
+        told.dependency_concurrency_share,
+        told.traffic_classes[0].makes_calls,
+        told.retry_after_max_ms,
+        told.tenants,
+    ) == (2.0, True, 1000.0, ())
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -20,8 +20,8 @@
 from click.testing import CliRunner
 
 from benchmarks.watched import Witness, watch
-from nickelslip.admission.control import Control, Grading
-from nickelslip.admission.interface import State
+from nickelslip.admission.control import AdmissionController, ClassStatistics
+from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import client, history, loading, store
 from nickelslip.configuration.changes import Denial, Denied, start_of
 from nickelslip.configuration.commands import config as config_command, roll_out
@@ -50,7 +50,7 @@
 @pytest.fixture
 def witness(monkeypatch):
     """A watch over every event of every transaction."""
-    for part, name in ((Control, "_adopt"), (Node, "_decide")):
+    for part, name in ((AdmissionController, "_adopt"), (Node, "_decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
     seen = Witness()
     watch(seen)
@@ -75,7 +75,7 @@
         await caller.ask(held, "pay")
         await until(lambda: len(place.node.transactions) == 4)
         states = {one.state for one in place.node.transactions.values()}
-        assert {State.CALLING, State.RUNNING, State.JOINED} <= states
+        assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
         reply = await place.push(SOON)
         assert reply["change"]["step"] == "on_probation" and place.node.generation.number == 2
         assert "book" not in place.node.generation.repeats  # gone, yet what was read of it goes on
@@ -115,7 +115,7 @@
         control._weight, mean = 0.5, control._gradings["pay"].run
         await place.push(SOON)
         assert control._gradings["pay"].run is mean and mean._seen == 1 and control._weight <= 0.6
-        assert control._gradings["pay"].quoted == 400.0 and isinstance(control._gradings["pay"], Grading)
+        assert control._gradings["pay"].quoted == 400.0 and isinstance(control._gradings["pay"], ClassStatistics)
         assert control._most == 2
 
 
@@ -131,9 +131,9 @@
                 await place.push({"machine": {"cores": 50}})
             assert caught.value.denial is Denial.BUSY
             await place.changing.command({"do": "confirm"})
-        assert place.node.generation.number == 11 and place.node.generation.settings.cores == 12
+        assert place.node.generation.number == 11 and place.node.generation.settings.core_count == 12
         reply = await place.changing.command({"do": "rollback", "generation": 9})
-        assert place.node.generation.settings.cores == 10 and reply["change"]["step"] == "on_probation"
+        assert place.node.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
 
 
 async def test_two_at_once_are_never_merged_and_one_in_the_middle_of_an_undoing_waits(tmp_path, monkeypatch):
@@ -160,7 +160,10 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(lambda: ask(do="rollback"))
             tasks.start_soon(lambda: ask(do="apply", document={"machine": {"cores": 5}}))
-        assert place.node.generation.settings.cores == 5 and place.node.generation.settings.idle_ms == 15000.0
+        assert (
+            place.node.generation.settings.core_count == 5
+            and place.node.generation.settings.idle_connection_timeout_ms == 15000.0
+        )
         assert [each.event.value for each in place.changing.changes.records] == [
             "started",
             "applied",
@@ -181,10 +184,10 @@
         assert place.changing.changes.current is not None
         await place.move()  # SIGHUP with other addresses, amid a probation
         await until(lambda: place.node.workers.up)
-        assert place.node.generation.settings.cores == 7
+        assert place.node.generation.settings.core_count == 7
         await place.running(caller, A, "pay")
         await place.changing.command({"do": "rollback"})
-        assert place.node.generation.settings.cores == 2
+        assert place.node.generation.settings.core_count == 2
         assert place.node.generation.config.pool[1] == place.pool.port and place.node.workers.up
         await place.pool.finish(A)
         assert (await caller.answer())[:2] == (1, "done")
@@ -220,7 +223,7 @@
         await place.push({"machine": {"cores": 1}})
         meter.count_as_in_time(quoted)
         await go_on(lambda pair: 0.1, lambda: place.changing.changes.current is None)
-        assert place.node.generation.settings.cores == 6
+        assert place.node.generation.settings.core_count == 6
         last = place.changing.changes.records[-1]
         assert last.event is history.Event.ROLLED_BACK and "quoted time" in last.reason
         with pytest.raises(Denied) as caught:
@@ -235,15 +238,15 @@
         await place.changing.command({"do": "confirm"})
         place.node.reloads.reload()  # the file says what it said: the change stays
         await anyio.sleep(0.1)
-        assert place.node.generation.settings.cores == 5
+        assert place.node.generation.settings.core_count == 5
         place.config["pool"] = "nowhere"
         place.node.reloads.reload()
         await anyio.sleep(0.1)
-        assert place.node.generation.settings.cores == 5
+        assert place.node.generation.settings.core_count == 5
         place.config.update(pool=f"127.0.0.1:{place.pool.port}", stop_ms=800)
         place.node.reloads.reload()
         await until(lambda: place.node.generation.config.stop_ms == 800)
-        assert place.changing.changes.current is not None and place.node.generation.settings.cores == 2
+        assert place.changing.changes.current is not None and place.node.generation.settings.core_count == 2
 
 
 # Files
@@ -355,7 +358,7 @@
         place.changing._store.append = full
         with pytest.raises(Denied) as caught:
             await place.push({"machine": {"cores": 3}})
-        assert caught.value.denial is Denial.HISTORY and place.node.generation.settings.cores == 2
+        assert caught.value.denial is Denial.HISTORY and place.node.generation.settings.core_count == 2
         place.changing._store.append = real
         await place.push({"machine": {"cores": 4}})
         place.changing._store.append = full
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nickelslip.admission.interface import State
+from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import history, text
 from nickelslip.configuration.changes import Changes, Denial, Denied, Step, start_of
 from nickelslip.configuration.config import config_of
@@ -53,7 +53,11 @@
 
 def test_a_document_makes_one_config_and_a_config_one_document():
     config = ours().config
-    assert (config.settings.cores, config.pool, config.settings.grades[1].credit) == (2, ("127.0.0.1", 7300), 3.0)
+    assert (config.settings.core_count, config.pool, config.settings.traffic_classes[1].priority_weight) == (
+        2,
+        ("127.0.0.1", 7300),
+        3.0,
+    )
     assert config_from(document_of(config)) == config
     platform = config_of(GOOD, {})
     assert config_from(document_of(platform)) == platform
@@ -114,8 +118,8 @@
         "repeat: 'replayable'}}, customers: {acme: null}}",
         environment={"ROUTER_NAME": "n7", "NICKELSLIP_SET_MACHINE__MEMORY_KB": "9000"},
     )
-    assert (told.config.name, told.config.settings.cores, told.config.settings.memory_kb) == ("n7", 4, 9000.0)
-    assert not told.config.settings.customers and len(told.config.settings.grades) == 3
+    assert (told.config.name, told.config.settings.core_count, told.config.settings.memory_kb) == ("n7", 4, 9000.0)
+    assert not told.config.settings.tenants and len(told.config.settings.traffic_classes) == 3
     assert told.origin(("machine", "cores")) == "1.json5:1:12"
     assert told.origin(("machine", "run_factor")) == "default"
     assert told.origin(("machine", "memory_kb")).endswith("MEMORY_KB")
@@ -208,7 +212,7 @@
         changes.moved(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
         record = changes.roll_back(4.0, "harm")[1] if undo else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
-        assert changes.in_force.generation.config.settings.cores == (2 if undo else 3)
+        assert changes.in_force.generation.config.settings.core_count == (2 if undo else 3)
         again = start_of([*changes.records], ours().document, 5.0)
         assert record in changes.records and again.document["peers"]["pool"] == "127.0.0.1:99"
         assert again.document["machine"]["cores"] == (2 if undo else 3)
@@ -336,7 +340,7 @@
             for _ in range(count):
                 meter.read(now, *pair)
                 good = chance.random() < kept(pair)
-                meter.ended(now, *pair, State.SATISFIED if good else State.DISMISSED, 10.0, WORK[pair[0]])
+                meter.ended(now, *pair, RequestState.COMPLETED if good else RequestState.REJECTED, 10.0, WORK[pair[0]])
 
 
 def judged(seed, kept, load=1.0, weight=1.0, before=lambda pair: 0.97, until=8000.0, busy=0.6):
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -4,7 +4,7 @@
 import anyio
 import pytest
 
-from nickelslip.admission.interface import Stopping
+from nickelslip.admission.interface import Preemption
 from nickelslip.server import resp
 from tests.helpers import A, B, C, Place, until
 
@@ -30,7 +30,7 @@
 async def test_without_customers_a_transaction_names_none_and_is_served():
     async with new_operator() as place:
         caller = await (await place.up()).caller()
-        assert not place.node.generation.settings.customers and not place.node.generation.settings.marks_again
+        assert not place.node.generation.settings.tenants and not place.node.generation.settings.clients_mark_retries
         await place.running(caller, A, without="owner")
         await place.pool.finish(A)
         assert (await caller.answer())[:2] == (1, "done")
@@ -41,7 +41,7 @@
 async def test_a_run_that_can_be_paused_is_stopped_once_its_caller_has_gone():
     async with new_operator(**{"stop-mode": "pause"}) as place:
         caller = await (await place.up()).caller()
-        assert place.node.generation.settings.stopping is Stopping.PAUSE
+        assert place.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
         tag = await place.running(caller, A, without="owner")
         await caller.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
         await until(lambda: place.pool.told("suspend", A))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, settings as profile, strategies as st
 
-from nickelslip.admission.interface import Outcome, Stopping
+from nickelslip.admission.interface import Outcome, Preemption
 from tests.helpers import BOOK, PAY, READ, World, settings
 
 EVENTS = st.one_of(
@@ -22,26 +22,32 @@
         st.just("change"),
         st.sampled_from(
             (
-                {"cores": 1},
-                {"cores": 4},
-                {"running_most": 1.0},
-                {"running_most": float("inf")},
+                {"core_count": 1},
+                {"core_count": 4},
+                {"max_concurrency": 1.0},
+                {"max_concurrency": float("inf")},
                 {"memory_kb": 400.0},
                 {"memory_kb": 3000.0},
-                {"call_share": 0.3},
-                {"call_share": 3.0},
-                {"crowd_multiple": 2.0},
-                {"grades": (replace(READ, quoted_ms=50.0), replace(PAY, reserve=1), BOOK)},
+                {"dependency_concurrency_share": 0.3},
+                {"dependency_concurrency_share": 3.0},
+                {"overload_concurrency_per_core": 2.0},
                 {
-                    "grades": (
-                        replace(READ, credit=9.0, calls=False, omit_share=0.0),
+                    "traffic_classes": (
+                        replace(READ, latency_objective_ms=50.0),
+                        replace(PAY, reserved_slot_count=1),
+                        BOOK,
+                    )
+                },
+                {
+                    "traffic_classes": (
+                        replace(READ, priority_weight=9.0, makes_calls=False, degraded_value_fraction=0.0),
                         PAY,
-                        replace(BOOK, window_ms=100.0),
+                        replace(BOOK, idempotency_window_ms=100.0),
                     )
                 },
-                {"grades": (PAY,)},
-                {"grades": (READ, PAY, BOOK)},
-                {"advice_max_ms": 0.0},
+                {"traffic_classes": (PAY,)},
+                {"traffic_classes": (READ, PAY, BOOK)},
+                {"retry_after_max_ms": 0.0},
             )
         ),
     ),
@@ -51,13 +57,13 @@
 @profile(derandomize=True, database=None, deadline=None, max_examples=100)
 @given(
     st.lists(EVENTS, min_size=20, max_size=80),
-    st.sampled_from(Stopping),
+    st.sampled_from(Preemption),
     st.booleans(),
     st.sampled_from((0.0, 0.4, 2.0)),
     st.sampled_from((600.0, 3000.0)),
 )
 def test_the_rules_hold_on_any_day(events, stopping, cold, share, memory):
-    world = World(settings(stopping=stopping, cold=cold, call_share=share, memory_kb=memory))
+    world = World(settings(preemption=stopping, starts_cold=cold, dependency_concurrency_share=share, memory_kb=memory))
     fresh = 0
     for event in events:
         if world.kill is not None and world.now >= world.kill - 450:
@@ -65,7 +71,7 @@
         if event[0] == "read":
             fresh += 1
             _, named, kb, told, repeat = event
-            grade = next((each for each in world.told.grades if each.name == named.name), None)
+            grade = next((each for each in world.told.traffic_classes if each.name == named.name), None)
             if grade is None:
                 continue  # taken out: no front would read one
             earlier = [
@@ -73,12 +79,14 @@
                 for ident, one in world.known.items()
                 if one.grade.name == BOOK.name and world.entries.get(ident, 0.0) > world.now
             ]
-            more = {"forerunner": earlier[0]} if repeat and grade.name == BOOK.name and earlier else {}
-            world.read(fresh, grade, kb, told, again=repeat, **more)
+            more = {"original_request_id": earlier[0]} if repeat and grade.name == BOOK.name and earlier else {}
+            world.read(fresh, grade, kb, told, is_retry=repeat, **more)
         elif event[0] == "wait":
             world.wait(event[1])
         elif event[0] == "change":
-            if world.kill is None and not (share == 0.0 and "call_share" in event[1]):  # which the plan forbids
+            if world.kill is None and not (
+                share == 0.0 and "dependency_concurrency_share" in event[1]
+            ):  # which the plan forbids
                 world.change(**event[1])
         elif event[0] == "drain":
             if world.kill is None:
@@ -96,13 +104,13 @@
         for ident, one in world.known.items()
         if one.place in places
         and not (what == "gone" and (one.answers or one.gone))
-        and not (what == "call" and not one.grade.calls)
+        and not (what == "call" and not one.grade.makes_calls)
     ]
     if not able:
         return
     if what == "end":
         world.end(able[pick % len(able)], Outcome.OK if outcome is not Outcome.ERROR else outcome)
     elif what == "back":
-        world.back(able[pick % len(able)], outcome if outcome is not Outcome.MOOT else Outcome.FULL)
+        world.back(able[pick % len(able)], outcome if outcome is not Outcome.NOT_STARTED else Outcome.REJECTED)
     else:
         getattr(world, what)(able[pick % len(able)])
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -17,7 +17,7 @@
 import anyio
 import pytest
 
-from nickelslip.admission.control import Control
+from nickelslip.admission.control import AdmissionController
 from nickelslip.server import connection, resp, workers
 from nickelslip.server.endings import Ending
 from nickelslip.server.node import Phase
@@ -76,9 +76,11 @@
 
 async def test_what_the_fields_say_reaches_the_module(monkeypatch):
     seen = []
-    read = Control.read
+    read = AdmissionController.request_received
     monkeypatch.setattr(
-        Control, "read", lambda self, now, arrival: seen.append((now, arrival)) or read(self, now, arrival)
+        AdmissionController,
+        "request_received",
+        lambda self, now, arrival: seen.append((now, arrival)) or read(self, now, arrival),
     )
     async with Place() as place:
         caller = await (await place.up()).caller()
@@ -86,12 +88,12 @@
         await caller.ask(A, ts=ts, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
         await until(lambda: seen)
         now, arrival = seen[0]
-        assert abs(arrival.due_ms - ts - 480) < 1e-6 and abs(arrival.unread_ms - (now - ts)) < 0.5
-        assert (arrival.again, arrival.caller, arrival.kb, arrival.customer) == (True, 9, 12.5, "acme")
-        assert arrival.keyed
+        assert abs(arrival.deadline_at_ms - ts - 480) < 1e-6 and abs(arrival.read_delay_ms - (now - ts)) < 0.5
+        assert (arrival.is_retry, arrival.client, arrival.memory_kb, arrival.tenant) == (True, 9, 12.5, "acme")
+        assert arrival.has_key
         await caller.ask(B, ts=ts + 540)
         await until(lambda: len(seen) == 2)
-        assert seen[1][1].unread_ms == 0 and not seen[1][1].again and not seen[1][1].keyed
+        assert seen[1][1].read_delay_ms == 0 and not seen[1][1].is_retry and not seen[1][1].has_key
 
 
 async def test_a_dismissal_says_when_to_come_back_and_the_weight_rides_on_all_answers():
@@ -211,8 +213,12 @@
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
 async def test_a_caller_that_gives_up_is_told_once_and_its_run_goes_on_counting(how, monkeypatch):
     gone = []
-    tell = Control.caller_gone
-    monkeypatch.setattr(Control, "caller_gone", lambda self, now, ident: gone.append(ident) or tell(self, now, ident))
+    tell = AdmissionController.client_disconnected
+    monkeypatch.setattr(
+        AdmissionController,
+        "client_disconnected",
+        lambda self, now, ident: gone.append(ident) or tell(self, now, ident),
+    )
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A)
@@ -610,17 +616,19 @@
 
 async def test_gauges_reach_the_timer_and_it_goes_on_where_they_never_come(monkeypatch):
     seen = []
-    timer = Control.timer
+    timer = AdmissionController.timer_fired
     monkeypatch.setattr(
-        Control, "timer", lambda self, now, gauges: seen.append((now, gauges)) or timer(self, now, gauges)
+        AdmissionController,
+        "timer_fired",
+        lambda self, now, gauges: seen.append((now, gauges)) or timer(self, now, gauges),
     )
     async with Place() as place:
         await place.up()
-        await until(lambda: any(gauges.busy == 0.5 and gauges.connections == 3 for _, gauges in seen))
+        await until(lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in seen))
         place.pool.measures = False
         begun = len(seen)
         await until(lambda: len(seen) > begun + 3)
-        assert seen[-1][1].busy is None
+        assert seen[-1][1].cpu_utilization is None
         assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(seen, seen[1:], strict=False))
 
 
@@ -629,16 +637,16 @@
         caller = await (await place.up()).caller()
         await place.running(caller, A)
         calls = []
-        for name in ("timer", "at_call"):
-            call = getattr(Control, name)
+        for name in ("timer_fired", "call_requested"):
+            call = getattr(AdmissionController, name)
             monkeypatch.setattr(
-                Control,
+                AdmissionController,
                 name,
                 lambda self, now, *values, name=name, call=call: calls.append(name) or call(self, now, *values),
             )
         place.node._wake = place.node.clock() - 1
         place.node.at_call(place.node.transactions[int(A, 16)])
-        assert calls == ["timer", "at_call"]
+        assert calls == ["timer_fired", "call_requested"]
 
 
 async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
@@ -839,7 +847,7 @@
             await caller.answer()
         await caller.ask(C, "book", opkey="k1", resent=1)
         assert (await caller.answer())[:2] == (3, "error") and not place.pool.told("spawn", C)
-        assert place.node.table._bytes == 8 and place.node.generation.settings.entry_kb >= 20
+        assert place.node.table._bytes == 8 and place.node.generation.settings.idempotency_record_kb >= 20
 
 
 # Leaving, and failing
@@ -878,7 +886,7 @@
         assert time.monotonic() - begun < 0.75
 
 
-@pytest.mark.parametrize("where", ("read", "timer", "ended", "drain"))
+@pytest.mark.parametrize("where", ("request_received", "timer_fired", "run_ended", "drain"))
 async def test_an_error_of_the_module_is_logged_and_all_that_was_read_is_answered(where, monkeypatch):
     async with Place() as place:
         caller = await (await place.up()).caller()
@@ -887,10 +895,10 @@
         def broken(self, *values):
             raise RuntimeError("lost count")
 
-        monkeypatch.setattr(Control, where, broken)
-        if where == "read":
+        monkeypatch.setattr(AdmissionController, where, broken)
+        if where == "request_received":
             await caller.ask(B)
-        elif where == "ended":
+        elif where == "run_ended":
             await place.pool.finish(A)
         elif where == "drain":
             place.node.leave()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from nickelslip.admission.control import Control
-from nickelslip.admission.interface import Repeat
+from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.interface import RetrySafety
 from nickelslip.configuration.config import config_of
 from nickelslip.configuration.generations import Generation
 
 ROOT = pathlib.Path(__file__).parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
 EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-REPEATS = {"safe": Repeat.REPLAYABLE, "keyed": Repeat.REFERENCED, "unsafe": Repeat.SINGLE_USE}
+REPEATS = {"safe": RetrySafety.IDEMPOTENT, "keyed": RetrySafety.IDEMPOTENCY_KEY, "unsafe": RetrySafety.NON_IDEMPOTENT}
 
 
 def settings(site):
@@ -84,10 +84,10 @@
         },
         {},
     )
-    grades = config.settings.grades
-    assert [grade.repeat for grade in grades] == [REPEATS[each["effect"]] for each in site["class"]]
-    assert all(mean < grade.quoted_ms < grade.abandon_ms for mean, grade in zip(work, grades, strict=True))
-    Control(Generation(1, config).settings, 1, 0.0).start(0.0)
+    grades = config.settings.traffic_classes
+    assert [grade.retry_safety for grade in grades] == [REPEATS[each["effect"]] for each in site["class"]]
+    assert all(mean < grade.latency_objective_ms < grade.timeout_ms for mean, grade in zip(work, grades, strict=True))
+    AdmissionController(Generation(1, config).settings, 1, 0.0).start(0.0)
 
 
 def test_the_sites_pull_in_opposite_directions():
