--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -903,7 +903,7 @@
         elif where == "drain":
             place.node.leave()
         words = {(await caller.answer())[1]}
-        if where == "read":
+        if where == "request_received":
             words.add((await caller.answer())[1])
         assert words == {"error"} and place.node.phase is Phase.FAILED
         await caller.send("STATUS", "91", "")
