--- a/Makefile
+++ b/Makefile
@@ -20,6 +20,7 @@
 	.venv-dev/bin/python -m pytest -q
 
 lint: .venv-dev/bin/pytest
+	.venv-dev/bin/ruff format --check .
 	.venv-dev/bin/ruff check .
 	.venv-dev/bin/mypy
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -17,14 +17,14 @@
 from typing import Any
 
 from benchmarks.capacity.texts import encoded, own_document, tenant
-from nickelslip.admission.control import AdmissionController, SlidingWindowSum
-from nickelslip.admission.interface import Arrival, Outcome, Settings, RequestState
-from nickelslip.configuration.changes import RECORDS_MOST, Changes
+from nickelslip.admission.controller import AdmissionController, SlidingWindowSum
+from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
+from nickelslip.configuration.change_lifecycle import RECORDS_MOST, Changes
 from nickelslip.configuration.document import Checker, Document, checked, config_from
 from nickelslip.configuration.generations import Generation, digest_of
+from nickelslip.configuration.json5_reader import Read, read_text
 from nickelslip.configuration.layers import merged
 from nickelslip.configuration.plan import plan_of
-from nickelslip.configuration.text import Read, read_text
 
 SEED = 7
 KEPT_CHANGES = 1  # over which the memory of one more change is told
@@ -145,7 +145,7 @@
     try:
         begun = counted()
         generation = Generation(1, config_from(whole))
-        assert len(generation.customers) == tenants
+        assert len(generation.tenant_names) == tenants
         configuration = counted()
         control = AdmissionController(generation.settings, SEED, 0.0)
         tables = counted()
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 
 from benchmarks.capacity.texts import ROOT, Ports, encoded, own_document, platform_value, tenant
-from nickelslip.configuration.faults import BYTES_MOST
 from nickelslip.configuration.schema import NAMED_MOST
+from nickelslip.configuration.validation import BYTES_MOST
 from nickelslip.server import resp
 
 READY_MOST_S, LEAVE_MOST_S, ANSWER_MOST_S = 20.0, 6.0, 10.0
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -11,9 +11,9 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import FEW_TENANTS, Measured, Series
-from nickelslip.configuration.faults import BYTES_MOST
-from nickelslip.configuration.protocol import FRAME_MOST
+from nickelslip.configuration.control_protocol import FRAME_MOST
 from nickelslip.configuration.schema import NAMED_MOST
+from nickelslip.configuration.validation import BYTES_MOST
 
 SERVER, CALLER, DIRECTORY = "Server", "Caller", "Directory"
 RECORDS, CONTROL, COMMAND = "Records service", "Control machine", "Operator's command"
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -24,8 +24,8 @@
 from benchmarks.capacity.results import FEW_TENANTS, HOLLOW, REAL, SIMULATED, Measured
 from benchmarks.capacity.rollout import spread
 from benchmarks.capacity.texts import lifted_bounds
-from nickelslip.configuration.client import ask_once
 from nickelslip.configuration.config import ChangeRules
+from nickelslip.configuration.control_client import ask_once
 from nickelslip.configuration.rollout import Terms
 
 HELD_CORES, RATE_CORES = 2, 64
--- a/benchmarks/capacity/texts.py
+++ b/benchmarks/capacity/texts.py
@@ -14,7 +14,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from nickelslip.configuration.config import config_of
+from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import Document, document_of
 
 ROOT = Path(__file__).parent.parent.parent
@@ -66,7 +66,7 @@
 
 def own_document(tenants: int, ports: Ports | None = None, socket: str = "", grades: int | None = None) -> Document:
     """The same in our own words, with changes taken on a control socket where one is named."""
-    document = document_of(config_of(platform_value(tenants, ports, grades), {}))
+    document = document_of(config_from_platform(platform_value(tenants, ports, grades), {}))
     changes = {
         "socket": socket,
         "probation_ms": QUIET_PROBATION_MS,
@@ -86,7 +86,7 @@
 def lifted_bounds() -> Iterator[None]:
     """Read texts and name tenants beyond today's bounds."""
     with ExitStack() as stack:
-        stack.enter_context(patch("nickelslip.configuration.text.BYTES_MOST", LIFTED_BYTES))
+        stack.enter_context(patch("nickelslip.configuration.json5_reader.BYTES_MOST", LIFTED_BYTES))
         stack.enter_context(patch("nickelslip.configuration.loading.BYTES_MOST", LIFTED_BYTES))
         names = {"grades": LIFTED_NAMES, "customers": LIFTED_NAMES}
         stack.enter_context(patch.dict("nickelslip.configuration.schema.NAMED_MOST", names))
--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -26,9 +26,9 @@
 from benchmarks.cold_sums import measured
 from benchmarks.versions import ROOT, NoHistory, copied, unpacked
 from nickelslip.emulator import checkers
-from nickelslip.emulator.callers import GradeTraffic
 from nickelslip.emulator.fleet import Fleet, Plan
 from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.load_balancers import GradeTraffic
 from nickelslip.emulator.models import MachineKind, ServiceKind, warmth
 from nickelslip.emulator.parties import Work
 from nickelslip.emulator.processes import Process
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -24,7 +24,7 @@
 import click
 
 from benchmarks.standins import Callers, Traffic, Workers, listen, median, percentile, records
-from nickelslip.configuration.client import Control, Unreachable
+from nickelslip.configuration.control_client import ControlClient, ServerUnreachableError
 
 WORK_MS = {"balance": 40.0, "payout": 20.0}
 CALLS = {"balance": True, "payout": False}
@@ -216,7 +216,7 @@
     if kind == "burst":
         server.traffic.rate = RATE * BURST
     change = change_of(kind, chance)
-    async with Control(str(server.folder / "control")) as control:
+    async with ControlClient(str(server.folder / "control")) as control:
         reply = await control.ask("apply", document=change, origin=kind)
         begun = time.monotonic()
         if not reply["ok"]:
@@ -347,7 +347,7 @@
     if part != "all":
         try:
             told = anyio.run(lane, seed, rounds) if part == "lane" else anyio.run(costs, seed, 12.0 if quick else 60.0)
-        except Unreachable as fault:
+        except ServerUnreachableError as fault:
             raise SystemExit(f"no answer: {fault}") from None
         click.echo(json.dumps(told))
         return
--- a/benchmarks/jittered.py
+++ b/benchmarks/jittered.py
@@ -16,7 +16,7 @@
 import anyio
 
 sys.path.insert(0, os.getcwd())
-from nickelslip.server import directory, workers  # noqa: E402
+from nickelslip.server import directory_reporter, worker_pool_link  # noqa: E402
 
 FIRST_MS, MOST_MS = 250.0, 2000.0
 
@@ -24,7 +24,7 @@
 def lay_over() -> None:
     """Pauses of the link are drawn anew, and the first report waits."""
     chance = random.Random(" ".join(sys.argv))  # another for each server
-    sleep, report = anyio.sleep, directory.Directory.run
+    sleep, report = anyio.sleep, directory_reporter.DirectoryReporter.run
 
     async def drawn(seconds: float) -> None:
         await sleep(chance.uniform(0, min(MOST_MS / 1000, 2 * seconds)))
@@ -41,8 +41,8 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(anyio, name)
 
-    workers.anyio = Anyio()  # type: ignore[assignment]
-    directory.Directory.run = run  # type: ignore[method-assign]
+    worker_pool_link.anyio = Anyio()  # type: ignore[assignment]
+    directory_reporter.DirectoryReporter.run = run  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/benchmarks/watched.py
+++ b/benchmarks/watched.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from nickelslip.admission.control import AdmissionController
-from nickelslip.server.node import Node
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.server.server import Server
 
 
 class Witness:
@@ -37,9 +37,9 @@
             self.kept.append(grading)
             self.of_settings[id(grading)] = id(settings)
 
-    def event(self, node: Node, number: int) -> None:
+    def event(self, node: Server, number: int) -> None:
         """Something happened to a transaction."""
-        one, control = node.transactions.get(number), node._control
+        one, control = node.requests.get(number), node._control
         item = control._items.get(number) if control is not None else None
         if one is None or item is None:
             return
@@ -52,13 +52,13 @@
 
 def watch(witness: Witness) -> None:
     """Put the witness beside the module's adoption of settings and every event of a transaction."""
-    adopt, decide = AdmissionController._adopt, Node._decide
+    adopt, decide = AdmissionController._adopt, Server._decide
 
     def adopted(control: AdmissionController, settings: Any) -> None:
         adopt(control, settings)
         witness.adopted(control, settings)
 
-    def decided(node: Node, call: Any, *values: Any) -> None:
+    def decided(node: Server, call: Any, *values: Any) -> None:
         number = (
             values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) if values else None
         )
@@ -68,7 +68,7 @@
         if isinstance(number, int) and call is not AdmissionController.drain:
             witness.event(node, number)
 
-    AdmissionController._adopt, Node._decide = adopted, decided  # type: ignore[method-assign]
+    AdmissionController._adopt, Server._decide = adopted, decided  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/nickelslip/admission/control.py
+++ b/nickelslip/admission/controller.py
@@ -17,18 +17,18 @@
 
 from nickelslip.admission.interface import (
     Arrival,
-    StateChange,
+    Decisions,
     Gauges,
-    TrafficClass,
     Health,
-    Outcome,
     IdempotencyUpdate,
-    RetrySafety,
-    Decisions,
     LoadSignal,
-    Settings,
-    RequestState,
+    Outcome,
     Preemption,
+    RequestState,
+    RetrySafety,
+    Settings,
+    StateChange,
+    TrafficClass,
 )
 
 WINDOW_MS = 100.0  # the weight is judged once a window
--- a/nickelslip/configuration/judge.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -21,7 +21,7 @@
 from math import inf, sqrt
 from statistics import median
 
-from nickelslip.configuration.meter import WIDTH_MS, Bucket, Counts, Pair
+from nickelslip.configuration.request_metrics import WIDTH_MS, Counts, MetricsBucket, Pair
 
 BATCH = 2  # buckets to a batch, over which counts are taken as one draw
 BURST = 4  # buckets, in which so much more than usual is a burst
@@ -45,8 +45,8 @@
 class Standing(Enum):
     """What can be said of a change."""
 
-    TOO_SOON = "too little has been seen"
-    DOUBT = "one look has shown harm, and the next one will tell"
+    INSUFFICIENT_DATA = "too little has been seen"
+    SUSPECTED = "one look has shown harm, and the next one will tell"
     NO_HARM = "it does no harm that could be told from chance"
     HARM = "the node does worse than before it"
 
@@ -63,7 +63,7 @@
 class Stretch:
     """Buckets of one stretch of time, summed up by pair as they come."""
 
-    def __init__(self, buckets: Iterable[Bucket] = ()) -> None:
+    def __init__(self, buckets: Iterable[MetricsBucket] = ()) -> None:
         self.count = 0
         self.pairs: dict[Pair, Counts] = {}
         self.calls = self.calls_bad = 0
@@ -71,7 +71,7 @@
         for bucket in buckets:
             self.add(bucket)
 
-    def add(self, bucket: Bucket) -> None:
+    def add(self, bucket: MetricsBucket) -> None:
         """The next bucket."""
         self.count += 1
         for pair, counts in bucket.pairs.items():
@@ -118,7 +118,7 @@
     """The time before a change, whose buckets are looked at one by one: how even it was, and how low a weight was said
     in it. A burst that was over by then is left out, since what it spoilt says nothing of the time after it."""
 
-    def __init__(self, buckets: Iterable[Bucket]) -> None:
+    def __init__(self, buckets: Iterable[MetricsBucket]) -> None:
         every = list(buckets)
         spans = [every[at : at + BURST] for at in range(0, len(every), BURST)]
         reads = [sum(counts.reads for bucket in span for counts in bucket.pairs.values()) for span in spans]
@@ -179,10 +179,10 @@
     def begin_anew(self, now: float) -> None:
         """What happened up to now says nothing of the change."""
         self.upto = now + SETTLE_MS  # up to here it has looked
-        self._since, self._lately = Stretch(), deque[Bucket](maxlen=int(LATELY_MS / WIDTH_MS))
+        self._since, self._lately = Stretch(), deque[MetricsBucket](maxlen=int(LATELY_MS / WIDTH_MS))
         self._shown: tuple[str, int] = ("", 0)  # which harm the last looks have shown, and how many
 
-    def look(self, now: float, buckets: Iterable[Bucket]) -> Verdict:
+    def look(self, now: float, buckets: Iterable[MetricsBucket]) -> Verdict:
         """The verdict, with the whole buckets from `upto` to now, the oldest first: each is looked at once."""
         for bucket in buckets:
             self._since.add(bucket)
@@ -197,7 +197,7 @@
             return self._unharmed(since)
         kind = harm.reason.split(":")[0]
         self._shown = (kind, self._shown[1] + 1 if self._shown[0] == kind else 1)
-        return harm if self._shown[1] >= LOOKS else Verdict(Standing.DOUBT, harm.reason, harm.figures)
+        return harm if self._shown[1] >= LOOKS else Verdict(Standing.SUSPECTED, harm.reason, harm.figures)
 
     def _load(self, since: Stretch) -> float:
         """How many times the work of before is asked for."""
@@ -216,9 +216,9 @@
             "in_time": float(since.sum(since.pairs).in_time),
         }
         if expected < ENOUGH or since.sum(since.pairs).in_time < ENOUGH / 4:
-            return Verdict(Standing.TOO_SOON, "too few transactions to tell", figures)
+            return Verdict(Standing.INSUFFICIENT_DATA, "too few transactions to tell", figures)
         if load > LOAD_CALM:
-            return Verdict(Standing.TOO_SOON, "the load has risen too far to tell", figures)
+            return Verdict(Standing.INSUFFICIENT_DATA, "the load has risen too far to tell", figures)
         return Verdict(Standing.NO_HARM, "no harm that could be told from chance", figures)
 
     def _harm(self, since: Stretch) -> Verdict | None:
--- a/nickelslip/configuration/changes.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -16,11 +16,11 @@
 from enum import Enum
 from typing import Any
 
+from nickelslip.configuration.canary_analysis import Standing, Verdict
 from nickelslip.configuration.config import ChangeRules, Config
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import Event, Record, in_force
-from nickelslip.configuration.judge import Standing, Verdict
 from nickelslip.configuration.plan import Plan, plan_of
 
 RECORDS_MOST = 256  # kept in memory
@@ -301,7 +301,7 @@
         spent = now - self.current.since_ms
         if verdict.standing is Standing.HARM:
             return Step.ROLLED_BACK
-        if spent >= self.rules.probation_most_ms and verdict.standing is not Standing.DOUBT:
+        if spent >= self.rules.probation_most_ms and verdict.standing is not Standing.SUSPECTED:
             return Step.CONFIRMED  # nothing speaks against it, though little may speak for it
         if spent >= self.rules.probation_ms and verdict.standing is Standing.NO_HARM:
             return Step.CONFIRMED
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -19,15 +19,15 @@
 import click
 import orjson
 
-from nickelslip.configuration.client import Unreachable, ask_once
+from nickelslip.configuration.control_client import ServerUnreachableError, ask_once
 from nickelslip.configuration.document import part_of
-from nickelslip.configuration.faults import Fault, Faulty, grave
+from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.layers import layered, merged, paths_of
 from nickelslip.configuration.loading import load_layers, read_file
 from nickelslip.configuration.plan import Plan, plan_of, shown
 from nickelslip.configuration.rollout import Course, Do, Order, Place, Rollout, Terms
 from nickelslip.configuration.schema import each_word
-from nickelslip.configuration.text import read_text
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
 
 DONE, FAILED, FAULTY, DENIED, UNDONE, UNREACHED = 0, 1, 2, 3, 4, 5
 CODES = (
@@ -94,11 +94,11 @@
     for file in files:
         try:
             found, more = part_of(read_text(read_file(file), file), {})
-        except Faulty as faulty:
+        except InvalidDocumentError as faulty:
             faults += faulty.faults
             continue
         part, faults = merged(part, found), faults + more
-    if grave(faults):
+    if errors_of(faults):
         _faulty(faults, 0, as_json)
     for warning in faults:
         click.echo(f"{warning.gravity.value}: {warning}", err=True)
@@ -109,7 +109,7 @@
     """The server's reply; one that denies, or none, ends the program."""
     try:
         reply = anyio.run(partial(ask_once, path, do, wait_ms, **fields))
-    except Unreachable as fault:
+    except ServerUnreachableError as fault:
         _stop(UNREACHED, {"ok": False, "code": "unreachable", "text": str(fault)}, as_json, [str(fault)])
     if reply.get("ok") is not True:
         lines = [str(reply.get("text"))] + [
@@ -127,7 +127,7 @@
     """All faults in one go."""
     try:
         told = load_layers(files, os.environ)
-    except Faulty as faulty:
+    except InvalidDocumentError as faulty:
         _faulty(faulty.faults, faulty.left_out, as_json)
     lines = [f"{fault.gravity.value}: {fault}" for fault in told.warnings]
     if origins:
@@ -190,7 +190,7 @@
             first = read_text(read_file(before), before)
             old = layered([first], {})
             new = layered([*([] if whole else [first]), *(read_text(read_file(file), file) for file in files)], {})
-        except Faulty as faulty:
+        except InvalidDocumentError as faulty:
             _faulty(faulty.faults, faulty.left_out, as_json)
         plan: Plan = plan_of(old.document, new.document)
         _out({"ok": True, "plan": plan.as_dict()}, as_json, list(map(str, plan.differences)) or ["nothing differs"])
@@ -420,7 +420,7 @@
                     reply = await ask(order.node, "status", terms.answer_ms)
                 else:
                     reply = await ask(order.node, "rollback", terms.answer_ms, **{"from": origin})
-            except Unreachable:
+            except ServerUnreachableError:
                 reply = None
         plan.told(now(), order.node, order.do, reply, digests.get(order.node, ""))
 
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from nickelslip.admission.interface import Settings
-from nickelslip.settings import Fields, Malformed, gauge_names, settings_of
+from nickelslip.settings import Fields, MalformedSettingsError, gauge_names, settings_of
 
 Address = tuple[str, int]
 NOWHERE: Address = ("", 0)
@@ -60,7 +60,7 @@
 def address_from(text: str, name: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
-        raise Malformed(f"{name}: host:port is needed")
+        raise MalformedSettingsError(f"{name}: host:port is needed")
     return host.strip("[]"), int(port)
 
 
@@ -68,7 +68,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise Malformed("seed: hex digits are needed") from None
+        raise MalformedSettingsError("seed: hex digits are needed") from None
 
 
 def told_by(environment: Mapping[str, str]) -> dict[str, str]:
@@ -77,11 +77,13 @@
     return {name: environment[variable] for name, variable in pairs if environment.get(variable)}
 
 
-def config_of(value: object, environment: Mapping[str, str], faults: list[Malformed] | None = None) -> Config:
+def config_from_platform(
+    value: object, environment: Mapping[str, str], faults: list[MalformedSettingsError] | None = None
+) -> Config:
     """The checked configuration of the platform's form; ROUTER_NAME and ROUTER_LISTEN of the environment win over
     the file's. The first fault is raised, or all are put on the list, and then the value is not to be used."""
     if not isinstance(value, dict):
-        raise Malformed("configuration: an object is needed")
+        raise MalformedSettingsError("configuration: an object is needed")
     told: dict[str, Any] = {**value, **told_by(environment)}
     top = Fields(told, "", faults)
     limits = top.inside("limits")
@@ -93,7 +95,7 @@
             return NOWHERE
         try:
             return address_from(text, name)
-        except Malformed as fault:
+        except MalformedSettingsError as fault:
             if faults is None:
                 raise
             faults.append(fault)
@@ -104,11 +106,11 @@
     name = top.text("name")
     if any(letter.isspace() for letter in name):
         if faults is None:
-            raise Malformed("name: one word is needed")
-        faults.append(Malformed("name: one word is needed"))
+            raise MalformedSettingsError("name: one word is needed")
+        faults.append(MalformedSettingsError("name: one word is needed"))
     try:
         seed = seed_from(top.text("seed"))
-    except Malformed as fault:
+    except MalformedSettingsError as fault:
         if faults is None:
             raise
         seed = 0
@@ -128,7 +130,7 @@
     )
 
 
-def moved(now: Config, fresh: Config) -> tuple[Config, list[str]]:
+def with_new_peer_addresses(now: Config, fresh: Config) -> tuple[Config, list[str]]:
     """What a running server takes over of a fresh configuration: the addresses of its peers. And the names of the
     other fields that differ, which need a restart; the seed is drawn anew with each file and means nothing here."""
     taken = replace(now, pool=fresh.pool, records=fresh.records, directory=fresh.directory)
--- a/nickelslip/configuration/client.py
+++ b/nickelslip/configuration/control_client.py
@@ -13,16 +13,16 @@
 import anyio
 from anyio.abc import SocketStream
 
-from nickelslip.configuration.protocol import Frames, Improper, framed, version_for
+from nickelslip.configuration.control_protocol import ControlProtocolError, Frames, framed, version_for
 
 READ_SIZE = 64 * 1024
 
 
-class Unreachable(Exception):
+class ServerUnreachableError(Exception):
     """No connection, no answer in time, or an answer that is none."""
 
 
-class Control:
+class ControlClient:
     """One server's control socket. Use as an asynchronous context."""
 
     def __init__(self, path: str, wait_ms: float = 5000.0) -> None:
@@ -32,20 +32,22 @@
         self._version = 0
         self.name = ""
 
-    async def __aenter__(self) -> Control:
+    async def __aenter__(self) -> ControlClient:
         self._stream: SocketStream
         try:
             with anyio.fail_after(self._wait_s):
                 self._stream = await anyio.connect_unix(self._path)
         except (OSError, TimeoutError) as error:
-            raise Unreachable(f"{self._path}: {getattr(error, 'strerror', None) or 'no answer in time'}") from None
+            raise ServerUnreachableError(
+                f"{self._path}: {getattr(error, 'strerror', None) or 'no answer in time'}"
+            ) from None
         try:
             first = await self._next()
             self._version, self.name = version_for(first), str(first.get("nickelslip", ""))
-        except Improper as improper:
+        except ControlProtocolError as improper:
             await self._stream.aclose()
-            raise Unreachable(f"{self._path}: {improper}") from None
-        except Unreachable:
+            raise ServerUnreachableError(f"{self._path}: {improper}") from None
+        except ServerUnreachableError:
             await self._stream.aclose()
             raise
         return self
@@ -61,9 +63,9 @@
                 while not self._messages:
                     self._messages += self._frames.feed(await self._stream.receive(READ_SIZE))
         except TimeoutError:
-            raise Unreachable(f"{self._path}: no answer in time") from None
+            raise ServerUnreachableError(f"{self._path}: no answer in time") from None
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            raise Unreachable(f"{self._path}: the server closed the connection") from None
+            raise ServerUnreachableError(f"{self._path}: the server closed the connection") from None
         return self._messages.pop(0)
 
     async def ask(self, do: str, **fields: Any) -> dict[str, Any]:
@@ -74,14 +76,14 @@
                 await self._stream.send(framed({**fields, "protocol": self._version, "id": ident, "do": do}))
             while (reply := await self._next()).get("id") not in (ident, None):
                 pass
-        except Improper as improper:
-            raise Unreachable(f"{self._path}: {improper}") from None
+        except ControlProtocolError as improper:
+            raise ServerUnreachableError(f"{self._path}: {improper}") from None
         except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            raise Unreachable(f"{self._path}: the command could not be sent") from None
+            raise ServerUnreachableError(f"{self._path}: the command could not be sent") from None
         return reply
 
 
 async def ask_once(path: str, do: str, wait_ms: float = 5000.0, **fields: Any) -> dict[str, Any]:
     """One command on a connection of its own. Raises Unreachable."""
-    async with Control(path, wait_ms) as control:
+    async with ControlClient(path, wait_ms) as control:
         return await control.ask(do, **fields)
--- a/nickelslip/configuration/protocol.py
+++ b/nickelslip/configuration/control_protocol.py
@@ -20,7 +20,7 @@
 ID_MOST = 64
 
 
-class Improper(Exception):
+class ControlProtocolError(Exception):
     """What a peer sent is no message of this protocol; the connection is of no more use."""
 
 
@@ -42,16 +42,16 @@
         while len(self._held) >= HEAD.size:
             (length,) = HEAD.unpack_from(self._held)
             if not 2 <= length <= self._most:
-                raise Improper(f"a frame of {length} bytes")
+                raise ControlProtocolError(f"a frame of {length} bytes")
             end = HEAD.size + length
             if len(self._held) < end:
                 break
             try:
                 message = orjson.loads(self._held[HEAD.size : end])
             except ValueError as error:
-                raise Improper(f"not JSON: {error}") from None
+                raise ControlProtocolError(f"not JSON: {error}") from None
             if not isinstance(message, dict):
-                raise Improper("not an object")
+                raise ControlProtocolError("not an object")
             del self._held[:end]
             out.append(message)
         return out
@@ -61,7 +61,7 @@
     """The bytes of one message. Raises Improper where it is over the bound."""
     body = orjson.dumps(message)
     if len(body) > FRAME_MOST:
-        raise Improper(f"a message of {len(body)} bytes")
+        raise ControlProtocolError(f"a message of {len(body)} bytes")
     return HEAD.pack(len(body)) + body
 
 
@@ -74,9 +74,11 @@
     """The newest version that both sides speak, from the server's first message. Raises Improper."""
     spoken = message.get("protocol")
     if not isinstance(spoken, list) or len(spoken) != 2 or not all(isinstance(each, int) for each in spoken):
-        raise Improper("no versions are told")
+        raise ControlProtocolError("no versions are told")
     if spoken[0] > MOST or spoken[1] < LEAST:
-        raise Improper(f"the server speaks versions {spoken[0]} to {spoken[1]}, this program {LEAST} to {MOST}")
+        raise ControlProtocolError(
+            f"the server speaks versions {spoken[0]} to {spoken[1]}, this program {LEAST} to {MOST}"
+        )
     return int(min(spoken[1], MOST))
 
 
--- a/nickelslip/configuration/document.py
+++ b/nickelslip/configuration/document.py
@@ -12,13 +12,13 @@
 from math import inf, isfinite
 from typing import Any
 
-from nickelslip.admission.interface import Tenant, TrafficClass, RetrySafety, LoadSignal, Settings, Preemption
-from nickelslip.configuration.config import ChangeRules, Config, address_from, config_of
+from nickelslip.admission.interface import LoadSignal, Preemption, RetrySafety, Settings, Tenant, TrafficClass
+from nickelslip.configuration.config import ChangeRules, Config, address_from, config_from_platform
 from nickelslip.configuration.descriptors import shares_of
-from nickelslip.configuration.faults import Fault, Faulty, Gravity, Path, grave
+from nickelslip.configuration.json5_reader import Read
 from nickelslip.configuration.schema import NAMED, NAMED_MOST, NEEDED, SECTIONS, VERSION, Kind, Word
-from nickelslip.configuration.text import Read
-from nickelslip.settings import Malformed
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, errors_of
+from nickelslip.settings import MalformedSettingsError
 
 Document = dict[str, Any]  # whole: every section, every word
 REPEATS = {
@@ -53,13 +53,13 @@
         self.read = read
         self.faults: list[Fault] = []
 
-    def _fault(self, path: Path, text: str, gravity: Gravity = Gravity.FAULT) -> None:
+    def _fault(self, path: Path, text: str, gravity: Severity = Severity.FAULT) -> None:
         fault = self.read.fault(path, text)
         self.faults.append(Fault(fault.path, fault.text, fault.source, fault.line, fault.column, gravity))
 
     def _unknown(self, path: Path, known: list[str]) -> None:
         near = difflib.get_close_matches(path[-1], known, 1, 0.6)
-        self._fault(path, "unknown" + (f", nearest is {near[0]}" if near else ""), Gravity.WARNING)
+        self._fault(path, "unknown" + (f", nearest is {near[0]}" if near else ""), Severity.WARNING)
 
     def part(self) -> Document:
         """What the text says, checked; what is unknown or faulty is left out."""
@@ -143,7 +143,7 @@
     if word.kind is Kind.ADDRESS:
         try:
             address_from(value, "")
-        except Malformed:
+        except MalformedSettingsError:
             return "host:port is needed"
     return None
 
@@ -190,7 +190,7 @@
     """What does not fit together though each value is good in itself."""
     faults: list[Fault] = []
 
-    def say(path: str, text: str, gravity: Gravity = Gravity.FAULT) -> None:
+    def say(path: str, text: str, gravity: Severity = Severity.FAULT) -> None:
         faults.append(Fault(tuple(path.split(".")), text, gravity=gravity))
 
     node, machine, calls, changes = whole["node"], whole["machine"], whole["calls"], whole["changes"]
@@ -199,11 +199,11 @@
         if grade["quoted_ms"] > grade["abandon_ms"]:
             say(f"{at}.quoted_ms", f"over the abandon time of {grade['abandon_ms']:g}")
         if grade["repeat"] == "referenced" and not grade["window_ms"]:
-            say(f"{at}.window_ms", "referenced, and no repeat would be known", Gravity.WARNING)
+            say(f"{at}.window_ms", "referenced, and no repeat would be known", Severity.WARNING)
         if grade["calls"] and whole["peers"]["records"] is None:
             say(f"{at}.calls", "calls are made, and peers.records is not given")
         if grade["omit_share"] and not grade["calls"]:
-            say(f"{at}.omit_share", "no call is made that could be left out", Gravity.WARNING)
+            say(f"{at}.omit_share", "no call is made that could be left out", Severity.WARNING)
     grace, slack = machine["drain_grace_ms"], machine["answer_slack_ms"]
     if grace + 2 * slack >= node["stop_ms"]:
         say("machine.drain_grace_ms", f"with twice the answer slack not under node.stop_ms of {node['stop_ms']:g}")
@@ -214,19 +214,19 @@
     if reserved > max(0.0, slots - 1) and reserved:
         say("grades", f"reserves of {reserved} slots leave none of {slots:g} for the rest")
     if machine["running_most"] is not None and machine["running_most"] < machine["cores"]:
-        say("machine.running_most", f"under the {machine['cores']} cores: some stay idle", Gravity.WARNING)
+        say("machine.running_most", f"under the {machine['cores']} cores: some stay idle", Severity.WARNING)
     if machine["running_most"] is not None and machine["running_most"] > machine["cores"] * machine["crowd_multiple"]:
-        say("machine.running_most", "over what a warm server survives; the crowd stays the limit", Gravity.WARNING)
+        say("machine.running_most", "over what a warm server survives; the crowd stays the limit", Severity.WARNING)
     if calls["share"] and not calls["span_ms"]:
         say("calls.span_ms", "a share of calls needs the span over which it is counted")
     callers = shares_of(node["descriptors"], calls["share"] or 0.0).balancers
     if callers < CALLERS_LEAST:
-        say("node.descriptors", f"only {callers} are left for callers' connections", Gravity.WARNING)
+        say("node.descriptors", f"only {callers} are left for callers' connections", Severity.WARNING)
     if whole["store"]["entry_kb"] > machine["memory_kb"]:
         say("store.entry_kb", "over machine.memory_kb")
     shares = [each["share_per_s"] for each in whole["customers"].values()]
     if shares and not any(shares) and whole["ranking"]["beyond_share_worth"] < 1:
-        say("customers", "no customer has a share, so all of them are beyond it", Gravity.WARNING)
+        say("customers", "no customer has a share, so all of them are beyond it", Severity.WARNING)
     if len(changes["socket"].encode()) > SOCKET_PATH_MOST:
         say("changes.socket", f"a path over {SOCKET_PATH_MOST} bytes is not taken by the system")
     if changes["probation_most_ms"] < changes["probation_ms"]:
@@ -398,8 +398,8 @@
     if not is_platforms(read.value):
         checker = Checker(read)
         return checker.part(), checker.faults
-    told: list[Malformed] = []
-    config = config_of(read.value, environment, told)
+    told: list[MalformedSettingsError] = []
+    config = config_from_platform(read.value, environment, told)
     if told:
         return {}, [_platform_fault(read, str(fault)) for fault in told]
     return document_of(config), []
@@ -423,9 +423,9 @@
 def read_whole(read: Read, environment: Mapping[str, str]) -> Config:
     """The Config of a single text. Raises Faulty."""
     part, faults = part_of(read, environment)
-    if not grave(faults):
+    if not errors_of(faults):
         whole, more = checked(part)
         faults += more if not is_platforms(read.value) else []  # the platform's file is taken as it always was
-        if not grave(faults):
+        if not errors_of(faults):
             return config_from(whole)
-    raise Faulty(faults)
+    raise InvalidDocumentError(faults)
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -42,27 +42,27 @@
         )
 
     @cached_property
-    def repeats(self) -> Mapping[str, RetrySafety]:
+    def retry_safety_by_class(self) -> Mapping[str, RetrySafety]:
         """What may happen a second time to transactions of each grade."""
         return MappingProxyType({grade.name: grade.retry_safety for grade in self.config.settings.traffic_classes})
 
     @cached_property
-    def customers(self) -> frozenset[str]:
+    def tenant_names(self) -> frozenset[str]:
         return frozenset(each.name for each in self.config.settings.tenants)
 
     @cached_property
-    def stall_ms(self) -> float:
+    def longest_timeout_ms(self) -> float:
         """The longest that any caller waits."""
         return max(grade.timeout_ms for grade in self.config.settings.traffic_classes)
 
     @cached_property
-    def shares(self) -> Shares:
+    def descriptor_shares(self) -> Shares:
         """Of this process's descriptors."""
         theirs = CHANGES if self.config.changes.on else 0
         return shares_of(self.config.descriptors - theirs, self.config.settings.dependency_concurrency_share)
 
     @cached_property
-    def quoted_ms(self) -> Mapping[str, float]:
+    def latency_objectives_ms(self) -> Mapping[str, float]:
         return MappingProxyType(
             {grade.name: grade.latency_objective_ms for grade in self.config.settings.traffic_classes}
         )
--- a/nickelslip/configuration/text.py
+++ b/nickelslip/configuration/json5_reader.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelslip.configuration.faults import BYTES_MOST, Fault, Faulty, Path
+from nickelslip.configuration.validation import BYTES_MOST, Fault, InvalidDocumentError, Path
 
 JSON5_MOST = 64 * 1024  # of one that needs the slower reader, whose time is bounded so
 DEPTH_MOST = 16
@@ -78,9 +78,9 @@
     """The value of a text in JSON5, of which plain JSON is a part. With places, so that faults can be named by line
     and column, the slower reader is used wherever the text is short enough for it. Raises Faulty."""
     if len(data) > BYTES_MOST:
-        raise Faulty([Fault((), f"over {BYTES_MOST} bytes", source)])
+        raise InvalidDocumentError([Fault((), f"over {BYTES_MOST} bytes", source)])
     if depth_of(data) > DEPTH_MOST:
-        raise Faulty([Fault((), f"nested deeper than {DEPTH_MOST}", source)])
+        raise InvalidDocumentError([Fault((), f"nested deeper than {DEPTH_MOST}", source)])
     plain: Exception | None = None
     value: Any = None
     try:
@@ -92,15 +92,17 @@
     if len(data) > JSON5_MOST:
         if plain is None:
             return Read(value, source)
-        raise Faulty([Fault((), f"not plain JSON, and over {JSON5_MOST} bytes: {plain}", source)])
+        raise InvalidDocumentError([Fault((), f"not plain JSON, and over {JSON5_MOST} bytes: {plain}", source)])
     try:
         return _with_places(data, source)
     except ImportError:
         if plain is None:
             return Read(value, source)
         if isinstance(plain, _Strange):
-            raise Faulty([Fault((), str(plain), source)]) from None
-        raise Faulty([Fault((), f"not plain JSON, and JSON5 needs nickelslip[settings]: {plain}", source)]) from None
+            raise InvalidDocumentError([Fault((), str(plain), source)]) from None
+        raise InvalidDocumentError(
+            [Fault((), f"not plain JSON, and JSON5 needs nickelslip[settings]: {plain}", source)]
+        ) from None
 
 
 def _with_places(data: bytes, source: str) -> Read:
@@ -109,18 +111,18 @@
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
-        raise Faulty([Fault((), f"not UTF-8: {error.reason} at byte {error.start}", source)]) from None
+        raise InvalidDocumentError([Fault((), f"not UTF-8: {error.reason} at byte {error.start}", source)]) from None
     try:
         model = loads(text, loader=ModelLoader())
     except Exception as error:  # the library raises several kinds, its lexer's among them, and all mean this
         line = getattr(error, "lineno", 0) or 0
         column = (getattr(error, "colno", 0) or 0) if line else 0
         detail = next((each.strip() for each in str(error).splitlines() if "rror" in each or "xpect" in each), "")
-        raise Faulty([Fault((), f"not JSON5: {detail}".rstrip(": "), source, line, column)]) from None
+        raise InvalidDocumentError([Fault((), f"not JSON5: {detail}".rstrip(": "), source, line, column)]) from None
     walk = _Walk(source)
     value = walk.value(model.value, ())
     if walk.faults:
-        raise Faulty(walk.faults)
+        raise InvalidDocumentError(walk.faults)
     return Read(value, source, walk.places)
 
 
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -22,9 +22,9 @@
     shaped,
     wrong,
 )
-from nickelslip.configuration.faults import Fault, Faulty, Gravity, Path, grave
+from nickelslip.configuration.json5_reader import Read
 from nickelslip.configuration.schema import NAMED, SECTIONS, Kind, Word, word_at
-from nickelslip.configuration.text import Read
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, errors_of
 
 PREFIX = "NICKELSLIP_SET_"  # then the path in capitals, with two underscores between: _SET_MACHINE__CORES
 DEFAULT = "default"
@@ -94,7 +94,7 @@
         path = tuple(step.lower() for step in variable[len(PREFIX) :].split("__"))
         word = word_at(path)
         if word is None:
-            faults.append(Fault(path, "unknown", source, gravity=Gravity.WARNING))
+            faults.append(Fault(path, "unknown", source, gravity=Severity.WARNING))
             continue
         value = _value_from(word, environment[variable])
         if (fault := wrong(word, value)) is not None:
@@ -124,15 +124,15 @@
     said, found, variables = from_environment(environment)
     part, faults = merged(part, said), faults + found
     origins.update(variables)
-    if grave(faults):
-        raise Faulty(faults)
+    if errors_of(faults):
+        raise InvalidDocumentError(faults)
     whole, found = checked(part)
     found = [_placed(fault, origins) for fault in found]
     if platform and len(texts) == 1:  # the platform's file alone is taken as it always was
-        found = [fault._replace(gravity=Gravity.WARNING) for fault in found]
+        found = [fault._replace(gravity=Severity.WARNING) for fault in found]
     faults += found
-    if grave(faults):
-        raise Faulty(faults)
+    if errors_of(faults):
+        raise InvalidDocumentError(faults)
     return Layered(
         config_from(whole),
         whole,
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -12,9 +12,9 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING
 
-from nickelslip.configuration.config import Config, config_of
-from nickelslip.configuration.faults import BYTES_MOST, Fault, Faulty
-from nickelslip.settings import Malformed
+from nickelslip.configuration.config import Config, config_from_platform
+from nickelslip.configuration.validation import BYTES_MOST, Fault, InvalidDocumentError
+from nickelslip.settings import MalformedSettingsError
 
 if TYPE_CHECKING:
     from nickelslip.configuration.layers import Layered
@@ -31,28 +31,28 @@
                 data = file.read(BYTES_MOST + 1)
                 after = os.fstat(file.fileno())
         except OSError as error:
-            raise Faulty([Fault((), f"configuration: {path}: {error.strerror}")]) from None
+            raise InvalidDocumentError([Fault((), f"configuration: {path}: {error.strerror}")]) from None
         if len(data) > BYTES_MOST:
-            raise Faulty([Fault((), f"over {BYTES_MOST} bytes", path)])
+            raise InvalidDocumentError([Fault((), f"over {BYTES_MOST} bytes", path)])
         if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(data) == after.st_size:
             return data
         time.sleep(PAUSE_S)
-    raise Faulty([Fault((), "is being written while it is read", path)])
+    raise InvalidDocumentError([Fault((), "is being written while it is read", path)])
 
 
 def load_layers(paths: Sequence[str], environment: Mapping[str, str], places: bool = True) -> Layered:
     """All layers: the files in their order, then the environment. Raises Faulty."""
+    from nickelslip.configuration.json5_reader import read_text
     from nickelslip.configuration.layers import layered  # the long way: most starts never take it
-    from nickelslip.configuration.text import read_text
 
     texts, faults = [], []
     for path in paths:
         try:
             texts.append(read_text(read_file(path), path, places))
-        except Faulty as faulty:
+        except InvalidDocumentError as faulty:
             faults += faulty.faults
     if faults:
-        raise Faulty(faults)
+        raise InvalidDocumentError(faults)
     return layered(texts, environment)
 
 
@@ -64,7 +64,7 @@
         try:
             value = json.loads(data)
             if isinstance(value, dict) and "version" not in value and "settings" in value:
-                return config_of(value, environment)
-        except (ValueError, RecursionError, Malformed):
+                return config_from_platform(value, environment)
+        except (ValueError, RecursionError, MalformedSettingsError):
             pass  # the long way names all faults by their places
     return load_layers(paths, environment).config
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from nickelslip.configuration.document import Document
-from nickelslip.configuration.faults import Path
 from nickelslip.configuration.layers import paths_of
 from nickelslip.configuration.schema import COMES_AND_GOES, NAMED, NEVER_COMPARED, Effect, word_at
+from nickelslip.configuration.validation import Path
 
 ABSENT = None
 
--- a/nickelslip/configuration/meter.py
+++ b/nickelslip/configuration/request_metrics.py
@@ -37,7 +37,7 @@
         self.work_ms += other.work_ms
 
 
-class Bucket:
+class MetricsBucket:
     """A quarter of a second."""
 
     __slots__ = ("number", "pairs", "calls", "calls_bad", "memory", "weight", "weights", "busy", "busies")
@@ -53,24 +53,24 @@
         self.memory = self.weight = self.busy = 0.0
 
 
-class Meter:
+class RequestMetrics:
     """The counts of the last `span_ms`."""
 
     def __init__(self, span_ms: float, quoted_ms: Mapping[str, float]) -> None:
-        self._ring = [Bucket(-1) for _ in range(int(span_ms / WIDTH_MS) + 2)]
+        self._ring = [MetricsBucket(-1) for _ in range(int(span_ms / WIDTH_MS) + 2)]
         self._now = self._ring[0]
         self._pairs: set[Pair] = set()
         self._quoted: Mapping[str, float] = quoted_ms
 
-    def count_as_in_time(self, quoted_ms: Mapping[str, float]) -> None:
+    def set_latency_objectives(self, quoted_ms: Mapping[str, float]) -> None:
         """From here on, an answer counts as in time up to these quoted times."""
         self._quoted = quoted_ms
 
     @property
-    def quoted_ms(self) -> Mapping[str, float]:
+    def latency_objectives_ms(self) -> Mapping[str, float]:
         return self._quoted
 
-    def _bucket(self, now: float) -> Bucket:
+    def _bucket(self, now: float) -> MetricsBucket:
         number = int(now // WIDTH_MS)
         if number > self._now.number:
             self._now = self._ring[number % len(self._ring)]
@@ -88,11 +88,11 @@
             counts = pairs.setdefault(pair, Counts())
         return counts
 
-    def read(self, now: float, grade: str, customer: str | None) -> None:
+    def request_received(self, now: float, grade: str, customer: str | None) -> None:
         """A first try was read."""
         self._counts(now, grade, customer).reads += 1
 
-    def ended(
+    def request_ended(
         self, now: float, grade: str, customer: str | None, state: RequestState, elapsed_ms: float, work_ms: float
     ) -> None:
         """A transaction has its answer, or has been abandoned, so long after it reached the machine."""
@@ -110,13 +110,13 @@
         else:
             counts.abandoned += 1
 
-    def call(self, now: float, bad: bool) -> None:
+    def call_ended(self, now: float, bad: bool) -> None:
         """A call to the records has ended, well or badly."""
         bucket = self._bucket(now)
         bucket.calls += 1
         bucket.calls_bad += bad
 
-    def state(self, now: float, weight: float, memory: float | None, busy: float | None) -> None:
+    def sample_server(self, now: float, weight: float, memory: float | None, busy: float | None) -> None:
         """The weight that is said, as a part of all there is; the memory in use and the busy part of the cores, where
         they are known."""
         bucket = self._bucket(now)
@@ -125,10 +125,10 @@
         if busy is not None:
             bucket.busy, bucket.busies = bucket.busy + busy, bucket.busies + 1
 
-    def between(self, begin: float, end: float) -> Iterator[Bucket]:
+    def between(self, begin: float, end: float) -> Iterator[MetricsBucket]:
         """The whole buckets of this time, the oldest first; one in which nothing happened is empty."""
         first, past = -int(-begin // WIDTH_MS), int(end // WIDTH_MS)
         oldest = max(first, self._now.number - len(self._ring) + 2)
         for number in range(oldest, past):
             bucket = self._ring[number % len(self._ring)]
-            yield bucket if bucket.number == number else Bucket(number)
+            yield bucket if bucket.number == number else MetricsBucket(number)
--- a/nickelslip/configuration/faults.py
+++ b/nickelslip/configuration/validation.py
@@ -9,14 +9,14 @@
 from enum import Enum
 from typing import NamedTuple
 
-from nickelslip.settings import Malformed
+from nickelslip.settings import MalformedSettingsError
 
 Path = tuple[str, ...]
 BYTES_MOST = 512 * 1024  # of a text
 FAULTS_MOST = 100  # reported of one document: the rest is a number
 
 
-class Gravity(Enum):
+class Severity(Enum):
     """Whether a document with this fault may be used."""
 
     FAULT = "fault"
@@ -31,7 +31,7 @@
     source: str = ""
     line: int = 0
     column: int = 0
-    gravity: Gravity = Gravity.FAULT
+    gravity: Severity = Severity.FAULT
 
     def __str__(self) -> str:
         place = f"{self.source}:{self.line}:{self.column}" if self.line else self.source
@@ -49,16 +49,16 @@
         }
 
 
-class Faulty(Malformed):
+class InvalidDocumentError(MalformedSettingsError):
     """A document that cannot be used, with all that is wrong with it."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = faults[:FAULTS_MOST]
         self.left_out = max(0, len(faults) - FAULTS_MOST)
-        graver = [fault for fault in self.faults if fault.gravity is Gravity.FAULT] or self.faults
+        graver = [fault for fault in self.faults if fault.gravity is Severity.FAULT] or self.faults
         super().__init__("; ".join(map(str, graver[:3])) or "faulty")
 
 
-def grave(faults: list[Fault]) -> bool:
+def errors_of(faults: list[Fault]) -> bool:
     """Whether one of them forbids the use of the document."""
-    return any(fault.gravity is Gravity.FAULT for fault in faults)
+    return any(fault.gravity is Severity.FAULT for fault in faults)
--- a/nickelslip/emulator/skewed.py
+++ b/nickelslip/emulator/clock_skew.py
@@ -1,4 +1,4 @@
-"""A server whose clock is off: `python -m nickelslip.emulator.skewed OFFSET_MS DRIFT serve --config FILE`.
+"""A server whose clock is off: `python -m nickelslip.emulator.clock_skew OFFSET_MS DRIFT serve --config FILE`.
 
 Owns an offset and a drift laid over the one clock that the program's parts see around them. It must never change
 anything else of the server: timers, sockets and the machine's own clock are as they were.
@@ -10,17 +10,17 @@
 import sys
 import time
 
-from nickelslip.server.node import Node
+from nickelslip.server.server import Server
 
 
 def skew(offset_ms: float, drift: float) -> None:
     """From here on nodes' clocks are off by so much, and by so much more for each millisecond that passes."""
-    true, began = Node.clock, time.monotonic() * 1000
+    true, began = Server.clock, time.monotonic() * 1000
 
-    def clock(node: Node) -> float:
+    def clock(node: Server) -> float:
         return true(node) + offset_ms + drift * (time.monotonic() * 1000 - began)
 
-    Node.clock = clock  # type: ignore[method-assign, assignment]
+    Server.clock = clock  # type: ignore[method-assign, assignment]
 
 
 def main() -> None:
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -22,12 +22,12 @@
 from typing import Any
 
 from nickelslip.emulator import checkers
-from nickelslip.emulator.callers import GradeTraffic, Habits
 from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.load_balancers import GradeTraffic, Habits
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.parties import Work
 from nickelslip.emulator.processes import Process, alive, program, with_its_parent
-from nickelslip.emulator.surround import Places, Spec, Surround
+from nickelslip.emulator.shared_services import Places, Spec, Surround
 
 ROOT = Path(__file__).parent.parent.parent
 LISTEN, POOL, RECORDS, DIRECTORY, HELD = 6565, 7300, 8900, 7946, 20001
@@ -172,7 +172,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "nickelslip.emulator.surround",
+            "nickelslip.emulator.shared_services",
             str(self._spec_file),
             str(self.out),
             cwd=ROOT,
--- a/nickelslip/emulator/surround.py
+++ b/nickelslip/emulator/shared_services.py
@@ -16,9 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from nickelslip.emulator.callers import Balancer, GradeTraffic, Habits, Traffic
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.links import Way
+from nickelslip.emulator.load_balancers import Balancer, GradeTraffic, Habits, Traffic
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.parties import Directory, Pool, Records, Work
 from nickelslip.emulator.relay import Relay
@@ -323,7 +323,7 @@
 
 
 def main() -> None:
-    """`python -m nickelslip.emulator.surround SPEC OUT`: the spec with the part that is this process's."""
+    """`python -m nickelslip.emulator.shared_services SPEC OUT`: the spec with the part that is this process's."""
     import uvloop
 
     told = json.loads(Path(sys.argv[1]).read_text())
--- a/nickelslip/server/cli.py
+++ b/nickelslip/server/cli.py
@@ -28,7 +28,7 @@
 
             return config
         if name == "turns":
-            from nickelslip.coming_up.commands import turns
+            from nickelslip.startup.commands import turns
 
             return turns
         return super().get_command(ctx, name)
--- a/nickelslip/server/changing.py
+++ b/nickelslip/server/configuration_manager.py
@@ -16,38 +16,53 @@
 import anyio
 import anyio.to_thread
 
-from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import LoadSignal
-from nickelslip.configuration.changes import Change, Changes, Denial, Denied, Start, Step, start_of
-from nickelslip.configuration.config import Config, moved
+from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
+from nickelslip.configuration.change_lifecycle import Change, Changes, Denial, Denied, Start, Step, start_of
+from nickelslip.configuration.config import Config, with_new_peer_addresses
 from nickelslip.configuration.document import Checker, Document, checked, config_from, document_of
-from nickelslip.configuration.faults import Fault, Faulty, grave
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import Record
-from nickelslip.configuration.judge import Before, Judge, Standing, Verdict
+from nickelslip.configuration.json5_reader import Read
 from nickelslip.configuration.layers import merged
-from nickelslip.configuration.meter import WIDTH_MS, Bucket, Meter
 from nickelslip.configuration.plan import plan_of
+from nickelslip.configuration.request_metrics import WIDTH_MS, MetricsBucket, RequestMetrics
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.store import Store
-from nickelslip.configuration.text import Read
-from nickelslip.server.node import Node, Phase
-from nickelslip.settings import Malformed
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
+from nickelslip.server.server import Phase, Server
+from nickelslip.settings import MalformedSettingsError
 
 HISTORY_SHOWN = 50  # records that one reply brings at most
 SHOWN_MOST = 200  # letters of an operator's own words that are kept
 
+# The words of the control protocol: clients read them, so they stay when a name in the code changes.
+PHASE_WORDS = {
+    Phase.WAITING: "waiting",
+    Phase.SERVING: "serving",
+    Phase.DRAINING: "draining",
+    Phase.SHUTTING_DOWN: "leaving",
+    Phase.FAILED: "failed",
+}
+STANDING_WORDS = {
+    Standing.INSUFFICIENT_DATA: "too_soon",
+    Standing.SUSPECTED: "doubt",
+    Standing.NO_HARM: "no_harm",
+    Standing.HARM: "harm",
+}
+
 
 def whole_of(part: Document) -> Document:
     """The whole document of a part in our own words that may come from anywhere. Raises Faulty."""
     checker = Checker(Read(part, "document"))
     found = checker.part()
-    if not grave(checker.faults):
+    if not errors_of(checker.faults):
         whole, faults = checked(found)
-        if not grave(faults):
+        if not errors_of(faults):
             return whole
-        raise Faulty(faults)
-    raise Faulty(checker.faults)
+        raise InvalidDocumentError(faults)
+    raise InvalidDocumentError(checker.faults)
 
 
 def begin(config: Config, store: Store | None, now: float, log: Any) -> tuple[Config, Document, Start, list[Record]]:
@@ -63,7 +78,7 @@
             told = replace(config_from(kept), seed=config.seed)
             log.info("configuration from the history", generation=start.number)
             return told, document, replace(start, document=kept), records
-        except Malformed as fault:
+        except MalformedSettingsError as fault:
             log.error("the history's configuration does not do any more", fault=str(fault))
             start = start_of([], document, now)
             number = max((each.generation for each in records), default=0) + 1
@@ -76,12 +91,12 @@
     return config, document, start, records
 
 
-class Changing:
+class ConfigurationManager:
     """The changes of one node."""
 
     def __init__(
         self,
-        node: Node,
+        node: Server,
         file: Document,
         start: Start,
         records: list[Record],
@@ -91,8 +106,10 @@
         self._node, self._read_again, self._store = node, read, store
         config = node.generation.config
         node.generation = Generation(start.number, config, start.origin, node.clock())
-        node.reloads = self
-        node.meter = self.meter = Meter(config.changes.baseline_ms, node.generation.quoted_ms)
+        node.reload_handler = self
+        node.request_metrics = self.request_metrics = RequestMetrics(
+            config.changes.baseline_ms, node.generation.latency_objectives_ms
+        )
         self._file = file  # what the files said when they were last taken
         self.changes = Changes(node.generation, start.document, records, digest_of(file), node.clock(), self._tell)
         self._judge: Judge | None = None
@@ -138,20 +155,22 @@
                 await self._undo(f"the judge failed: {error!r}"[:SHOWN_MOST])
 
     def _sample(self) -> None:
-        said, as_what = self._node.said, self._node.generation.settings.load_signal
+        said, as_what = self._node.advertised_weight, self._node.generation.settings.load_signal
         weight = 1.0 if said is None else 1 - said if as_what is LoadSignal.PRIORITY_THRESHOLD else said
         gauges = self._node.gauges
-        self.meter.state(self._node.clock(), weight, gauges.memory_utilization, gauges.cpu_utilization)
+        self.request_metrics.sample_server(
+            self._node.clock(), weight, gauges.memory_utilization, gauges.cpu_utilization
+        )
 
     async def _look(self) -> None:
         judge, now = self._judge, self._node.clock()
         if judge is None:
             return
-        if self._node.phase is not Phase.SERVING or not self._node.workers.up:
+        if self._node.phase is not Phase.SERVING or not self._node.worker_pool.is_up:
             self.changes.unseen(WIDTH_MS)  # what goes wrong now says nothing of the change
             judge.begin_anew(now)
             return
-        self.verdict = judge.look(now, self.meter.between(judge.upto, now))
+        self.verdict = judge.look(now, self.request_metrics.between(judge.upto, now))
         step = self.changes.judged(now, self.verdict)
         if step is Step.ROLLED_BACK:
             await self._undo(self.verdict.reason)
@@ -165,11 +184,11 @@
             self._settled()
             await self._write_or_keep(record)
 
-    def _untroubled(self, begin: float, end: float) -> Iterator[Bucket]:
+    def _untroubled(self, begin: float, end: float) -> Iterator[MetricsBucket]:
         """What was counted in this time, but for the time of changes that were undone: what they spoilt is no measure
         for the next one."""
         self._spoilt = [span for span in self._spoilt if span[1] > begin]
-        for bucket in self.meter.between(begin, end):
+        for bucket in self.request_metrics.between(begin, end):
             at = bucket.number * WIDTH_MS
             if not any(since < at + WIDTH_MS and at < until for since, until in self._spoilt):
                 yield bucket
@@ -187,11 +206,11 @@
     def _settled(self) -> None:
         """Nothing is on probation any more."""
         self._judge = None
-        self.meter.count_as_in_time(self._node.generation.quoted_ms)
+        self.request_metrics.set_latency_objectives(self._node.generation.latency_objectives_ms)
 
     def _adopt(self, generation: Generation) -> None:
         begun = time.perf_counter()
-        self._node.adopt(generation)
+        self._node.apply_generation(generation)
         self.apply_us = [*self.apply_us[-63:], (time.perf_counter() - begun) * 1e6]
 
     # The history
@@ -219,7 +238,7 @@
     def reload(self) -> None:
         """SIGHUP: read the files again, in a thread, since their reader may be slow; then take what may be taken."""
         self._reloads += 1
-        self._node.tasks.start_soon(self._node.guard, self._reload, self._reloads)
+        self._node.task_group.start_soon(self._node.supervise, self._reload, self._reloads)
 
     async def _reload(self, number: int) -> None:
         async with self._lock:
@@ -227,7 +246,7 @@
                 return  # a later notice reads what this one would have read
             try:
                 config = await anyio.to_thread.run_sync(self._read_again)
-            except Malformed as fault:
+            except MalformedSettingsError as fault:
                 self._node.log.error("configuration not taken", fault=str(fault))
                 return
             document, earlier = document_of(config), self._file
@@ -237,7 +256,7 @@
             rest = [each for each in plan_of(earlier, document).differences if each.effect is not Effect.LINKS]
             if not rest or not self.changes.rules.reload_all:
                 self._file, self.changes.base = document, digest_of(document)
-            peers, _ = moved(self._node.generation.config, config)
+            peers, _ = with_new_peer_addresses(self._node.generation.config, config)
             if peers != self._node.generation.config:
                 generation, record = self.changes.moved(
                     self._node.clock(), peers, {**self.changes.in_force.document, "peers": document["peers"]}, "SIGHUP"
@@ -288,15 +307,15 @@
         """The whole document that a request asks for: laid over the one in force, or with `whole` instead of it."""
         part = request.get("document")
         if not isinstance(part, dict):
-            raise Faulty([Fault((), "a document is needed")])
+            raise InvalidDocumentError([Fault((), "a document is needed")])
         checker = Checker(Read(part, "document"))
         found = checker.part()
-        if grave(checker.faults):
-            raise Faulty(checker.faults)
+        if errors_of(checker.faults):
+            raise InvalidDocumentError(checker.faults)
         base: Document = {} if request.get("whole") is True else self.changes.in_force.document
         whole, faults = checked(merged(base, found))
-        if grave(faults):
-            raise Faulty(faults)
+        if errors_of(faults):
+            raise InvalidDocumentError(faults)
         return whole, checker.faults + faults
 
     def _drafted(self, request: dict[str, Any]) -> tuple[Change, list[Fault]]:
@@ -368,7 +387,7 @@
         """Write it down, adopt it, and begin to watch. A crash on the way leaves the last confirmed one in force."""
         node, changes = self._node, self.changes
         if node.phase not in (Phase.WAITING, Phase.SERVING):
-            raise Denied(Denial.LEAVING, node.phase.name.lower())
+            raise Denied(Denial.LEAVING, PHASE_WORDS[node.phase])
         await self._write_rest()
         if self._unwritten:  # in order, or not at all: what stands behind a gap is not believed at the next start
             raise Denied(Denial.HISTORY, f"{len(self._unwritten)} records behind")
@@ -380,15 +399,18 @@
             raise Denied(Denial.HISTORY, error.strerror or "") from None
         if node.phase not in (Phase.WAITING, Phase.SERVING):  # it was told to leave meanwhile
             await self._write_or_keep(changes.failed(node.clock(), Denial.LEAVING.value))
-            raise Denied(Denial.LEAVING, node.phase.name.lower())
+            raise Denied(Denial.LEAVING, PHASE_WORDS[node.phase])
         generation, now = change.generation, node.clock()
         assert generation is not None
         before = Before(self._untroubled(now - changes.rules.baseline_ms, now))
-        was = node.generation.quoted_ms
+        was = node.generation.latency_objectives_ms
         self._adopt(generation)
         # an answer within either quoted time is one in time: what is asked is whether the node does worse
-        self.meter.count_as_in_time(
-            {name: max(was.get(name, 0.0), quoted) for name, quoted in {**was, **generation.quoted_ms}.items()}
+        self.request_metrics.set_latency_objectives(
+            {
+                name: max(was.get(name, 0.0), quoted)
+                for name, quoted in {**was, **generation.latency_objectives_ms}.items()
+            }
         )
         confirmed = changes.applied(node.clock())
         self.verdict = None
@@ -429,13 +451,17 @@
         verdict = (
             None
             if self.verdict is None
-            else {"standing": self.verdict.standing.name.lower(), "reason": self.verdict.reason, **self.verdict.figures}
+            else {
+                "standing": STANDING_WORDS[self.verdict.standing],
+                "reason": self.verdict.reason,
+                **self.verdict.figures,
+            }
         )
         return {
             "name": node.generation.config.name,
-            "phase": node.phase.name.lower(),
-            "healthy": node.healthy,
-            "in_hand": len(node.transactions),
+            "phase": PHASE_WORDS[node.phase],
+            "healthy": node.is_healthy,
+            "in_hand": len(node.requests),
             "verdict": verdict,
             "apply_us": self.apply_us[-8:],
             "history_behind": len(self._unwritten),
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -17,12 +17,20 @@
 
 import anyio
 
-from nickelslip.configuration.changes import Denied
-from nickelslip.configuration.faults import Faulty
-from nickelslip.configuration.protocol import Frames, Improper, accepted, denied, framed, hello, request_fault
-from nickelslip.server.endings import Ended, Ending
+from nickelslip.configuration.change_lifecycle import Denied
+from nickelslip.configuration.control_protocol import (
+    ControlProtocolError,
+    Frames,
+    accepted,
+    denied,
+    framed,
+    hello,
+    request_fault,
+)
+from nickelslip.configuration.validation import InvalidDocumentError
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.interfaces import ServerContext
 from nickelslip.server.streams import Stream
-from nickelslip.server.surroundings import Surroundings
 
 CONNECTIONS_MOST = 8
 HALF_S = 3.0  # from the begin of a message to its end, and for taking a reply
@@ -56,7 +64,11 @@
     """The door of one server."""
 
     def __init__(
-        self, around: Surroundings, path: str, mode: int, command: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
+        self,
+        around: ServerContext,
+        path: str,
+        mode: int,
+        command: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]],
     ) -> None:
         self._around, self._path, self._mode, self._command = around, path, mode, command
         self.open = 0
@@ -89,7 +101,7 @@
                     sock.close()
                     continue
                 self.open += 1
-                self._around.tasks.start_soon(self._serve, sock)
+                self._around.task_group.start_soon(self._serve, sock)
         finally:
             listener.close()
             with suppress(OSError):
@@ -97,17 +109,17 @@
 
     async def _serve(self, sock: socket.socket) -> None:
         """One peer. Whatever it does, it does to its own connection."""
-        stream = Stream(sock, self._around.buffers, self._around.tasks, HALF_S * 1000, BACKLOG_MOST)
-        ending = Ending.LEFT
+        stream = Stream(sock, self._around.buffers, self._around.task_group, HALF_S * 1000, BACKLOG_MOST)
+        ending = CloseReason.SHUTDOWN
         try:
             await self._talk(stream)
-        except Ended as ended:
-            ending = ended.ending
-        except Improper as improper:
-            ending = Ending.GARBLED
+        except ConnectionClosedError as ended:
+            ending = ended.reason
+        except ControlProtocolError as improper:
+            ending = CloseReason.MALFORMED
             stream.write(framed(denied({}, "improper", str(improper))))
         except Exception as error:  # this peer alone is left without its answer
-            ending = Ending.FAULT
+            ending = CloseReason.FAULT
             self._around.log.error("control connection failed", error=repr(error), exc_info=error)
         finally:
             stream.end_with(ending)
@@ -137,7 +149,7 @@
             return accepted(request, **await self._command(request))
         except Denied as refusal:
             return denied(request, refusal.denial.name.lower(), str(refusal))
-        except Faulty as faulty:
+        except InvalidDocumentError as faulty:
             return denied(
                 request,
                 "faulty",
--- a/nickelslip/server/lasting.py
+++ b/nickelslip/server/crash_loop_guard.py
@@ -13,11 +13,11 @@
 
 import anyio
 
-from nickelslip.coming_up.crash_file import CrashFile
-from nickelslip.coming_up.crashes import EARLY_MS
+from nickelslip.startup.crash_loop import EARLY_MS
+from nickelslip.startup.crash_loop_file import CrashFile
 
 
-class Lasting:
+class CrashLoopGuard:
     """The memory of starts in one folder."""
 
     def __init__(self, folder: str, seed: int, log: Any) -> None:
--- a/nickelslip/server/directory.py
+++ b/nickelslip/server/directory_reporter.py
@@ -16,30 +16,30 @@
 from nickelslip.configuration.config import Address
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
-    from nickelslip.server.surroundings import Reported
+    from nickelslip.server.interfaces import ReportSource
 
 
 def family_of(address: Address) -> socket.AddressFamily:
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
-class Directory:
+class DirectoryReporter:
     """The directory, as this server reports to it."""
 
-    def __init__(self, around: Reported) -> None:
+    def __init__(self, around: ReportSource) -> None:
         self._around = around
         self._reached = True
         self._again = anyio.Event()
         self._sock: socket.socket | None = None  # kept: where descriptors run short a report must not need one
 
-    def move(self) -> None:
+    def change_endpoint(self) -> None:
         """What is due may have changed. A new address alone brings no report out of turn: a new configuration comes to
         all servers in the same moment."""
         self._again.set()
 
-    def tell(self) -> None:
+    def report_health_change(self) -> None:
         """The health has changed: report at once."""
-        self._around.coming_up.told(self._around.clock())
+        self._around.slow_start.health_changed(self._around.clock())
         self._again.set()
 
     async def run(self) -> None:
@@ -55,12 +55,12 @@
     async def _run(self) -> None:
         while True:
             self._again = anyio.Event()
-            now, coming_up = self._around.clock(), self._around.coming_up
-            if coming_up.report_at <= now:
+            now, coming_up = self._around.clock(), self._around.slow_start
+            if coming_up.next_report_at_ms <= now:
                 self._report()
-                coming_up.reported(now)
-                self._around.look()
-            wait = coming_up.report_at - self._around.clock()
+                coming_up.report_sent(now)
+                self._around.update_slow_start()
+            wait = coming_up.next_report_at_ms - self._around.clock()
             with anyio.move_on_after(None if wait == inf else max(0.0, wait) / 1000):
                 await self._again.wait()
 
@@ -75,7 +75,7 @@
 
     def _report(self) -> None:
         address = self._around.generation.config.directory
-        report = f"PULSE {self._around.generation.config.name} {'open' if self._around.healthy else 'closed'}"
+        report = f"PULSE {self._around.generation.config.name} {'open' if self._around.is_healthy else 'closed'}"
         detail = None
         try:
             self._socket(family_of(address)).sendto(report.encode(), address)
--- a/nickelslip/server/surroundings.py
+++ b/nickelslip/server/interfaces.py
@@ -11,46 +11,46 @@
 
 from anyio.abc import TaskGroup
 
-from nickelslip.coming_up.start import Start
 from nickelslip.configuration.generations import Generation
-from nickelslip.server.streams import Buffers
-from nickelslip.server.transactions import Transaction
+from nickelslip.server.requests import Request
+from nickelslip.server.streams import BufferPool
+from nickelslip.startup.slow_start import SlowStart
 
 
-class Surroundings(Protocol):
+class ServerContext(Protocol):
     """For every part: clock, log, buffers, tasks, and the configuration in force."""
 
     log: Any
-    tasks: TaskGroup
-    buffers: Buffers
+    task_group: TaskGroup
+    buffers: BufferPool
 
     @property
     def generation(self) -> Generation: ...
     def clock(self) -> float: ...
-    async def guard(self, part: Callable[..., Any], *values: Any) -> None: ...
+    async def supervise(self, part: Callable[..., Any], *values: Any) -> None: ...
 
 
-class Reported(Surroundings, Protocol):
+class ReportSource(ServerContext, Protocol):
     """For the report to the directory: it says when one is due, and hears that one went out."""
 
-    healthy: bool
-    coming_up: Start
+    is_healthy: bool
+    slow_start: SlowStart
 
-    def look(self) -> None: ...
+    def update_slow_start(self) -> None: ...
 
 
-class Host(Surroundings, Protocol):
+class RequestHandler(ServerContext, Protocol):
     """For a front: where a transaction that was read goes, and what is said outward meanwhile."""
 
-    healthy: bool
-    said: float | None
+    is_healthy: bool
+    advertised_weight: float | None
 
-    def take(self, one: Transaction) -> bool: ...
+    def accept_request(self, one: Request) -> bool: ...
 
 
-class Employer(Surroundings, Protocol):
+class RunOwner(ServerContext, Protocol):
     """For the link to the worker pool: whose runs these are, and who hears that it came up."""
 
-    transactions: dict[int, Transaction]
+    requests: dict[int, Request]
 
-    def workers_up(self, ago_ms: float) -> None: ...
+    def worker_pool_started(self, ago_ms: float) -> None: ...
--- a/nickelslip/server/connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -15,13 +15,13 @@
 
 from nickelslip.admission.interface import RequestState
 from nickelslip.server import resp
-from nickelslip.server.endings import Ended, Ending
-from nickelslip.server.messages import BadField, asked_from, tag_in
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.request_decoder import InvalidFieldError, decode_request, tag_in
+from nickelslip.server.requests import Answer, ClientDisconnected, Request
 from nickelslip.server.streams import Stream
-from nickelslip.server.transactions import Answer, Gone, Transaction
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
-    from nickelslip.server.surroundings import Host
+    from nickelslip.server.interfaces import RequestHandler
 
 OPEN_MOST = 32  # transactions on one connection
 BACKLOG_MOST = 64 * 1024  # unread answers over which no more is read from a connection
@@ -39,27 +39,29 @@
     """What a connection needs of the table that it is in."""
 
     @property
-    def host(self) -> Host: ...
-    def note_proven(self, connection: Connection) -> None: ...
-    def is_slow_writer(self, connection: Connection) -> bool: ...
-    def admit_slow_writer(self, connection: Connection) -> bool: ...
-    def note_whole_message(self, connection: Connection) -> None: ...
-    def note_parting(self, connection: Connection) -> None: ...
+    def host(self) -> RequestHandler: ...
+    def note_first_complete_message(self, connection: LoadBalancerConnection) -> None: ...
+    def is_slow_writer(self, connection: LoadBalancerConnection) -> bool: ...
+    def admit_slow_writer(self, connection: LoadBalancerConnection) -> bool: ...
+    def note_complete_message(self, connection: LoadBalancerConnection) -> None: ...
+    def note_closing(self, connection: LoadBalancerConnection) -> None: ...
     def report_malformed(self, fault: str) -> None: ...
-    def report_ending(self, ended: Ended) -> None: ...
+    def report_close(self, ended: ConnectionClosedError) -> None: ...
 
 
-class Connection:
+class LoadBalancerConnection:
     """One accepted connection, whether a balancer is at its other end or not."""
 
     def __init__(self, table: ConnectionTable, sock: socket.socket) -> None:
         self._table = table
         self._host = table.host
-        self.stream = Stream(sock, self._host.buffers, self._host.tasks, self._host.generation.stall_ms, BACKLOG_MOST)
-        self._open: dict[int, Transaction] = {}  # those not answered yet, by their tags
+        self.stream = Stream(
+            sock, self._host.buffers, self._host.task_group, self._host.generation.longest_timeout_ms, BACKLOG_MOST
+        )
+        self._open: dict[int, Request] = {}  # those not answered yet, by their tags
         self.used = self._host.clock()  # when it was last used: its start, the last whole message, the last answer
         self._message_began: float | None = None  # when the first byte was read of a message that is not whole yet
-        self.proven = False  # a valid request came on it
+        self.has_sent_complete_message = False  # a valid request came on it
         self._faults = 0  # consecutive messages that were refused
         self.closing = False  # the other side has been told to close it
         self.parted: float | None = None  # when this side began to end it
@@ -67,21 +69,21 @@
 
     async def serve(self) -> None:
         """Read messages until the connection ends, and then abandon every transaction still open on it."""
-        ended = Ended(Ending.LEFT)
+        ended = ConnectionClosedError(CloseReason.SHUTDOWN)
         try:
             await self._read_messages()
-        except Ended as reason:
+        except ConnectionClosedError as reason:
             ended = reason
-            if reason.ending not in (Ending.CLOSED, Ending.RESET):
+            if reason.reason not in (CloseReason.CLOSED, CloseReason.RESET):
                 await self._drain_open_transactions()
         except Exception as error:  # only this connection ends, and its open transactions are answered first
-            ended = Ended(Ending.FAULT, repr(error))
+            ended = ConnectionClosedError(CloseReason.FAULT, repr(error))
             self._host.log.error("balancer connection failed", error=repr(error), exc_info=error)
             await self._drain_open_transactions()
         finally:
-            self.stream.end_with(ended.ending)
+            self.stream.end_with(ended.reason)
             self._abandon_open_transactions()
-            self._table.report_ending(ended)
+            self._table.report_close(ended)
 
     # Reading
 
@@ -92,14 +94,14 @@
             await self._receive()
             self._handle_received()
             if self._faults > FAULTS_MOST:
-                raise Ended(Ending.GARBLED, "nothing but faults")
+                raise ConnectionClosedError(CloseReason.MALFORMED, "nothing but faults")
 
     async def _receive(self) -> None:
         """Wait until more was read, or until a message is found to be written slowly and is allowed to go on."""
         try:
             await self.stream.fill(self._time_left_ms())
-        except Ended as ended:
-            if ended.ending is not Ending.STALLED or not self._table.admit_slow_writer(self):
+        except ConnectionClosedError as ended:
+            if ended.reason is not CloseReason.STALLED or not self._table.admit_slow_writer(self):
                 raise
 
     def _time_left_ms(self) -> float:
@@ -107,9 +109,9 @@
         now = self._host.clock()
         if self._message_began is not None:
             slow = self._table.is_slow_writer(self)
-            limit_ms = self._host.generation.stall_ms if slow else SLOW_MESSAGE_MS
+            limit_ms = self._host.generation.longest_timeout_ms if slow else SLOW_MESSAGE_MS
             return self._message_began + limit_ms - now
-        if self.proven:
+        if self.has_sent_complete_message:
             return inf
         return self.used + FIRST_BYTE_MS - now
 
@@ -123,16 +125,16 @@
                 return
             self.used = self._host.clock()
             self._message_began = None
-            self._table.note_whole_message(self)
+            self._table.note_complete_message(self)
             self._handle_message(parts)
 
     def _next_message(self, data: bytearray) -> list[bytes] | None:
         """The parts of the next message, taken from the stream's data; None while it is not whole."""
         try:
             message = resp.parse(data, self.stream.start, self.stream.end)
-        except resp.Garbled as garbled:
+        except resp.MalformedMessageError as garbled:
             self._refuse_garbled(garbled.parts)
-            raise Ended(Ending.GARBLED, str(garbled)) from None
+            raise ConnectionClosedError(CloseReason.MALFORMED, str(garbled)) from None
         if message is None:
             return None
         parts, end = message
@@ -145,11 +147,11 @@
         verb = parts[0]
         tag = tag_in(parts)
         if not tag:
-            raise Ended(Ending.GARBLED, "no tag")
+            raise ConnectionClosedError(CloseReason.MALFORMED, "no tag")
         if verb == NEVERMIND:
             self._handle_nevermind(tag)
         elif tag in self._open:
-            raise Ended(Ending.GARBLED, f"tag {tag} is in use")
+            raise ConnectionClosedError(CloseReason.MALFORMED, f"tag {tag} is in use")
         elif verb == STATUS:
             self._handle_status(tag)
         elif verb == ASK:
@@ -162,20 +164,20 @@
         """Its caller has given a transaction up, which is not answered any more."""
         transaction = self._open.pop(tag, None)
         if transaction is not None:
-            transaction.post(Gone())
+            transaction.deliver(ClientDisconnected())
             self._note_if_drained()
 
     def _handle_status(self, tag: int) -> None:
         """Answer a health check."""
         self._prove()
-        self._send(tag, HEALTHY if self._host.healthy else SICK, _signal_field(self._host.said))
+        self._send(tag, HEALTHY if self._host.is_healthy else SICK, _signal_field(self._host.advertised_weight))
 
     def _handle_ask(self, tag: int, parts: list[bytes]) -> None:
         """Open a transaction, or refuse it, also where an unexpected error is raised meanwhile."""
         taken = False
         try:
             taken = self._open_transaction(tag, parts)
-        except BadField as fault:
+        except InvalidFieldError as fault:
             self._table.report_malformed(str(fault))
         finally:
             if taken:
@@ -187,12 +189,18 @@
     def _open_transaction(self, tag: int, parts: list[bytes]) -> bool:
         """Whether the transaction has been taken; its life then goes on in a task. Raises BadField."""
         if len(self._open) >= OPEN_MOST:
-            raise BadField("more than may be open")
+            raise InvalidFieldError("more than may be open")
         generation = self._host.generation  # under which it is read, and stays to its end
-        asked = asked_from(parts, generation.repeats, generation.customers, self._host.clock(), generation.stall_ms)
-        transaction = Transaction(asked, generation, lambda answer: self._answer(tag, answer))
+        asked = decode_request(
+            parts,
+            generation.retry_safety_by_class,
+            generation.tenant_names,
+            self._host.clock(),
+            generation.longest_timeout_ms,
+        )
+        transaction = Request(asked, generation, lambda answer: self._answer(tag, answer))
         self._open[tag] = transaction
-        if not self._host.take(transaction):
+        if not self._host.accept_request(transaction):
             del self._open[tag]
             return False
         self._prove()
@@ -200,14 +208,14 @@
 
     def _prove(self) -> None:
         """A valid request came on this connection."""
-        self.proven = True
-        self._table.note_proven(self)
+        self.has_sent_complete_message = True
+        self._table.note_first_complete_message(self)
 
     # Answering
 
     def _refuse(self, tag: int) -> None:
         """Answer a request with a failure."""
-        self._answer(tag, Answer(RequestState.FAILED, self._host.said))
+        self._answer(tag, Answer(RequestState.FAILED, self._host.advertised_weight))
 
     def _refuse_garbled(self, parts: list[bytes]) -> None:
         """Refuse a message that cannot be parsed to its end, if its first parts hold a tag that can be answered."""
@@ -235,7 +243,7 @@
         """Whether nothing is owed on it: no open transaction, no half message, nothing unsent."""
         return not self._open and self.stream.data is None and self.stream.all_sent
 
-    def part(self, ending: Ending) -> bool:
+    def part(self, ending: CloseReason) -> bool:
         """Begin to end the connection if nothing is owed on it, neither here nor, as far as can be seen, unread in the
         system's buffer. What arrives later crosses the close. Returns False where something is owed."""
         if not self.idle or not self.stream.quiet:
@@ -243,7 +251,7 @@
         self.cut_off(ending)
         return True
 
-    def cut_off(self, ending: Ending) -> None:
+    def cut_off(self, ending: CloseReason) -> None:
         """Begin to end the connection even if something is unread on it, for want of time or room to answer more. It is
         left as it is while a transaction is open on it or an answer is not yet sent."""
         if self.parted is None and not self._open and self.stream.all_sent:
@@ -262,7 +270,7 @@
         await self._wait_until_sent()
         if self.parted is None:
             self.parted = self._host.clock()
-            self._table.note_parting(self)
+            self._table.note_closing(self)
         await self.stream.linger()
 
     async def _wait_until_answered(self) -> None:
@@ -272,25 +280,25 @@
 
     async def _wait_until_sent(self) -> None:
         """Wait for the other side to read its answers, for as long as a stream may stall."""
-        with anyio.move_on_after(self._host.generation.stall_ms / 1000):
+        with anyio.move_on_after(self._host.generation.longest_timeout_ms / 1000):
             while not self.stream.all_sent and not self.stream.ending:
                 await anyio.sleep(SEND_POLL_S)
 
     def _abandon_open_transactions(self) -> None:
         for transaction in self._open.values():
-            transaction.post(Gone())
+            transaction.deliver(ClientDisconnected())
         self._open.clear()
 
 
 def _answer_fields(answer: Answer) -> bytes:
     """The signal and, on a dismissal, when and whether to come again."""
     fields = []
-    if answer.said is not None:
-        fields.append(_signal_field(answer.said))
+    if answer.advertised_weight is not None:
+        fields.append(_signal_field(answer.advertised_weight))
     if answer.state is RequestState.REJECTED:
         if answer.retry_after_ms > 0:
             fields.append(b"holdoff=%.3f" % answer.retry_after_ms)
-        if answer.last:
+        if answer.retry_elsewhere_useless:
             fields.append(b"nomore=1")
     return b",".join(fields)
 
--- a/nickelslip/server/balancers.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -19,11 +19,11 @@
 import anyio
 
 from nickelslip.configuration.config import Address
-from nickelslip.server.connection import Connection
-from nickelslip.server.endings import Ended, Ending
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.load_balancer_connection import LoadBalancerConnection
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
-    from nickelslip.server.surroundings import Host
+    from nickelslip.server.interfaces import RequestHandler
 
 LISTEN_BACKLOG = 1024  # connections that the system keeps until they are accepted
 ACCEPTS_MOST = 32  # connections accepted at once
@@ -80,18 +80,20 @@
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("@HP", instruction_count, address))
 
 
-class Balancers:
+class LoadBalancerListener:
     """The listener and its connections."""
 
-    def __init__(self, host: Host, listener: socket.socket) -> None:
+    def __init__(self, host: RequestHandler, listener: socket.socket) -> None:
         self.host = host
         self._listener = listener
-        self._connections: set[Connection] = set()
-        self._silent: dict[Connection, None] = {}  # those without a valid request so far, the oldest first
-        self._parting: dict[Connection, None] = {}  # those that linger, the first to do so first
-        self.slow_writers: set[Connection] = set()  # those whose message may take as long as any caller waits
+        self._connections: set[LoadBalancerConnection] = set()
+        self._silent: dict[LoadBalancerConnection, None] = {}  # those without a valid request so far, the oldest first
+        self._parting: dict[LoadBalancerConnection, None] = {}  # those that linger, the first to do so first
+        self.slow_writers: set[LoadBalancerConnection] = (
+            set()
+        )  # those whose message may take as long as any caller waits
         self._malformed_count = 0
-        self._ending_counts: Counter[Ending] = Counter()
+        self._ending_counts: Counter[CloseReason] = Counter()
 
     # Accepting
 
@@ -108,7 +110,7 @@
     def _accept(self, most: int = ACCEPTS_MOST) -> bool:
         """Accept some of the connections that wait; returns whether to pause, as none can be taken for the moment. Not
         all are accepted, so that those that were are read before others crowd them out."""
-        shares = self.host.generation.shares
+        shares = self.host.generation.descriptor_shares
         for _ in range(most):
             if len(self._connections) >= shares.balancers + shares.lingering and not self._cut_lingering():
                 return True
@@ -127,28 +129,28 @@
         """Whether an accept that failed with this error may be tried again at once."""
         if error.errno in OUT_OF_RESOURCES:
             return self._cut_lingering() or self._make_room()
-        self.report_ending(Ended(Ending.REFUSED, error.strerror or ""))
+        self.report_close(ConnectionClosedError(CloseReason.REFUSED, error.strerror or ""))
         return False
 
     def _admit(self, sock: socket.socket) -> None:
         """Serve a connection that was accepted. Where no place is left for it, it is ended at once with nothing read,
         so that its client may go to another server."""
         has_place = self._has_free_place() or self._make_room()
-        connection = Connection(self, sock)
+        connection = LoadBalancerConnection(self, sock)
         self._connections.add(connection)
         self._silent[connection] = None
-        self.host.tasks.start_soon(self.host.guard, self._serve, connection)
+        self.host.task_group.start_soon(self.host.supervise, self._serve, connection)
         if not has_place:
-            connection.cut_off(Ending.SHED)
-            self.note_parting(connection)
+            connection.cut_off(CloseReason.SHED)
+            self.note_closing(connection)
 
-    async def _serve(self, connection: Connection) -> None:
+    async def _serve(self, connection: LoadBalancerConnection) -> None:
         try:
             await connection.serve()
         finally:
             self._forget(connection)
 
-    def _forget(self, connection: Connection) -> None:
+    def _forget(self, connection: LoadBalancerConnection) -> None:
         self._connections.discard(connection)
         self.slow_writers.discard(connection)
         self._parting.pop(connection, None)
@@ -158,7 +160,7 @@
 
     def _has_free_place(self) -> bool:
         """Whether one more connection fits; those that linger have places of their own."""
-        return len(self._connections) - len(self._parting) < self.host.generation.shares.balancers
+        return len(self._connections) - len(self._parting) < self.host.generation.descriptor_shares.balancers
 
     def _make_room(self) -> bool:
         """Begin to end one connection on which nothing is owed; returns whether there was one.
@@ -168,17 +170,17 @@
         """
         chosen = self._part_first(list(islice(self._silent, SILENT_CANDIDATES)))
         if chosen is None:
-            idle = [each for each in self._connections if each.proven and each.idle]
+            idle = [each for each in self._connections if each.has_sent_complete_message and each.idle]
             chosen = self._part_first(sorted(idle, key=lambda each: each.used))
         if chosen is None:
             return False
-        self.note_parting(chosen)
+        self.note_closing(chosen)
         return True
 
     @staticmethod
-    def _part_first(candidates: list[Connection]) -> Connection | None:
+    def _part_first(candidates: list[LoadBalancerConnection]) -> LoadBalancerConnection | None:
         """The first of them on which nothing is owed, which has begun to end; None where there is none."""
-        return next((each for each in candidates if each.part(Ending.SHED)), None)
+        return next((each for each in candidates if each.part(CloseReason.SHED)), None)
 
     def _cut_lingering(self) -> bool:
         """Free a descriptor at once; returns whether one was freed.
@@ -188,40 +190,40 @@
         """
         now = self.host.clock()
         for connection in self._parting:
-            if not connection.proven or now - (connection.parted or now) >= CROSSING_MS:
+            if not connection.has_sent_complete_message or now - (connection.parted or now) >= CROSSING_MS:
                 self._forget(connection)
-                connection.stream.end_with(Ending.SHED)
+                connection.stream.end_with(CloseReason.SHED)
                 return True
         return False
 
     # What a connection tells
 
-    def note_proven(self, connection: Connection) -> None:
+    def note_first_complete_message(self, connection: LoadBalancerConnection) -> None:
         """A valid request came on it: it is no longer among the first to make room."""
         self._silent.pop(connection, None)
 
-    def note_parting(self, connection: Connection) -> None:
+    def note_closing(self, connection: LoadBalancerConnection) -> None:
         """It lingers, and its place is free for another."""
         self._silent.pop(connection, None)
         self._parting[connection] = None
 
-    def is_slow_writer(self, connection: Connection) -> bool:
+    def is_slow_writer(self, connection: LoadBalancerConnection) -> bool:
         """Whether its message may take as long as any caller waits."""
         return connection in self.slow_writers
 
-    def admit_slow_writer(self, connection: Connection) -> bool:
+    def admit_slow_writer(self, connection: LoadBalancerConnection) -> bool:
         """Whether its message, which is not whole after SLOW_MESSAGE_MS, may take as long as any caller waits.
 
         Its sender may be slow without ill intent. Only a part of the places and buffers is given to such messages, so
         that senders who never finish theirs leave the rest to others.
         """
-        most = min(self.host.generation.shares.balancers, self.host.buffers.most) // SLOW_WRITERS_ONE_IN
+        most = min(self.host.generation.descriptor_shares.balancers, self.host.buffers.most) // SLOW_WRITERS_ONE_IN
         if connection in self.slow_writers or len(self.slow_writers) >= max(1, most):
             return False
         self.slow_writers.add(connection)
         return True
 
-    def note_whole_message(self, connection: Connection) -> None:
+    def note_complete_message(self, connection: LoadBalancerConnection) -> None:
         """Its message is whole; the next one has the ordinary limit again."""
         self.slow_writers.discard(connection)
 
@@ -231,18 +233,18 @@
         if _is_power_of_two(self._malformed_count):
             self.host.log.warning("transaction not understood", fault=fault, so_far=self._malformed_count)
 
-    def report_ending(self, ended: Ended) -> None:
+    def report_close(self, ended: ConnectionClosedError) -> None:
         """Log an ending other than a plain close: of each kind the first, and each whose count is a power of two."""
-        if ended.ending is Ending.CLOSED:
+        if ended.reason is CloseReason.CLOSED:
             return
-        self._ending_counts[ended.ending] += 1
-        count = self._ending_counts[ended.ending]
+        self._ending_counts[ended.reason] += 1
+        count = self._ending_counts[ended.reason]
         if _is_power_of_two(count):
-            self.host.log.info("balancer connection ended", ending=ended.ending.name, detail=ended.detail, so_far=count)
+            self.host.log.info("balancer connection ended", ending=ended.reason.name, detail=ended.detail, so_far=count)
 
     # Ending connections
 
-    def trim(self, idle_ms: float) -> None:
+    def close_idle(self, idle_ms: float) -> None:
         """Tell balancers to close connections unused for so long; one that was told and stays open is ended."""
         now = self.host.clock()
         for connection in list(self._connections):
@@ -251,10 +253,10 @@
                 continue
             if not connection.closing:
                 connection.close()
-            elif unused_ms > idle_ms + self.host.generation.stall_ms and connection.part(Ending.IDLE):
-                self.note_parting(connection)
+            elif unused_ms > idle_ms + self.host.generation.longest_timeout_ms and connection.part(CloseReason.IDLE):
+                self.note_closing(connection)
 
-    def shut_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept the connections that already wait, and close the listener."""
         if self._listener.fileno() < 0:
             return
@@ -263,13 +265,13 @@
         anyio.notify_closing(self._listener)
         self._listener.close()
 
-    async def leave(self, left_ms: float) -> None:
+    async def shut_down(self, left_ms: float) -> None:
         """End every connection within this time.
 
         Balancers close theirs once they are told to. One that rests is ended by the server when nothing can arrive any
         more that its balancer sent before it was told.
         """
-        self.shut_door()
+        self.stop_accepting()
         for connection in list(self._connections):
             connection.close()
         begun = self.host.clock()
@@ -281,9 +283,9 @@
         """End the connections on which nothing is owed; near the end of the time also those with something unread."""
         for connection in list(self._connections):
             if self.host.clock() >= begun + left_ms - CROSSING_MS:
-                connection.cut_off(Ending.LEFT)
+                connection.cut_off(CloseReason.SHUTDOWN)
             elif connection.parted is None and self.host.clock() >= begun + 2 * CROSSING_MS:
-                connection.part(Ending.LEFT)
+                connection.part(CloseReason.SHUTDOWN)
 
 
 def _is_power_of_two(count: int) -> bool:
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -23,9 +23,9 @@
 import nickelslip
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.loading import load
-from nickelslip.server.balancers import Balancers, bind
-from nickelslip.server.node import Node
-from nickelslip.settings import Malformed
+from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
+from nickelslip.server.server import Server
+from nickelslip.settings import MalformedSettingsError
 
 LINE_MOST = select.PIPE_BUF  # a pipe that can be written takes so much at once
 FAILED, BAD_CONFIGURATION = 1, 2
@@ -86,7 +86,7 @@
     """The configuration in these files; faults are said, and end the process."""
     try:
         return load(paths, os.environ)
-    except Malformed as fault:
+    except MalformedSettingsError as fault:
         for each in getattr(fault, "faults", None) or [fault]:
             say(str(each))
         sys.exit(BAD_CONFIGURATION)
@@ -98,9 +98,9 @@
     set_up_logging(sys.stdout.fileno())
     lasting = None
     if config.starts:
-        from nickelslip.server.lasting import Lasting
+        from nickelslip.server.crash_loop_guard import CrashLoopGuard
 
-        lasting = Lasting(config.starts, config.seed, structlog.get_logger())
+        lasting = CrashLoopGuard(config.starts, config.seed, structlog.get_logger())
         if not lasting.wait():
             sys.exit(0)
     try:
@@ -109,9 +109,9 @@
         say(f"listen: {config.listen[0]}:{config.listen[1]}: {error.strerror}")
         sys.exit(FAILED)
     node = _node(config, partial(load, paths, os.environ))
-    node.fronts.append(Balancers(node, listener))
+    node.listeners.append(LoadBalancerListener(node, listener))
     if lasting is not None:
-        node.parts.append(lasting.run)
+        node.background_tasks.append(lasting.run)
     gc.freeze()  # what the start made stays, and is never looked through: a look would cost a tenth of the start
     gc.enable()
     node.log.info("serving", version=nickelslip.__version__, name=config.name, listen=":".join(map(str, config.listen)))
@@ -121,17 +121,17 @@
     sys.exit(0 if in_order else FAILED)
 
 
-def _node(config: Config, read: Callable[[], Config]) -> Node:
+def _node(config: Config, read: Callable[[], Config]) -> Server:
     """The node, and where the configuration has changes taken while it serves, what takes them."""
     if not config.changes.on:
-        return Node(config, read)
+        return Server(config, read)
     from importlib.util import find_spec
 
     if find_spec("xxhash") is None:  # an extra, which the platform does without
         say("changes: pip install nickelslip[settings] is needed")
         sys.exit(BAD_CONFIGURATION)
     from nickelslip.configuration.store import Store
-    from nickelslip.server.changing import Changing, begin
+    from nickelslip.server.configuration_manager import ConfigurationManager, begin
     from nickelslip.server.control_socket import ControlSocket
 
     rules = config.changes
@@ -141,9 +141,9 @@
     except OSError as error:
         say(f"changes.history: {rules.history}: {error.strerror}")
         sys.exit(FAILED)
-    node = Node(config, read)
-    changing = Changing(node, file, start, records, read, store)
-    node.parts.append(changing.run)
+    node = Server(config, read)
+    changing = ConfigurationManager(node, file, start, records, read, store)
+    node.background_tasks.append(changing.run)
     if rules.socket:
-        node.parts.append(ControlSocket(node, rules.socket, rules.socket_mode, changing.command).run)
+        node.background_tasks.append(ControlSocket(node, rules.socket, rules.socket_mode, changing.command).run)
     return node
--- a/nickelslip/server/records.py
+++ b/nickelslip/server/records_client.py
@@ -15,12 +15,18 @@
 
 from nickelslip.admission.interface import Outcome
 from nickelslip.configuration.config import Address
-from nickelslip.server.endings import CALL_ENDS, NO_DESCRIPTOR, UNREADABLE_CALL, Ended, Ending
-from nickelslip.server.streams import SIZE, Stream, connect
-from nickelslip.server.transactions import Returned, Transaction
+from nickelslip.server.close_reasons import (
+    CALL_OUTCOMES,
+    NO_DESCRIPTOR_OUTCOME,
+    UNREADABLE_CALL_OUTCOME,
+    CloseReason,
+    ConnectionClosedError,
+)
+from nickelslip.server.requests import CallReturned, Request
+from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
-    from nickelslip.server.surroundings import Surroundings
+    from nickelslip.server.interfaces import ServerContext
 
 REUSE_MS = 100.0  # a connection unused for longer may have been closed or forgotten by the service
 IDLE_MOST = 16  # unused connections kept
@@ -29,7 +35,7 @@
 HEAD_MOST = 64  # bytes of a reply's first line
 
 
-class Line(Enum):
+class PooledConnectionState(Enum):
     """The states of a connection."""
 
     CONNECTING = "its call has not been written"
@@ -38,20 +44,20 @@
     OVER = "it carries no call any more"
 
 
-class Carrier:
+class PooledConnection:
     """One connection, and the call that is out on it."""
 
-    def __init__(self, records: Records, one: Transaction, wait_ms: float) -> None:
-        self._records, self._around = records, records.around
-        self.one: Transaction | None = one
+    def __init__(self, records: RecordsClient, one: Request, wait_ms: float) -> None:
+        self._records, self._around = records, records.context
+        self.one: Request | None = one
         self._wait_ms = wait_ms
-        self.state = Line.CONNECTING
-        self.address: Address | None = records.around.generation.config.records
+        self.state = PooledConnectionState.CONNECTING
+        self.address: Address | None = records.context.generation.config.records
         self.used = 0.0
         self._stream: Stream | None = None
         self._dial = anyio.CancelScope()
 
-    def _enter(self, state: Line) -> None:
+    def _enter(self, state: PooledConnectionState) -> None:
         """The one place where it changes its state."""
         self.state = state
 
@@ -59,70 +65,72 @@
         """Connect, send the call, and read to the connection's end."""
         try:
             if self.address is None:
-                raise Ended(Ending.REFUSED, "no address was given")
+                raise ConnectionClosedError(CloseReason.REFUSED, "no address was given")
             with self._dial:
                 self._stream = await connect(
-                    self.address, self._around.buffers, self._around.tasks, BACKLOG_MOST, HALF_MS
+                    self.address, self._around.buffers, self._around.task_group, BACKLOG_MOST, HALF_MS
                 )
             if self.one is None or self._stream is None:  # given up in the meantime, and never written
-                raise Ended(Ending.IDLE)
+                raise ConnectionClosedError(CloseReason.IDLE)
             self._records.reached(None)
             self._write(self.one, self._wait_ms)
             while True:
                 await self._stream.fill()
-                if self.state is Line.IDLE:
-                    raise Ended(Ending.GARBLED, "something came after the reply")
+                if self.state is PooledConnectionState.IDLE:
+                    raise ConnectionClosedError(CloseReason.MALFORMED, "something came after the reply")
                 self._reply(self._stream)
-        except Ended as ended:
+        except ConnectionClosedError as ended:
             self.end(ended)
         except Exception as error:  # this call alone ends, and may have run
             self._around.log.error("call failed", error=repr(error), exc_info=error)
-            self.end(Ended(Ending.FAULT, repr(error)))
+            self.end(ConnectionClosedError(CloseReason.FAULT, repr(error)))
         finally:
             self._records.forget(self)
 
-    def carry(self, one: Transaction, wait_ms: float) -> None:
+    def carry(self, one: Request, wait_ms: float) -> None:
         """Send another call on a connection that is idle."""
         self.one = one
         self._write(one, wait_ms)
 
-    def _write(self, one: Transaction, wait_ms: float) -> None:
+    def _write(self, one: Request, wait_ms: float) -> None:
         body = one.call.body or b""
-        head = b"OP %s %d %d\r\n" % (one.asked.ident.encode(), max(1, round(wait_ms)), len(body))
+        head = b"OP %s %d %d\r\n" % (one.received.id_hex.encode(), max(1, round(wait_ms)), len(body))
         if self._stream is not None and self._stream.write(head + body + b"\r\n"):
-            self._enter(Line.OUT)
+            self._enter(PooledConnectionState.OUT)
 
     @property
     def ready(self) -> bool:
         """Whether it may carry another call; one that has stood idle may be dead without showing it."""
         return (
-            self.state is Line.IDLE
+            self.state is PooledConnectionState.IDLE
             and self._stream is not None
             and self._stream.quiet
             and self.address == self._around.generation.config.records
             and self._around.clock() - self.used <= REUSE_MS
         )
 
-    def end(self, ended: Ended) -> None:
+    def end(self, ended: ConnectionClosedError) -> None:
         """The connection has ended, with what that proves of the call on it."""
         one, self.one, was = self.one, None, self.state
-        self._enter(Line.OVER)
+        self._enter(PooledConnectionState.OVER)
         self._dial.cancel()  # its descriptor is wanted for a call that somebody waits for
         if self._stream is not None:
-            self._stream.end_with(ended.ending)
+            self._stream.end_with(ended.reason)
         if one is not None:
             self._records.returned(one)
-            if ended.ending is Ending.REFUSED:
+            if ended.reason is CloseReason.REFUSED:
                 self._records.reached(ended.detail)
             else:
                 self._records.tell_broken(ended)
-            one.post(Returned(ended.ending.outcome if was is Line.OUT else Outcome.CONNECT_FAILED))
+            one.deliver(
+                CallReturned(ended.reason.outcome if was is PooledConnectionState.OUT else Outcome.CONNECT_FAILED)
+            )
 
     def give_up(self) -> None:
         """Its call is waited for no longer: the end of its connection tells the service, and whatever still comes
         can be taken for no other call's reply."""
         self.one = None
-        self.end(Ended(Ending.IDLE))
+        self.end(ConnectionClosedError(CloseReason.IDLE))
 
     def _reply(self, stream: Stream) -> None:
         """Read what came; replies under other ids than the call's are passed over."""
@@ -130,109 +138,109 @@
             stop = stream.data.find(b"\r\n", stream.start, min(stream.end, stream.start + HEAD_MOST))
             if stop < 0:
                 if stream.end - stream.start >= HEAD_MOST:
-                    raise Ended(Ending.GARBLED, "a line without an end")
+                    raise ConnectionClosedError(CloseReason.MALFORMED, "a line without an end")
                 return
             parts = bytes(stream.data[stream.start : stop]).split(b" ")
-            if len(parts) < 2 or parts[1] not in CALL_ENDS or (parts[1] == b"DONE") is not (len(parts) == 3):
-                raise Ended(Ending.GARBLED, repr(b" ".join(parts)))
+            if len(parts) < 2 or parts[1] not in CALL_OUTCOMES or (parts[1] == b"DONE") is not (len(parts) == 3):
+                raise ConnectionClosedError(CloseReason.MALFORMED, repr(b" ".join(parts)))
             upto, body = stop + 2, b""
             if parts[1] == b"DONE":
-                if not parts[2].isdigit() or len(parts[2]) > 6 or int(parts[2]) > SIZE - 2 * HEAD_MOST:
-                    raise Ended(Ending.GARBLED, f"a length of {parts[2][:20]!r}")
+                if not parts[2].isdigit() or len(parts[2]) > 6 or int(parts[2]) > BUFFER_BYTES - 2 * HEAD_MOST:
+                    raise ConnectionClosedError(CloseReason.MALFORMED, f"a length of {parts[2][:20]!r}")
                 size = int(parts[2])
                 if stream.end < upto + size + 2:
                     return
                 body = bytes(stream.data[upto : upto + size])
                 upto += size + 2
                 if stream.data[upto - 2 : upto] != b"\r\n":
-                    raise Ended(Ending.GARBLED, "a reply that is longer than its length")
+                    raise ConnectionClosedError(CloseReason.MALFORMED, "a reply that is longer than its length")
             one = self.one
-            if one is None or parts[0] != one.asked.ident.encode():
+            if one is None or parts[0] != one.received.id_hex.encode():
                 stream.take(upto)
                 continue
             self._records.returned(one)
             self.one, self.used = None, self._around.clock()
             stream.take(upto)
-            self._enter(Line.IDLE)
-            one.post(Returned(CALL_ENDS[parts[1]], body))
+            self._enter(PooledConnectionState.IDLE)
+            one.deliver(CallReturned(CALL_OUTCOMES[parts[1]], body))
             if stream.data is not None:
-                raise Ended(Ending.GARBLED, "something came behind the reply")
+                raise ConnectionClosedError(CloseReason.MALFORMED, "something came behind the reply")
             self._records.idle(self)
 
 
-class Records:
+class RecordsClient:
     """The records service, as this server reaches it."""
 
-    def __init__(self, around: Surroundings) -> None:
-        self.around = around
-        self._carriers: dict[Transaction, Carrier] = {}
-        self._idle: list[Carrier] = []
-        self._standing: set[Carrier] = set()  # all that may hold a descriptor
+    def __init__(self, around: ServerContext) -> None:
+        self.context = around
+        self._carriers: dict[Request, PooledConnection] = {}
+        self._idle: list[PooledConnection] = []
+        self._standing: set[PooledConnection] = set()  # all that may hold a descriptor
         self._refused = False
         self._broken = 0
 
-    def call(self, one: Transaction, wait_ms: float) -> None:
+    def call(self, one: Request, wait_ms: float) -> None:
         """Send the call at which this one's run stands. A transaction's second call goes on another connection than
         its first: a second copy of the first one's reply would carry the same id. Where its body cannot be read, or no
         descriptor is left for calls, it is not made: the callers' own and the worker pool's link keep theirs."""
         if one.call.body is None:
-            one.post(Returned(UNREADABLE_CALL))
+            one.deliver(CallReturned(UNREADABLE_CALL_OUTCOME))
             return
         carrier = self._unused(one)
         if carrier is not None:
             self._carriers[one] = carrier
             carrier.carry(one, wait_ms)
         elif self._full():
-            one.post(Returned(NO_DESCRIPTOR))
+            one.deliver(CallReturned(NO_DESCRIPTOR_OUTCOME))
             return
         else:
-            carrier = self._carriers[one] = Carrier(self, one, wait_ms)
+            carrier = self._carriers[one] = PooledConnection(self, one, wait_ms)
             self._standing.add(carrier)
-            self.around.tasks.start_soon(self.around.guard, carrier.serve)
-        one.carriers.append(carrier)
+            self.context.task_group.start_soon(self.context.supervise, carrier.serve)
+        one.call_transports.append(carrier)
 
     def _full(self) -> bool:
         """Whether no connection more may be opened; one that stands unused makes place."""
-        most = self.around.generation.shares.calls
+        most = self.context.generation.descriptor_shares.calls
         if len(self._standing) >= most and self._idle:
-            self._idle.pop(0).end(Ended(Ending.IDLE))
+            self._idle.pop(0).end(ConnectionClosedError(CloseReason.IDLE))
             return False
         return len(self._standing) >= most
 
-    def _unused(self, one: Transaction) -> Carrier | None:
+    def _unused(self, one: Request) -> PooledConnection | None:
         """The connection that was used last, of those that are idle and have not carried a call for this one."""
         for carrier in reversed(self._idle):
-            if carrier not in one.carriers:
+            if carrier not in one.call_transports:
                 self._idle.remove(carrier)
                 if carrier.ready:
                     return carrier
-                carrier.end(Ended(Ending.IDLE))
+                carrier.end(ConnectionClosedError(CloseReason.IDLE))
         return None
 
-    def give_up(self, one: Transaction) -> None:
+    def give_up(self, one: Request) -> None:
         """This call is waited for no longer."""
         carrier = self._carriers.pop(one, None)
         if carrier is not None:
             carrier.give_up()
 
-    def returned(self, one: Transaction) -> None:
+    def returned(self, one: Request) -> None:
         """Its call has ended."""
         self._carriers.pop(one, None)
 
-    def move(self) -> None:
+    def change_endpoint(self) -> None:
         """The address has changed: new calls go to the new one, and those that are out are waited for on the old."""
         self._trim(0)
 
-    def idle(self, carrier: Carrier) -> None:
+    def idle(self, carrier: PooledConnection) -> None:
         """It has brought its reply, and may carry another call."""
         self._idle.append(carrier)
         self._trim(IDLE_MOST)
 
     def _trim(self, most: int) -> None:
         while len(self._idle) > most:
-            self._idle.pop(0).end(Ended(Ending.IDLE))
+            self._idle.pop(0).end(ConnectionClosedError(CloseReason.IDLE))
 
-    def forget(self, carrier: Carrier) -> None:
+    def forget(self, carrier: PooledConnection) -> None:
         """Its connection has ended."""
         if carrier in self._idle:
             self._idle.remove(carrier)
@@ -242,12 +250,12 @@
         """Whether a connection came about: a change of that makes a line."""
         if (fault is not None) is not self._refused:
             self._refused = fault is not None
-            self.around.log.warning("records service", reached=fault is None, detail=fault)
+            self.context.log.warning("records service", reached=fault is None, detail=fault)
 
-    def tell_broken(self, ended: Ended) -> None:
+    def tell_broken(self, ended: ConnectionClosedError) -> None:
         """Calls that ended with their connection: the first, and then every power of two of them, makes a line."""
         self._broken += 1
         if not self._broken & (self._broken - 1):
-            self.around.log.warning(
-                "call ended with its connection", ending=ended.ending.name, detail=ended.detail, so_far=self._broken
+            self.context.log.warning(
+                "call ended with its connection", ending=ended.reason.name, detail=ended.detail, so_far=self._broken
             )
--- a/nickelslip/server/messages.py
+++ b/nickelslip/server/request_decoder.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from nickelslip.admission.interface import RetrySafety
-from nickelslip.server.transactions import Asked
+from nickelslip.server.requests import ReceivedRequest
 
 BODY_MOST = 2 * 1024  # bytes
 KB_MOST = 2000.0  # no transaction may need as much
@@ -25,11 +25,11 @@
 LEVEL_OVER = -1e-9  # just under 0, as a range excludes its lower end and a level of 0 is allowed
 
 
-class BadField(Exception):
+class InvalidFieldError(Exception):
     """A field that is missing, doubled or out of range."""
 
 
-class Head(NamedTuple):
+class RequestHead(NamedTuple):
     """The parts of an ASK behind its tag."""
 
     grade: str
@@ -68,19 +68,19 @@
     try:
         value = float(text)
     except ValueError:
-        raise BadField(name) from None
+        raise InvalidFieldError(name) from None
     if not math.isfinite(value) or not over < value <= most or "_" in text:
-        raise BadField(name)
+        raise InvalidFieldError(name)
     return value
 
 
-def asked_from(
+def decode_request(
     parts: list[bytes],
     repeats: Mapping[str, RetrySafety],
     customers: frozenset[str],
     now: float,
     longest_wait_ms: float,
-) -> Asked:
+) -> ReceivedRequest:
     """The transaction in an ASK behind its tag: grade, fields and body.
 
     Raises BadField. Where several fields are wrong, the order of the steps decides which one is named: the arrival
@@ -98,30 +98,30 @@
     caller = _caller(fields)
     key = _key(fields, repeats[head.grade])
     limits = _time_limits(fields)
-    return Asked(
-        ident=identity.ident,
-        grade=head.grade,
+    return ReceivedRequest(
+        id_hex=identity.ident,
+        traffic_class=head.grade,
         body=head.body,
-        reached=reached,
-        kb=kb,
-        customer=identity.customer,
-        wait_ms=limits.wait_ms,
+        received_at_ms=reached,
+        memory_kb=kb,
+        tenant=identity.customer,
+        timeout_ms=limits.wait_ms,
         cost_hint_ms=limits.cost_hint_ms,
-        again=again,
-        caller=caller,
+        is_retry=again,
+        load_balancer=caller,
         key=key,
     )
 
 
-def _head(parts: list[bytes]) -> Head:
+def _head(parts: list[bytes]) -> RequestHead:
     """The grade and the fields as text, and the body, which may be absent."""
     if not 2 <= len(parts) <= 3:
-        raise BadField("parts")
+        raise InvalidFieldError("parts")
     try:
         grade, field_list = parts[0].decode(), parts[1].decode()
     except UnicodeDecodeError:
-        raise BadField("text") from None
-    return Head(grade, field_list, parts[2] if len(parts) == 3 else b"")
+        raise InvalidFieldError("text") from None
+    return RequestHead(grade, field_list, parts[2] if len(parts) == 3 else b"")
 
 
 def _fields(field_list: str) -> dict[str, str]:
@@ -130,23 +130,23 @@
     for pair in field_list.split(","):
         name, is_pair, value = pair.partition("=")
         if not is_pair or not value or name in fields:
-            raise BadField(name)
+            raise InvalidFieldError(name)
         fields[name] = value
     return fields
 
 
 def _identity(
-    head: Head, fields: Mapping[str, str], repeats: Mapping[str, RetrySafety], customers: frozenset[str]
+    head: RequestHead, fields: Mapping[str, str], repeats: Mapping[str, RetrySafety], customers: frozenset[str]
 ) -> Identity:
     """Its identifier and its customer; the grade must be known, and the body within its size."""
     ident = fields.get("req", "")
     if len(ident) != IDENT_DIGITS or not HEX_DIGITS.issuperset(ident):
-        raise BadField("req")
+        raise InvalidFieldError("req")
     if head.grade not in repeats or len(head.body) > BODY_MOST:
-        raise BadField("grade or body")
+        raise InvalidFieldError("grade or body")
     customer = fields.get("owner")
     if customers and customer not in customers:
-        raise BadField("owner")
+        raise InvalidFieldError("owner")
     return Identity(ident, customer)
 
 
@@ -157,14 +157,14 @@
     would be taken for this server's slowness.
     """
     if timestamp is None or not -longest_wait_ms <= timestamp - now <= CLOCK_AHEAD_MS:
-        raise BadField("ts")
+        raise InvalidFieldError("ts")
     return timestamp
 
 
 def _memory(need: float | None) -> float:
     """The memory that it needs, in KB."""
     if need is None or need == KB_MOST:
-        raise BadField("need or resent")
+        raise InvalidFieldError("need or resent")
     return need
 
 
@@ -172,21 +172,21 @@
     """Whether its caller has sent it before."""
     resent = fields.get("resent")
     if resent not in (None, "0", "1"):
-        raise BadField("need or resent")
+        raise InvalidFieldError("need or resent")
     return resent == "1"
 
 
 def _check_level(fields: Mapping[str, str]) -> None:
     """A level, which may be absent, is checked but not used."""
     if number_in(fields, "level", LEVEL_OVER, 1.0) == 1.0:
-        raise BadField("level or via")
+        raise InvalidFieldError("level or via")
 
 
 def _caller(fields: Mapping[str, str]) -> int:
     """The number of the balancer that sent it."""
     via = fields.get("via", "")
     if not via.isascii() or not via.isdigit() or len(via) > TAG_DIGITS:
-        raise BadField("level or via")
+        raise InvalidFieldError("level or via")
     return int(via)
 
 
@@ -194,7 +194,7 @@
     """The idempotency key of a referenced transaction, or the subject of any other."""
     key = fields.get("opkey" if repeat is RetrySafety.IDEMPOTENCY_KEY else "subject")
     if key is not None and len(key) > KEY_MOST:
-        raise BadField("opkey or subject")
+        raise InvalidFieldError("opkey or subject")
     return key
 
 
--- a/nickelslip/server/resp.py
+++ b/nickelslip/server/resp.py
@@ -11,7 +11,7 @@
 DIGITS_MOST = 6
 
 
-class Garbled(Exception):
+class MalformedMessageError(Exception):
     """The stream can no longer be understood; with the parts of its last message that came before the fault."""
 
     def __init__(self, fault: str, parts: list[bytes]) -> None:
@@ -24,15 +24,15 @@
     if at >= end:
         return None
     if data[at] != sign:
-        raise Garbled(f"{chr(sign)!r} was due", parts)
+        raise MalformedMessageError(f"{chr(sign)!r} was due", parts)
     stop = data.find(b"\r\n", at, min(end, at + DIGITS_MOST + 3))
     if stop < 0:
         if end - at >= DIGITS_MOST + 3:
-            raise Garbled("a size without an end", parts)
+            raise MalformedMessageError("a size without an end", parts)
         return None
     digits = bytes(data[at + 1 : stop])
     if not digits.isdigit() or int(digits) > most:
-        raise Garbled(f"not a size, or over {most}", parts)
+        raise MalformedMessageError(f"not a size, or over {most}", parts)
     return int(digits), stop + 2
 
 
@@ -44,7 +44,7 @@
         return None
     count, at = head
     if not count:
-        raise Garbled("an empty array", parts)
+        raise MalformedMessageError("an empty array", parts)
     total = 0
     for _ in range(count):
         head = _size(data, at, end, 36, BULK_MOST, parts)
@@ -53,11 +53,11 @@
         size, at = head
         total += size
         if total > BULK_MOST:
-            raise Garbled(f"a message over {BULK_MOST}", parts)
+            raise MalformedMessageError(f"a message over {BULK_MOST}", parts)
         if end < at + size + 2:
             return None
         if data[at + size : at + size + 2] != b"\r\n":
-            raise Garbled("a part longer than its size", parts)
+            raise MalformedMessageError("a part longer than its size", parts)
         parts.append(bytes(data[at : at + size]))
         at += size + 2
     return parts, at
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -16,16 +16,16 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from nickelslip.server.endings import Ended, Ending
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
 
-SIZE = 16 * 1024
+BUFFER_BYTES = 16 * 1024
 CONNECT_S = 1.0
 KEPT_PART = 4  # of the buffers, one in so many is kept for this server's own peers
 LINGER_S, LINGER_PAUSE_S = 0.5, 0.005
-PASSED_OVER = bytearray(4 * SIZE)  # where what nobody reads is put
+PASSED_OVER = bytearray(4 * BUFFER_BYTES)  # where what nobody reads is put
 
 
-class Buffers:
+class BufferPool:
     """The pool: buffers are made on demand up to the bound, and used again. A part is kept for this server's own
     peers, so that those who come in, however many, cannot take the worker pool or the records along."""
 
@@ -36,13 +36,13 @@
 
     def take(self, own: bool) -> bytearray:
         if not own and len(self._free) + self._left <= self._kept:
-            raise Ended(Ending.SHED, "no buffer is left")
+            raise ConnectionClosedError(CloseReason.SHED, "no buffer is left")
         if self._free:
             return self._free.pop()
         if not self._left:
-            raise Ended(Ending.SHED, "no buffer is left")
+            raise ConnectionClosedError(CloseReason.SHED, "no buffer is left")
         self._left -= 1
-        return bytearray(SIZE)
+        return bytearray(BUFFER_BYTES)
 
     def give(self, buffer: bytearray) -> None:
         self._free.append(buffer)
@@ -54,7 +54,7 @@
     def __init__(
         self,
         sock: socket.socket,
-        buffers: Buffers,
+        buffers: BufferPool,
         tasks: TaskGroup,
         stall_ms: float,
         backlog_most: int,
@@ -70,8 +70,8 @@
         self._out: deque[tuple[bytearray, int]] = deque()  # full ones but the last, and how much each holds
         self._out_from = 0
         self._room = anyio.Event()
-        self.shut: Ending | None = None  # why nothing more is sent, while the other side may still send
-        self.ending: Ending | None = None
+        self.shut: CloseReason | None = None  # why nothing more is sent, while the other side may still send
+        self.ending: CloseReason | None = None
 
     # Reading
 
@@ -79,7 +79,7 @@
         """Wait until more was read; a buffer is held only while something in it is unfinished. What comes once nothing
         more is sent is not read here: it could not be answered."""
         if over := self.shut or self.ending:
-            raise Ended(over)
+            raise ConnectionClosedError(over)
         if self.data is not None:
             wait_ms = min(wait_ms, self._stall_s * 1000)
         late = None
@@ -89,27 +89,27 @@
             with anyio.move_on_after(max(0.0, wait_ms / 1000)) as wait:
                 await self._until(anyio.wait_readable)
             if wait.cancelled_caught:  # unless this server stood still itself, and it has long been there
-                late = Ending.SILENT if self.data is None else Ending.STALLED
+                late = CloseReason.UNRESPONSIVE if self.data is None else CloseReason.STALLED
         if over := self.shut or self.ending:
-            raise Ended(over)
+            raise ConnectionClosedError(over)
         if self.data is None:
             self.data, self.start, self.end = self._buffers.take(self._own), 0, 0
         elif self.start:
             left = self.end - self.start
             self.data[:left] = self.data[self.start : self.end]
             self.start, self.end = 0, left
-        if self.end == SIZE:
-            raise Ended(Ending.GARBLED, "a message over the size of a buffer")
+        if self.end == BUFFER_BYTES:
+            raise ConnectionClosedError(CloseReason.MALFORMED, "a message over the size of a buffer")
         try:
             count = self._sock.recv_into(memoryview(self.data)[self.end :])
         except (BlockingIOError, InterruptedError):
             if late:
-                raise Ended(late) from None
+                raise ConnectionClosedError(late) from None
             count = -1
         except OSError as error:
-            raise Ended(Ending.RESET, error.strerror or "") from None
+            raise ConnectionClosedError(CloseReason.RESET, error.strerror or "") from None
         if not count:
-            raise Ended(Ending.CLOSED)
+            raise ConnectionClosedError(CloseReason.CLOSED)
         self.end += max(count, 0)
         self.take(0)
 
@@ -122,7 +122,7 @@
 
     async def room(self) -> None:
         """Wait until the other side has read most of what it was sent."""
-        while len(self._out) * SIZE > self._backlog_most and not self.ending:
+        while len(self._out) * BUFFER_BYTES > self._backlog_most and not self.ending:
             self._room = anyio.Event()
             await self._room.wait()
 
@@ -130,7 +130,7 @@
         """The rest of a lingering close: nothing more is sent, and what still comes is passed over until the other side
         closes, for a moment; closed with something unread, the connection would take answers along that are on their
         way. Whoever sends without end is read no faster than a little at a time, and not for long."""
-        self.shut_down(Ending.LEFT)
+        self.shut_down(CloseReason.SHUTDOWN)
         with anyio.move_on_after(LINGER_S):
             try:
                 while not self.ending:
@@ -139,14 +139,14 @@
                     if not self._sock.recv_into(PASSED_OVER):
                         return
                     await anyio.sleep(LINGER_PAUSE_S)
-            except (Ended, OSError):
+            except (ConnectionClosedError, OSError):
                 return
 
     async def _until(self, ready: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
             await ready(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise Ended(self.shut or self.ending or Ending.RESET) from None
+            raise ConnectionClosedError(self.shut or self.ending or CloseReason.RESET) from None
 
     # Writing
 
@@ -162,7 +162,7 @@
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError:
-                self.end_with(Ending.RESET)
+                self.end_with(CloseReason.RESET)
                 return False
         if sent < len(data):
             if not self._out:
@@ -172,14 +172,14 @@
 
     def _keep(self, rest: memoryview) -> None:
         while rest:
-            if not self._out or self._out[-1][1] == SIZE:
+            if not self._out or self._out[-1][1] == BUFFER_BYTES:
                 try:
                     self._out.append((self._buffers.take(self._own), 0))
-                except Ended as ended:
-                    self.end_with(ended.ending)
+                except ConnectionClosedError as ended:
+                    self.end_with(ended.reason)
                     return
             buffer, held = self._out[-1]
-            count = min(len(rest), SIZE - held)
+            count = min(len(rest), BUFFER_BYTES - held)
             buffer[held : held + count] = rest[:count]
             self._out[-1] = buffer, held + count
             rest = rest[count:]
@@ -201,9 +201,9 @@
                     self._out_from = 0
                     self._room.set()
         except TimeoutError:
-            self.end_with(Ending.STALLED)
-        except (Ended, OSError):
-            self.end_with(Ending.RESET)
+            self.end_with(CloseReason.STALLED)
+        except (ConnectionClosedError, OSError):
+            self.end_with(CloseReason.RESET)
 
     @property
     def quiet(self) -> bool:
@@ -224,7 +224,7 @@
 
     # The end
 
-    def shut_down(self, ending: Ending) -> None:
+    def shut_down(self, ending: CloseReason) -> None:
         """Begin a lingering close: say that nothing more is sent. Whoever reads the stream hears of the ending, and
         goes on with linger(). To be called when all is sent; only the first one counts."""
         if self.shut or self.ending:
@@ -233,11 +233,11 @@
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.end_with(Ending.RESET)
+            self.end_with(CloseReason.RESET)
             return
         anyio.notify_closing(self._sock)
 
-    def end_with(self, ending: Ending) -> None:
+    def end_with(self, ending: CloseReason) -> None:
         """End the stream; whoever reads it hears of the ending. Only the first one counts."""
         if self.ending:
             return
@@ -254,14 +254,14 @@
 
 
 async def connect(
-    address: tuple[str, int], buffers: Buffers, tasks: TaskGroup, backlog_most: int, stall_ms: float = inf
+    address: tuple[str, int], buffers: BufferPool, tasks: TaskGroup, backlog_most: int, stall_ms: float = inf
 ) -> Stream:
     """A stream to the address, which may stand still for so long half way through what it reads."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM)
     except OSError as error:  # no descriptor is left
-        raise Ended(Ending.REFUSED, str(error)) from None
+        raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
     try:
         sock.setblocking(False)
         try:
@@ -274,7 +274,7 @@
                 raise OSError(code, os.strerror(code)) from None
     except (OSError, TimeoutError) as error:
         sock.close()
-        raise Ended(Ending.REFUSED, str(error)) from None
+        raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
     except BaseException:
         sock.close()
         raise
--- a/nickelslip/server/workers.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -19,15 +19,21 @@
 import anyio
 import orjson
 
-from nickelslip.admission.interface import Gauges, Outcome, RetrySafety, RequestState, Preemption
-from nickelslip.coming_up.spread import Backoff
+from nickelslip.admission.interface import Gauges, Outcome, Preemption, RequestState, RetrySafety
 from nickelslip.configuration.config import Address
-from nickelslip.server.endings import NOT_CARRIED_OUT, RUN_ENDS, SPOILT_END, Ended, Ending
-from nickelslip.server.streams import SIZE, Stream, connect
-from nickelslip.server.transactions import FINAL, Blocked, Finished, Transaction
+from nickelslip.server.close_reasons import (
+    MALFORMED_RESULT_OUTCOME,
+    RUN_OUTCOMES,
+    UNKNOWN_START_OUTCOME,
+    CloseReason,
+    ConnectionClosedError,
+)
+from nickelslip.server.requests import FINAL_STATES, CallRequested, Request, RunFinished
+from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
+from nickelslip.startup.backoff import Backoff
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
-    from nickelslip.server.surroundings import Employer
+    from nickelslip.server.interfaces import RunOwner
 
 PAUSE_MS, PAUSE_MOST_MS = 20.0, 500.0  # between tries to connect, at least and at most
 TRIES_MOST, TRIES_SPAN_MS = 24, 5000.0  # and no more tries than that in such a time
@@ -45,7 +51,7 @@
 }
 
 
-class Link(Enum):
+class LinkState(Enum):
     """The state of the link."""
 
     DOWN = "there is none; commands wait"
@@ -58,22 +64,22 @@
     """Something told to the worker pool: a transaction's command, or with none a question for the gauges."""
 
     op: str
-    one: Transaction | None
+    one: Request | None
     fields: dict[str, Any]
 
 
-class Workers:
+class WorkerPoolLink:
     """The worker pool, as this server reaches it."""
 
-    def __init__(self, around: Employer) -> None:
+    def __init__(self, around: RunOwner) -> None:
         self._around = around
-        self._link = Link.DOWN
+        self._link = LinkState.DOWN
         self._stream: Stream | None = None
         self._next: Stream | None = None  # to the address that replaces this one's
         self._address = around.generation.config.pool  # to which the link goes
         self._attempt: anyio.CancelScope | None = None  # the connecting, or the pause before it
         self._proven = anyio.Event()  # of a link that is being replaced: all that was written got there
-        self._ghosts: dict[Transaction, tuple[int, int]] = {}  # runs in doubt: stops unheard, and answers before them
+        self._ghosts: dict[Request, tuple[int, int]] = {}  # runs in doubt: stops unheard, and answers before them
         self._answers = 0  # to questions for the gauges
         self._unheard = 0  # questions since anything was read
         self._begun = False  # the worker pool has been up
@@ -86,55 +92,57 @@
         self._halts = around.generation.settings.preemption is not Preemption.NEVER  # never changes while it serves
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether a command can be written now."""
-        return self._link is Link.UP and self._stream is not None and not self._stream.ending
+        return self._link is LinkState.UP and self._stream is not None and not self._stream.ending
 
     # What is told to the worker pool
 
-    def start(self, one: Transaction) -> None:
-        self._tell(Command("spawn", one, {"class": one.asked.grade, "body": b64encode(one.asked.body).decode()}))
+    def start(self, one: Request) -> None:
+        self._tell(
+            Command("spawn", one, {"class": one.received.traffic_class, "body": b64encode(one.received.body).decode()})
+        )
 
-    def stop(self, one: Transaction) -> None:
+    def stop(self, one: Request) -> None:
         """Where runs can be stopped. Without a link it is passed over: the module asks again while a run goes on.
         A run whose start was lost ends without a word; unproven, it would keep its slot and its memory for good."""
-        if not self._halts or not self.up:
+        if not self._halts or not self.is_up:
             return
-        if one in self._ghosts and (one.answered or one.gone):
+        if one in self._ghosts and (one.answered or one.client_gone):
             stops, answers = self._ghosts[one]
             if self._answers > answers:
                 self._ghosts[one] = stops + 1, self._answers
             if stops >= GHOST_STOPS:
                 del self._ghosts[one]
-                one.post(Finished(Outcome.CANCELLED, 0.0))
+                one.deliver(RunFinished(Outcome.CANCELLED, 0.0))
                 return
         self._tell(Command("suspend", one, {}))
 
     def _ask_after_ghosts(self) -> None:
         """Where runs cannot be stopped: a start that may have been lost is told again once its transaction is over. By
         the protocol nothing is then started: either it runs already, or the worker pool says that it is too late."""
-        for one in [one for one in self._ghosts if (one.answered or one.gone) and not one.heard]:
+        for one in [one for one in self._ghosts if (one.answered or one.client_gone) and not one.notified]:
             del self._ghosts[one]
             self.start(one)
 
-    def supply(self, one: Transaction, body: bytes) -> None:
-        one.heard = False
+    def resume_with_reply(self, one: Request, body: bytes) -> None:
+        one.notified = False
         self._tell(Command("supply", one, {"body": b64encode(body).decode()}))
 
-    def go_on(self, one: Transaction) -> None:
+    def resume_without_call(self, one: Request) -> None:
         """Without the call at which the run stands."""
-        one.heard = False
+        one.notified = False
         self._tell(Command("pass", one, {"seq": one.call.seq}))
 
-    def ask_gauges(self) -> None:
+    def request_gauges(self) -> None:
         """Ask, where a link stands. One on which many questions in a row bring nothing at all is given up: a peer
         that vanished without a word would be waited for until every transaction is due. They are counted, and not
         timed, since a server that stands still asks none."""
         if self._stream is not None and self._begun:
             self._unheard += 1
             if self._unheard > UNHEARD_MOST:
-                self._stream.end_with(Ending.SILENT)
-        if self.up:
+                self._stream.end_with(CloseReason.UNRESPONSIVE)
+        if self.is_up:
             self._tag += 1
             self._write(Command("poll", None, {"tag": str(self._tag)}))
 
@@ -144,13 +152,13 @@
         return gauges
 
     def _tell(self, command: Command) -> None:
-        if self.up:
+        if self.is_up:
             self._write(command)
         else:
             self._waiting.append(command)  # proven never to have got there
 
     def _write(self, command: Command) -> None:
-        ident = {} if command.one is None else {"id": command.one.asked.ident}
+        ident = {} if command.one is None else {"id": command.one.received.id_hex}
         line = orjson.dumps({"op": command.op, **ident, **command.fields}, option=orjson.OPT_APPEND_NEWLINE)
         self._unproven.append(command)
         if self._stream is not None:
@@ -168,41 +176,41 @@
                     if self._next is None:
                         self._address = self._around.generation.config.pool
                         self._next = await self._connect(self._address)
-                except Ended:
+                except ConnectionClosedError:
                     await anyio.sleep(backoff.after_failure(self._around.clock()) / 1000)
             if self._next is None:
                 continue
             if self._address != self._around.generation.config.pool:
                 # a move that came when the attempt was just done found nothing to cancel: bound, this link would stay
-                self._next.end_with(Ending.MOVED)
+                self._next.end_with(CloseReason.ENDPOINT_CHANGED)
                 self._next = None
                 continue
             backoff.after_success()
             self._stream, self._next = self._next, None
             try:
-                self._enter(Link.BINDING)
+                self._enter(LinkState.BINDING)
                 self._unheard = 0
                 self._stream.write(b'{"op":"bind","seq":%d}\n' % self._seq)
                 await self._read(self._stream)
-            except Ended as ended:
-                self._around.log.warning("worker pool link ended", ending=ended.ending.name, detail=ended.detail)
-                self._stream.end_with(ended.ending)
+            except ConnectionClosedError as ended:
+                self._around.log.warning("worker pool link ended", ending=ended.reason.name, detail=ended.detail)
+                self._stream.end_with(ended.reason)
                 self._stream = None
-                self._enter(Link.DOWN)
-                if ended.ending is not Ending.MOVED:
+                self._enter(LinkState.DOWN)
+                if ended.reason is not CloseReason.ENDPOINT_CHANGED:
                     await anyio.sleep(PAUSE_MS / 1000)
 
     async def _connect(self, address: Address) -> Stream:
-        return await connect(address, self._around.buffers, self._around.tasks, BACKLOG_MOST)
+        return await connect(address, self._around.buffers, self._around.task_group, BACKLOG_MOST)
 
-    def move(self) -> None:
+    def change_endpoint(self) -> None:
         """The address may have changed: a link that stands is replaced once the new one does, any other at once."""
         if self._address == self._around.generation.config.pool and self._stream is not None:
             return
-        if self.up:
-            self._around.tasks.start_soon(self._around.guard, self._move, self._around.generation.config.pool)
+        if self.is_up:
+            self._around.task_group.start_soon(self._around.supervise, self._move, self._around.generation.config.pool)
         elif self._stream is not None:
-            self._stream.end_with(Ending.MOVED)
+            self._stream.end_with(CloseReason.ENDPOINT_CHANGED)
         elif self._attempt is not None:
             self._attempt.cancel()
 
@@ -210,29 +218,29 @@
         """Connect to the new address; then let the old link prove that all that was written on it got there, so that
         nothing is in doubt, and bind the new one. Commands wait for that moment."""
         old, fresh = self._stream, None
-        while fresh is None and self.up and self._stream is old and address == self._around.generation.config.pool:
+        while fresh is None and self.is_up and self._stream is old and address == self._around.generation.config.pool:
             try:
                 fresh = await self._connect(address)
-            except Ended:
+            except ConnectionClosedError:
                 await anyio.sleep(PAUSE_MS / 1000)
-        if self.up and self._stream is old and address == self._around.generation.config.pool:
-            self.ask_gauges()
-            self._enter(Link.MOVING)
+        if self.is_up and self._stream is old and address == self._around.generation.config.pool:
+            self.request_gauges()
+            self._enter(LinkState.MOVING)
             self._proven = anyio.Event()
             with anyio.move_on_after(MOVE_MS / 1000):
                 await self._proven.wait()
         if fresh is None:
             return
-        if old is None or self._stream is not old or self._link is not Link.MOVING:
-            fresh.end_with(Ending.IDLE)  # overtaken by a break, or by another move
+        if old is None or self._stream is not old or self._link is not LinkState.MOVING:
+            fresh.end_with(CloseReason.IDLE)  # overtaken by a break, or by another move
             return
         if address == self._around.generation.config.pool:
             self._next, self._address = fresh, address
         else:  # taken back meanwhile: commands have waited, and go out on a link to the newest address
-            fresh.end_with(Ending.IDLE)
-        old.end_with(Ending.MOVED)
+            fresh.end_with(CloseReason.IDLE)
+        old.end_with(CloseReason.ENDPOINT_CHANGED)
 
-    def _enter(self, link: Link) -> None:
+    def _enter(self, link: LinkState) -> None:
         """The one place where the link changes its state."""
         if self._link is not link:
             self._around.log.info("worker pool", link=link.name, waiting=len(self._waiting))
@@ -246,7 +254,7 @@
             while stream.data is not None:
                 stop = stream.data.find(b"\n", stream.start, stream.end)
                 if stop < 0:
-                    if stream.end - stream.start < SIZE:
+                    if stream.end - stream.start < BUFFER_BYTES:
                         break
                     head = head or bytes(stream.data[stream.start : stream.end])
                     stream.take(stream.end)
@@ -282,7 +290,7 @@
     def _run_notice(self, op: str, ident: str, told: dict[str, Any]) -> None:
         """A run has ended, or stands at a call. Where the notice is spoilt, the run that is over is over all the same,
         with a result that nobody can have, and the call that cannot be read can't be made."""
-        one = self._around.transactions.get(int(ident, 16))
+        one = self._around.requests.get(int(ident, 16))
         if one is None:
             return
         self._ghosts.pop(one, None)
@@ -292,14 +300,14 @@
         except (ValueError, TypeError):
             body = None
         if op == "finished":
-            end, took_ms = RUN_ENDS.get(str(told.get("end"))), told.get("ms")
+            end, took_ms = RUN_OUTCOMES.get(str(told.get("end"))), told.get("ms")
             if end is None or body is None or not isinstance(took_ms, int | float):
                 self._around.log.error("end of a run not understood", id=ident)
-                one.post(Finished(SPOILT_END, 0.0))
+                one.deliver(RunFinished(MALFORMED_RESULT_OUTCOME, 0.0))
             else:
-                one.post(Finished(end, float(took_ms), body))
+                one.deliver(RunFinished(end, float(took_ms), body))
         elif op == "blocked":
-            one.post(Blocked(self._seq, body if told else None))
+            one.deliver(CallRequested(self._seq, body if told else None))
 
     def _notice(self, line: bytes) -> None:
         try:
@@ -314,7 +322,7 @@
             elif op == "bound":
                 self._bound(str(told["end"]), float(told["ms"]))
             elif op == "unknown":
-                self._unknown(str(told["end"]), self._around.transactions.get(int(ident, 16)) if ident else None)
+                self._unknown(str(told["end"]), self._around.requests.get(int(ident, 16)) if ident else None)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             self._unreadable(line, repr(error))
 
@@ -322,21 +330,21 @@
         """The link stands. What was never written goes out now; what may be lost waits for the answer to a question
         behind the missed notices, by which all of them have been read."""
         self._around.log.info("worker pool bound", was=end, ago_ms=ago_ms, resumed_after=self._seq)
-        self._enter(Link.UP)
+        self._enter(LinkState.UP)
         self._begun = True
         lost = [*self._doubtful, *self._unproven]
         last = {command.one: command for command in lost if command.one is not None and command.op != "suspend"}
-        self._doubtful = [command for one, command in last.items() if one is not None and one.run_out]
+        self._doubtful = [command for one, command in last.items() if one is not None and one.run_is_out]
         doubted = (*self._ghosts, *(each.one for each in self._doubtful if each.one))
         self._ghosts = dict.fromkeys(doubted, (0, self._answers))
         self._unproven.clear()
-        self.ask_gauges()
+        self.request_gauges()
         self._fence = str(self._tag)
         waiting, self._waiting = self._waiting, deque()
         for command in waiting:
-            if command.one is not None and command.one.run_out:
+            if command.one is not None and command.one.run_is_out:
                 self._tell(command)
-        self._around.workers_up(ago_ms)
+        self._around.worker_pool_started(ago_ms)
 
     def _caught_up(self) -> None:
         """All that was missed has been read: repeat what may be repeated."""
@@ -351,10 +359,10 @@
         """Of what may have been lost with a link: a start of which nothing was heard, where a second run does no
         harm, and leave to go on, which names its notice. The rest may have got there, and is not repeated."""
         one = command.one
-        if one is None or not one.run_out or one.state in FINAL:
+        if one is None or not one.run_is_out or one.state in FINAL_STATES:
             return False
         if command.op == "spawn":
-            return not one.heard and self._replayable(one)
+            return not one.notified and self._replayable(one)
         return command.op == "pass" and one.state is RequestState.DEGRADED and command.fields["seq"] == one.call.seq
 
     def _may_start_over(self, command: Command) -> bool:
@@ -364,16 +372,16 @@
         one = command.one
         return (
             one is not None
-            and one.run_out
-            and not one.heard
+            and one.run_is_out
+            and not one.notified
             and one.state is RequestState.RUNNING
             and command.op == "supply"
             and self._halts
             and self._replayable(one)
         )
 
-    def _replayable(self, one: Transaction) -> bool:
-        return one.generation.repeats[one.asked.grade] is RetrySafety.IDEMPOTENT
+    def _replayable(self, one: Request) -> bool:
+        return one.generation.retry_safety_by_class[one.received.traffic_class] is RetrySafety.IDEMPOTENT
 
     def _polled(self, tag: str, values: list[Any]) -> None:
         self._answers += 1
@@ -382,9 +390,9 @@
                 pass  # what was written before the question got there before it
         if tag == self._fence:
             self._caught_up()
-        if not self._fence and not self._halts and self.up:
+        if not self._fence and not self._halts and self.is_up:
             self._ask_after_ghosts()
-        if self._link is Link.MOVING and not self._unproven:
+        if self._link is LinkState.MOVING and not self._unproven:
             self._proven.set()
         names = self._around.generation.config.gauges
         read = {
@@ -394,7 +402,7 @@
         }
         self._gauges = Gauges(**read)
 
-    def _unknown(self, command: str, one: Transaction | None) -> None:
+    def _unknown(self, command: str, one: Request | None) -> None:
         self._around.log.warning("command not carried out", command=command, known=one is not None)
         if one is not None and command == "spawn":
-            one.post(Finished(NOT_CARRIED_OUT, 0.0, ran=False))
+            one.deliver(RunFinished(UNKNOWN_START_OUTCOME, 0.0, ran=False))
--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from nickelslip.admission.interface import Tenant, TrafficClass, RetrySafety, LoadSignal, Settings, Preemption
+from nickelslip.admission.interface import LoadSignal, Preemption, RetrySafety, Settings, Tenant, TrafficClass
 
 T = TypeVar("T")
 
@@ -29,7 +29,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedSettingsError(Exception):
     """Settings that cannot be understood; the text names the field."""
 
 
@@ -38,7 +38,7 @@
     where a list for them is given, all are put there and a stand-in value is read on with: what was read with
     faults on the list is not to be used."""
 
-    def __init__(self, value: object, path: str, faults: list[Malformed] | None = None) -> None:
+    def __init__(self, value: object, path: str, faults: list[MalformedSettingsError] | None = None) -> None:
         self._path, self._faults = path, faults
         self._value: Mapping[str, Any] = {}
         if isinstance(value, Mapping):
@@ -48,8 +48,8 @@
 
     def _fault(self, text: str) -> None:
         if self._faults is None:
-            raise Malformed(text)
-        self._faults.append(Malformed(text))
+            raise MalformedSettingsError(text)
+        self._faults.append(MalformedSettingsError(text))
 
     def _at(self, name: str) -> str:
         return f"{self._path}.{name}" if self._path else name
@@ -121,16 +121,16 @@
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise Malformed(f"settings: not JSON: {error}") from error
+        raise MalformedSettingsError(f"settings: not JSON: {error}") from error
     return settings_of(value)
 
 
-def gauge_names(value: object, faults: list[Malformed] | None = None) -> tuple[str, ...]:
+def gauge_names(value: object, faults: list[MalformedSettingsError] | None = None) -> tuple[str, ...]:
     """The names of the gauges, in the order in which the worker pool gives them."""
     return tuple(str(name) for name in Fields(value, "settings", faults).inside("specifics").values("own-stats"))
 
 
-def settings_of(value: object, faults: list[Malformed] | None = None) -> Settings:
+def settings_of(value: object, faults: list[MalformedSettingsError] | None = None) -> Settings:
     """Settings from a decoded JSON object; unknown keys are passed over. Faults are raised, or listed."""
     info = Fields(value, "settings", faults)
     facts, rules = info.inside("specifics"), info.inside("invariants")
@@ -185,5 +185,5 @@
     )
 
 
-def _share(value: object, at: int, faults: list[Malformed] | None) -> float:
+def _share(value: object, at: int, faults: list[MalformedSettingsError] | None) -> float:
     return Fields({"share": value}, f"settings.specifics.class-skip-worth[{at}]", faults).number("share", 0.0)
--- a/nickelslip/bench/adapter.py
+++ b/nickelslip/simulator_adapter/adapter.py
@@ -6,10 +6,10 @@
 from functools import partial
 from typing import TextIO
 
-from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import Decisions, Settings
-from nickelslip.bench import codec
-from nickelslip.settings import Malformed, settings_from
+from nickelslip.settings import MalformedSettingsError, settings_from
+from nickelslip.simulator_adapter import codec
 
 # How many values stand behind the instance in a line, at least.
 VALUES = {
@@ -54,7 +54,7 @@
                 return []
             else:
                 call = partial(self._event, instance, now, verb, self._values(verb, parts[2:]))
-        except (ValueError, KeyError, Malformed) as error:
+        except (ValueError, KeyError, MalformedSettingsError) as error:
             raise codec.Malformed(f"malformed line: {line[:200]!r}: {error}") from error
         try:
             return codec.lines_from(instance, call())
--- a/nickelslip/bench/codec.py
+++ b/nickelslip/simulator_adapter/codec.py
@@ -4,7 +4,7 @@
 
 import math
 
-from nickelslip.admission.interface import Arrival, Gauges, Outcome, Decisions, RequestState
+from nickelslip.admission.interface import Arrival, Decisions, Gauges, Outcome, RequestState
 
 OUTCOMES = {
     "0": Outcome.OK,
--- a/nickelslip/coming_up/commands.py
+++ b/nickelslip/startup/commands.py
@@ -12,8 +12,8 @@
 
 import click
 
-from nickelslip.coming_up.turns import Measured
-from nickelslip.coming_up.turns import turns as reckoned
+from nickelslip.startup.rolling_restart import Measured
+from nickelslip.startup.rolling_restart import turns as reckoned
 
 FAULT = 2
 
--- a/nickelslip/coming_up/crash_file.py
+++ b/nickelslip/startup/crash_loop_file.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from nickelslip.coming_up.crashes import Starts
+from nickelslip.startup.crash_loop import Starts
 
 NAME, BYTES_MOST, VERSION = "starts.json", 1024, 1
 
--- a/nickelslip/coming_up/start.py
+++ b/nickelslip/startup/slow_start.py
@@ -14,7 +14,8 @@
 from enum import Enum
 from math import inf
 
-from nickelslip.coming_up.spread import Backoff, next_in_phase, phase
+from nickelslip.startup.backoff import Backoff
+from nickelslip.startup.phase_jitter import next_in_phase, phase_of
 
 LAPSE_MS = 3000.0  # after its last report a server is taken off the list, by the directory's page
 REPORTS = 6  # to that time
@@ -33,79 +34,89 @@
 SHORT_MS = 1000.0  # after a failure that was over sooner a start goes on where it was: nobody below has to warm again
 
 
-class Step(Enum):
+class SlowStartPhase(Enum):
     """Where a start stands."""
 
-    STARTED = "the process is up; its worker pool is not reached yet"
-    LINKED = "the worker pool is there"
+    PROCESS_STARTED = "the process is up; its worker pool is not reached yet"
+    WORKER_POOL_CONNECTED = "the worker pool is there"
     LISTED = "the directory has been told"
-    ASKING_LITTLE = "the first calls are out, as few as can be"
-    RISING = "answers come in time, and more calls may be out by steps"
+    FIRST_CALLS = "the first calls are out, as few as can be"
+    RAMPING_UP = "answers come in time, and more calls may be out by steps"
     WARM = "as many calls may be out as this server's part is; the module alone bounds them"
-    FALLING_BACK = "what lies below refuses or fails: one attempt at a time, with backoff"
+    BACKING_OFF = "what lies below refuses or fails: one attempt at a time, with backoff"
 
 
-class Start:
+class SlowStart:
     """One start. Times are milliseconds on a clock that only goes forward; `part_calls` is this server's part of what
     the records survive, as a mean number of calls that are out, or 0 where it makes none. A machine that is not cold
     starts with all of it."""
 
     def __init__(self, name: str, seed: int, now: float, part_calls: float, cold: bool, cold_ms: float = 0.0) -> None:
-        self._phase, self._random = phase(name, seed), random.Random(f"start {name} {seed}")
+        self._phase, self._random = phase_of(name, seed), random.Random(f"start {name} {seed}")
         self._backoff = Backoff(self._random, REST_LEAST_MS, REST_MOST_MS, REST_BUDGET, REST_SPAN_MS)
-        self.step, self.since, self._cold, self._cold_ms = Step.STARTED, now, cold and part_calls > 0, cold_ms
+        self.phase, self.phase_since_ms, self._cold, self._cold_ms = (
+            SlowStartPhase.PROCESS_STARTED,
+            now,
+            cold and part_calls > 0,
+            cold_ms,
+        )
         self._part = max(FIRST_CALLS, part_calls)
         self._calls, self._rest_until = (FIRST_CALLS if self._cold else self._part), now
         self._pressed = now  # when what is below was last seen slow or failing
         self._usual = inf  # a round's mean, as it is usually
         self._mean, self._answers, self._lost = 0.0, 0, 0  # of the round: its answers' mean, all, those without a time
         self._fails = 0  # calls in a row that brought no answer
-        self._failed_from = Step.STARTED, FIRST_CALLS, now  # where falling back began
+        self._failed_from = SlowStartPhase.PROCESS_STARTED, FIRST_CALLS, now  # where falling back began
         self._again: list[float] = []  # when a change is told again
         self._due = inf
-        self.steps: list[tuple[float, Step]] = [(now, Step.STARTED)]  # for the log and for tests; as long as a start
+        self.phases: list[tuple[float, SlowStartPhase]] = [
+            (now, SlowStartPhase.PROCESS_STARTED)
+        ]  # for the log and for tests; as long as a start
 
-    def _enter(self, now: float, step: Step) -> None:
+    def _enter(self, now: float, step: SlowStartPhase) -> None:
         """The one place where the start changes its step."""
-        if step is not self.step:
-            self.step, self.since = step, now
-            self.steps = [*self.steps[-63:], (now, step)]
+        if step is not self.phase:
+            self.phase, self.phase_since_ms = step, now
+            self.phases = [*self.phases[-63:], (now, step)]
 
     # What happens
 
-    def linked(self, now: float, ago_ms: float) -> None:
+    def worker_pool_connected(self, now: float, ago_ms: float) -> None:
         """The worker pool is reached; it came up so long ago, and the server was listed then."""
-        if self.step is not Step.STARTED:
+        if self.phase is not SlowStartPhase.PROCESS_STARTED:
             return
-        self._enter(now, Step.LINKED)
-        self._due = next_in_phase(now, self.period_ms, self._phase)
-        if self._due - now + ago_ms > LAPSE_MS - self.period_ms:
+        self._enter(now, SlowStartPhase.WORKER_POOL_CONNECTED)
+        self._due = next_in_phase(now, self.report_period_ms, self._phase)
+        if self._due - now + ago_ms > LAPSE_MS - self.report_period_ms:
             self._due = now  # its entry would lapse before one more report that may be lost
 
-    def reported(self, now: float) -> None:
+    def report_sent(self, now: float) -> None:
         """A report has gone out."""
         self._again = [at for at in self._again if at > now]
         if now >= self._due:
-            self._due = next_in_phase(now, self.period_ms, self._phase)
-        if self.step is Step.LINKED:
-            self._enter(now, Step.LISTED if self._cold else Step.WARM)
+            self._due = next_in_phase(now, self.report_period_ms, self._phase)
+        if self.phase is SlowStartPhase.WORKER_POOL_CONNECTED:
+            self._enter(now, SlowStartPhase.LISTED if self._cold else SlowStartPhase.WARM)
 
-    def told(self, now: float) -> None:
+    def health_changed(self, now: float) -> None:
         """A change of health is to be told: at once, and again a little later."""
         self._again = [now, *(now + span for span in TOLD_AGAIN_MS)]
 
-    def call_out(self, now: float) -> None:
+    def call_started(self, now: float) -> None:
         """A call goes out to the records."""
-        if self.step in (Step.LINKED, Step.LISTED):
-            self._enter(now, Step.ASKING_LITTLE if self._cold else Step.WARM)
+        if self.phase in (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartPhase.LISTED):
+            self._enter(now, SlowStartPhase.FIRST_CALLS if self._cold else SlowStartPhase.WARM)
 
-    def look(self, now: float) -> None:
+    def time_passed(self, now: float) -> None:
         """Time has passed. One that has little to call for learns nothing from answers: once a cold machine would be
         warm, and nothing below was seen slow or failing for as long, it is taken for warm."""
-        if self.step in (Step.LISTED, Step.ASKING_LITTLE, Step.RISING) and now - self._pressed >= self._cold_ms:
-            self._enter(now, Step.WARM)
+        if (
+            self.phase in (SlowStartPhase.LISTED, SlowStartPhase.FIRST_CALLS, SlowStartPhase.RAMPING_UP)
+            and now - self._pressed >= self._cold_ms
+        ):
+            self._enter(now, SlowStartPhase.WARM)
 
-    def take_part(self, part_calls: float) -> None:
+    def change_dependency_share(self, part_calls: float) -> None:
         """This server's part of the calls has been changed."""
         self._part = max(FIRST_CALLS, part_calls)
         self._calls = min(self._calls, self._part)
@@ -114,28 +125,28 @@
         """A call was answered, after so long; inf for one that was turned away or given up: slow in any case."""
         self._backoff.after_success()
         self._fails = 0
-        if self.step is Step.FALLING_BACK:
+        if self.phase is SlowStartPhase.BACKING_OFF:
             step, calls, since = self._failed_from
-            short = now - since < SHORT_MS and step is not Step.LINKED
+            short = now - since < SHORT_MS and step is not SlowStartPhase.WORKER_POOL_CONNECTED
             self._calls, self._rest_until = calls if short else FIRST_CALLS, now
-            self._enter(now, step if short else Step.ASKING_LITTLE)
+            self._enter(now, step if short else SlowStartPhase.FIRST_CALLS)
             self._answers = self._lost = 0
-        if self.step in (Step.ASKING_LITTLE, Step.RISING):
+        if self.phase in (SlowStartPhase.FIRST_CALLS, SlowStartPhase.RAMPING_UP):
             self._count(now, took_ms)
 
     def call_failed(self, now: float) -> None:
         """A call brought no answer: it never got there, or it was lost on its way."""
-        if self.step is Step.STARTED:
+        if self.phase is SlowStartPhase.PROCESS_STARTED:
             return
         self._pressed = now
         self._fails += 1
         if self._fails < FAILS:
             return
-        if self.step is not Step.FALLING_BACK:
-            self._failed_from = self.step, self._calls, now
+        if self.phase is not SlowStartPhase.BACKING_OFF:
+            self._failed_from = self.phase, self._calls, now
         self._calls, self._answers, self._lost = FIRST_CALLS, 0, 0
         self._rest_until = max(self._rest_until, now + self._backoff.after_failure(now))
-        self._enter(now, Step.FALLING_BACK)
+        self._enter(now, SlowStartPhase.BACKING_OFF)
 
     def _count(self, now: float, took_ms: float) -> None:
         """Judge a round by its mean, once as many were answered as may be out: while that is usual, more may be. Single
@@ -157,26 +168,26 @@
             )
             self._calls = min(self._part, self._calls * STEP)
         self._answers, self._lost, self._mean = 0, 0, 0.0
-        self._enter(now, Step.WARM if self._calls >= self._part else Step.RISING)
+        self._enter(now, SlowStartPhase.WARM if self._calls >= self._part else SlowStartPhase.RAMPING_UP)
 
     # What follows
 
     @property
-    def period_ms(self) -> float:
+    def report_period_ms(self) -> float:
         """Between reports: as seldom as the list allows with some of them lost."""
         return LAPSE_MS / REPORTS + OVER_MS
 
     @property
-    def report_at(self) -> float:
+    def next_report_at_ms(self) -> float:
         """When the next report is due; never while there is no worker pool, since the list would name a server that
         can do nothing."""
-        return min([self._due, *self._again]) if self.step is not Step.STARTED else inf
+        return min([self._due, *self._again]) if self.phase is not SlowStartPhase.PROCESS_STARTED else inf
 
     @property
-    def calls_most(self) -> float:
+    def max_concurrent_calls(self) -> float:
         """How many calls may be out at once; inf where only the module bounds them."""
-        return inf if self.step is Step.WARM else self._calls
+        return inf if self.phase is SlowStartPhase.WARM else self._calls
 
-    def rest_ms(self, now: float) -> float:
+    def call_pause_ms(self, now: float) -> float:
         """How long no call is to go out."""
         return max(0.0, self._rest_until - now)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,28 +18,28 @@
 import anyio
 import anyio.abc
 
-from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import (
     Arrival,
+    Decisions,
     Gauges,
-    TrafficClass,
+    LoadSignal,
     Outcome,
+    Preemption,
+    RequestState,
     RetrySafety,
-    Decisions,
-    LoadSignal,
     Settings,
-    RequestState,
-    Preemption,
+    TrafficClass,
 )
-from nickelslip.server import resp
-from nickelslip.server.balancers import Balancers, bind
-from nickelslip.server.connection import Connection
-from nickelslip.server.changing import Changing, begin
-from nickelslip.server.control_socket import ControlSocket
-from nickelslip.configuration.config import ChangeRules, Config, config_of
+from nickelslip.configuration.config import ChangeRules, Config, config_from_platform
 from nickelslip.configuration.generations import Generation
 from nickelslip.configuration.store import Store
-from nickelslip.server.node import Node, Phase
+from nickelslip.server import resp
+from nickelslip.server.configuration_manager import ConfigurationManager, begin
+from nickelslip.server.control_socket import ControlSocket
+from nickelslip.server.load_balancer_connection import LoadBalancerConnection
+from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
+from nickelslip.server.server import Phase, Server
 
 READ = TrafficClass("read", 1.0, 1000.0, 3000.0, RetrySafety.IDEMPOTENT, makes_calls=True, degraded_value_fraction=0.5)
 PAY = TrafficClass("pay", 3.0, 500.0, 1500.0, RetrySafety.NON_IDEMPOTENT, makes_calls=True)
@@ -579,8 +579,8 @@
         )
         self.listener = bind(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.node = Node(self.read(), self.read)
-        self.node.fronts.append(Balancers(self.node, self.listener))
+        self.node = Server(self.read(), self.read)
+        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
         if self._rules is not None:
             self._take_changes(self._rules)
         if not self._elsewhere:
@@ -589,18 +589,20 @@
 
     def read(self) -> Config:
         """The configuration as its file would have it now."""
-        config = config_of(self.config, {})
+        config = config_from_platform(self.config, {})
         return config if self._rules is None else replace(config, changes=self._rules)
 
     def _take_changes(self, rules: ChangeRules) -> None:
         store = Store(rules.history, rules.history_kb) if rules.history else None
         config, file, start, records = begin(self.read(), store, self.node.clock(), self.node.log)
-        self.node = Node(config, self.read)
-        self.node.fronts.append(Balancers(self.node, self.listener))
-        self.changing = Changing(self.node, file, start, records, self.read, store)
-        self.node.parts.append(self.changing.run)
+        self.node = Server(config, self.read)
+        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
+        self.changing = ConfigurationManager(self.node, file, start, records, self.read, store)
+        self.node.background_tasks.append(self.changing.run)
         if rules.socket:
-            self.node.parts.append(ControlSocket(self.node, rules.socket, rules.socket_mode, self.changing.command).run)
+            self.node.background_tasks.append(
+                ControlSocket(self.node, rules.socket, rules.socket_mode, self.changing.command).run
+            )
 
     async def push(self, part: dict[str, object], **more: object) -> dict[str, object]:
         """Apply a document over the one in force, as an operator would."""
@@ -613,14 +615,14 @@
     def share_out(self, **shares: int) -> None:
         """Have so many descriptors for each part, in place of what follows from the limit."""
         generation = self.node.generation
-        vars(generation)["shares"] = generation.shares._replace(**shares)
+        vars(generation)["descriptor_shares"] = generation.descriptor_shares._replace(**shares)
 
     async def move(self) -> None:
         """Have new stand-ins take the place of the worker pool and the records, which are up, and tell the server."""
         self.pool, self.records = await self.another_pool(), Service()
         await self.records.listen(self._tasks)
         self.config.update(pool=f"127.0.0.1:{self.pool.port}", records=f"127.0.0.1:{self.records.port}")
-        (self.node.reloads or self.node).reload()
+        (self.node.reload_handler or self.node).reload()
 
     async def another_pool(self) -> Pool:
         """The same worker pool at another address."""
@@ -660,18 +662,18 @@
     async def up(self) -> Place:
         """Let the worker pool be up, and wait until the server has heard."""
         self.pool.up.set()
-        await until(lambda: self.node.phase is Phase.SERVING and self.node.workers.up)
+        await until(lambda: self.node.phase is Phase.SERVING and self.node.worker_pool.is_up)
         return self
 
     async def caller(self) -> Caller:
         return Caller(await anyio.connect_tcp("127.0.0.1", self.port))
 
-    def connection_of(self, peer: Peer) -> Connection | None:
+    def connection_of(self, peer: Peer) -> LoadBalancerConnection | None:
         """The server's side of this peer's connection, while it stands."""
         return next(
             (
                 each
-                for each in self.node.fronts[0]._connections
+                for each in self.node.listeners[0]._connections
                 if not each.stream.ending and each.stream._sock.getpeername() == peer.name
             ),
             None,
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from nickelslip.admission.control import AdmissionController
-from nickelslip.bench.adapter import main
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.settings import settings_from
+from nickelslip.simulator_adapter.adapter import main
 
 INFO = {
     "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -10,10 +10,10 @@
 import pytest
 
 from nickelslip.admission.interface import Outcome
-from nickelslip.server import streams, transactions
-from nickelslip.server.records import Carrier
-from nickelslip.server.streams import SIZE
-from nickelslip.server.transactions import Finished, Returned
+from nickelslip.server import requests, streams
+from nickelslip.server.records_client import PooledConnection
+from nickelslip.server.requests import CallReturned, RunFinished
+from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -42,7 +42,7 @@
         {"end": ["fine"], "ms": 20.0},
         {"end": "fine", "body": GOOD},
         {"end": "fine", "ms": "long", "body": GOOD},
-        {"end": "fine", "ms": 20.0, "body": GOOD * SIZE},
+        {"end": "fine", "ms": 20.0, "body": GOOD * BUFFER_BYTES},
     ),
 )
 async def test_a_run_whose_end_cannot_be_read_is_over_all_the_same(spoilt):
@@ -51,7 +51,7 @@
         await place.running(caller, A, "pay")
         await place.pool.tell("finished", A, **spoilt)
         assert (await caller.answer())[1::2] == ("error", b"")  # and no result that no run made
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         await place.running(caller, B, "pay")  # the one slot is free
         await place.pool.finish(B)
         assert (await caller.answer())[1::2] == ("done", b"result") and place.pool.links == 1
@@ -64,7 +64,7 @@
         place.pool.seq += 1
         await place.pool.stream.send(b'{"op":"finished","seq":1,"id":"%b","end":"fine",\x00\n' % A.encode())
         assert (await caller.answer())[1] == "error"
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
 
 
 async def test_a_call_that_cannot_be_read_is_never_made_and_its_run_is_waited_for_no_longer_than_its_time():
@@ -77,16 +77,16 @@
 
 
 async def test_a_full_mailbox_still_takes_the_end(monkeypatch):
-    monkeypatch.setattr(transactions, "MAIL_MOST", 2)
+    monkeypatch.setattr(requests, "MAILBOX_CAPACITY", 2)
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A, "pay")
-        (one,) = place.node.transactions.values()
+        (one,) = place.node.requests.values()
         for _ in range(5):  # all of it within one step
-            one.post(Returned(Outcome.ERROR))
-        one.post(Finished(Outcome.OK, 20.0, b"result"))
+            one.deliver(CallReturned(Outcome.ERROR))
+        one.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
         assert (await caller.answer())[1::2] == ("done", b"result")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
 
 
 # The records
@@ -100,13 +100,13 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.calling(caller, A, "pay")
-        (one,) = place.node.transactions.values()
+        (one,) = place.node.requests.values()
         line = place.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         said = A.encode() + b" " + reply
         if order == "before":
             os.write(line, said)  # in the system's hands, unread here
-        place.node.records.give_up(one)
-        one.post(Returned(Outcome.TIMEOUT))
+        place.node.dependency_client.give_up(one)
+        one.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
                 os.write(line, said)
@@ -124,7 +124,7 @@
         await place.calling(caller, A, "pay")
         await place.calling(caller, B, "read")
         with monkeypatch.context() as broken:
-            broken.setattr(Carrier, "_reply", lambda *values: 1 / 0)
+            broken.setattr(PooledConnection, "_reply", lambda *values: 1 / 0)
             await place.records.reply(A, "DONE", b"reply")
             assert (await caller.answer())[1] == "error"  # it may have run
         await place.records.reply(B, "DONE", b"reply")
@@ -150,10 +150,10 @@
             for ident in idents:
                 await place.running(caller, ident, "pay", timeout=400)
                 await place.pool.block(ident)
-            await until(lambda: len(place.node.records._standing) == 20)
+            await until(lambda: len(place.node.dependency_client._standing) == 20)
             for _ in idents:
                 assert (await caller.answer())[1] == "error"
-            await until(lambda: not place.node.records._standing, 0.5)
+            await until(lambda: not place.node.dependency_client._standing, 0.5)
         for each in knocked:
             each.close()
 
@@ -168,7 +168,7 @@
         third = "00000000000000c3"
         await place.running(caller, third, "pay")
         await place.pool.block(third)
-        await until(lambda: place.node.transactions[int(third, 16)].call.seq)
+        await until(lambda: place.node.requests[int(third, 16)].call.seq)
         assert not [seen for seen in place.records.seen if seen[1] == third]
         await place.records.reply(A, "DONE", b"reply")
         await until(lambda: ("OP", third, CALL) in place.records.seen)  # it goes out as soon as there is one
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,10 +17,10 @@
 from benchmarks.capacity.rows import BOUND, COST, NOISY, ROLES, Row, rows_of, worst_of
 from benchmarks.capacity.summary import summary_of
 from benchmarks.capacity.texts import encoded, lifted_bounds, own_document
-from nickelslip.configuration.client import ask_once
-from nickelslip.configuration.faults import Faulty
+from nickelslip.configuration.control_client import ask_once
+from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.schema import NAMED_MOST
-from nickelslip.configuration.text import read_text
+from nickelslip.configuration.validation import InvalidDocumentError
 
 SIZES = (100.0, 700.0, 5_000.0, 37_000.0)
 
@@ -150,7 +150,7 @@
         assert len(hollow.whole_of(own_document(most + 1))["customers"]) == most + 1
         assert read_text(big, "settings", places=False).value["version"] == 1
     assert NAMED_MOST["customers"] == most
-    with pytest.raises(Faulty):
+    with pytest.raises(InvalidDocumentError):
         read_text(big, "settings", places=False)
 
 
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -20,20 +20,21 @@
 from click.testing import CliRunner
 
 from benchmarks.watched import Witness, watch
-from nickelslip.admission.control import AdmissionController, ClassStatistics
+from nickelslip.admission.controller import AdmissionController, ClassStatistics
 from nickelslip.admission.interface import RequestState
-from nickelslip.configuration import client, history, loading, store
-from nickelslip.configuration.changes import Denial, Denied, start_of
-from nickelslip.configuration.commands import config as config_command, roll_out
+from nickelslip.configuration import control_client, history, loading, store
+from nickelslip.configuration.change_lifecycle import Denial, Denied, start_of
+from nickelslip.configuration.commands import config as config_command
+from nickelslip.configuration.commands import roll_out
 from nickelslip.configuration.config import ChangeRules
-from nickelslip.configuration.faults import Faulty
-from nickelslip.configuration.meter import Meter
-from nickelslip.configuration.protocol import Frames, framed
+from nickelslip.configuration.control_protocol import Frames, framed
+from nickelslip.configuration.request_metrics import RequestMetrics
 from nickelslip.configuration.rollout import Course, Rollout, Terms
 from nickelslip.configuration.rollout import Place as Place_
 from nickelslip.configuration.store import Store
+from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server import control_socket
-from nickelslip.server.node import Node, Phase
+from nickelslip.server.server import Phase, Server
 from tests.helpers import A, B, C, Place, until
 from tests.test_configuration import OURS, fill, ours
 
@@ -50,7 +51,7 @@
 @pytest.fixture
 def witness(monkeypatch):
     """A watch over every event of every transaction."""
-    for part, name in ((AdmissionController, "_adopt"), (Node, "_decide")):
+    for part, name in ((AdmissionController, "_adopt"), (Server, "_decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
     seen = Witness()
     watch(seen)
@@ -59,7 +60,9 @@
 
 async def asked(path, do, wait_ms=3000.0, **fields):
     """One command as another process would send it."""
-    return await anyio.to_thread.run_sync(partial(anyio.run, partial(client.ask_once, path, do, wait_ms, **fields)))
+    return await anyio.to_thread.run_sync(
+        partial(anyio.run, partial(control_client.ask_once, path, do, wait_ms, **fields))
+    )
 
 
 # What is in hand
@@ -73,12 +76,12 @@
         await caller.ask(C, "book", opkey="k1", resent=1)  # joined to its forerunner
         held = "00000000000000d4"
         await caller.ask(held, "pay")
-        await until(lambda: len(place.node.transactions) == 4)
-        states = {one.state for one in place.node.transactions.values()}
+        await until(lambda: len(place.node.requests) == 4)
+        states = {one.state for one in place.node.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
         reply = await place.push(SOON)
         assert reply["change"]["step"] == "on_probation" and place.node.generation.number == 2
-        assert "book" not in place.node.generation.repeats  # gone, yet what was read of it goes on
+        assert "book" not in place.node.generation.retry_safety_by_class  # gone, yet what was read of it goes on
         await place.records.reply(A, "DONE", b"reply")
         await until(lambda: place.pool.told("supply", A))
         await place.pool.finish(A)
@@ -178,20 +181,20 @@
         await until(lambda: place.node.phase is Phase.SERVING)
         caller = await place.caller()
         await place.pool.down()
-        await until(lambda: not place.node.workers.up)
+        await until(lambda: not place.node.worker_pool.is_up)
         await place.push({"machine": {"cores": 7}})
         await anyio.sleep(1.8)  # longer than any probation: what nobody could see is not confirmed
         assert place.changing.changes.current is not None
         await place.move()  # SIGHUP with other addresses, amid a probation
-        await until(lambda: place.node.workers.up)
+        await until(lambda: place.node.worker_pool.is_up)
         assert place.node.generation.settings.core_count == 7
         await place.running(caller, A, "pay")
         await place.changing.command({"do": "rollback"})
         assert place.node.generation.settings.core_count == 2
-        assert place.node.generation.config.pool[1] == place.pool.port and place.node.workers.up
+        assert place.node.generation.config.pool[1] == place.pool.port and place.node.worker_pool.is_up
         await place.pool.finish(A)
         assert (await caller.answer())[:2] == (1, "done")
-        place.node.leave()
+        place.node.begin_shutdown()
         with pytest.raises(Denied) as caught:
             await place.push({"machine": {"cores": 9}})
         assert caught.value.denial is Denial.LEAVING
@@ -202,11 +205,11 @@
         await place.up()
         chance, begin = random.Random(3), place.node.clock() - 14_500
         quoted = {"payout": 100.0, "balance": 100.0}
-        place.changing.meter = place.node.meter = Meter(16_000.0, quoted)
-        fill(place.changing.meter, chance, begin, place.node.clock(), lambda pair: 0.97)
+        place.changing.request_metrics = place.node.request_metrics = RequestMetrics(16_000.0, quoted)
+        fill(place.changing.request_metrics, chance, begin, place.node.clock(), lambda pair: 0.97)
         await place.push({"machine": {"cores": 6}})
         number = place.node.generation.number
-        meter = place.changing.meter
+        meter = place.changing.request_metrics
 
         async def go_on(kept, over):
             at = place.node.clock()
@@ -217,11 +220,11 @@
                     fill(meter, chance, at, upto, kept)
                     at = (upto // 250) * 250
 
-        meter.count_as_in_time(quoted)
+        meter.set_latency_objectives(quoted)
         await go_on(lambda pair: 0.97, lambda: place.changing.changes.current is None)
         assert place.node.generation.number == number  # confirmed
         await place.push({"machine": {"cores": 1}})
-        meter.count_as_in_time(quoted)
+        meter.set_latency_objectives(quoted)
         await go_on(lambda pair: 0.1, lambda: place.changing.changes.current is None)
         assert place.node.generation.settings.core_count == 6
         last = place.changing.changes.records[-1]
@@ -236,15 +239,15 @@
         await place.up()
         await place.push({"machine": {"cores": 5}})
         await place.changing.command({"do": "confirm"})
-        place.node.reloads.reload()  # the file says what it said: the change stays
+        place.node.reload_handler.reload()  # the file says what it said: the change stays
         await anyio.sleep(0.1)
         assert place.node.generation.settings.core_count == 5
         place.config["pool"] = "nowhere"
-        place.node.reloads.reload()
+        place.node.reload_handler.reload()
         await anyio.sleep(0.1)
         assert place.node.generation.settings.core_count == 5
         place.config.update(pool=f"127.0.0.1:{place.pool.port}", stop_ms=800)
-        place.node.reloads.reload()
+        place.node.reload_handler.reload()
         await until(lambda: place.node.generation.config.stop_ms == 800)
         assert place.changing.changes.current is not None and place.node.generation.settings.core_count == 2
 
@@ -269,13 +272,13 @@
         "fstat",
         lambda descriptor: (writes.append(1), file.write_text(OURS + " " * len(writes)), real(descriptor))[-1],
     )
-    with pytest.raises(Faulty, match="being written"):
+    with pytest.raises(InvalidDocumentError, match="being written"):
         loading.read_file(str(file))
     monkeypatch.undo()
     with (tmp_path / "big").open("wb") as big:
         big.truncate(60 << 20)
     begun = time.monotonic()
-    with pytest.raises(Faulty, match="over"):
+    with pytest.raises(InvalidDocumentError, match="over"):
         loading.read_file(str(tmp_path / "big"))
     assert time.monotonic() - begun < 0.5
 
@@ -453,11 +456,11 @@
         crowd = [await anyio.connect_unix(path) for _ in range(control_socket.CONNECTIONS_MOST)]
         for each in crowd:
             await each.receive()
-        with pytest.raises(client.Unreachable):
+        with pytest.raises(control_client.ServerUnreachableError):
             await asked(path, "status", 500.0)
         for each in crowd:
             await each.aclose()
-        await until(lambda: not place.node.parts[-1].__self__.open)
+        await until(lambda: not place.node.background_tasks[-1].__self__.open)
         assert (await asked(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
             control_socket.unused(path)
@@ -474,7 +477,7 @@
         told.append((node, do))
         if node == "n2":
             await anyio.sleep(0.05)
-            raise client.Unreachable("no answer in time")
+            raise control_client.ServerUnreachableError("no answer in time")
         if do == "apply":
             assert fields["until_ms"] > time.time() * 1000
             origins[node] = fields["origin"]
