--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -7,8 +7,8 @@
 import anyio
 import pytest
 
-from nickelslip.server import connection, resp
-from nickelslip.server.endings import Ended, Ending
+from nickelslip.server import load_balancer_connection, resp
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
 from nickelslip.server.streams import Stream
 from tests.helpers import A, B, Failing, Peer, Place, asking, until
 
@@ -30,7 +30,9 @@
     """One that has asked once, has not read what it was answered, and rests."""
     peer = Peer(place.port)
     peer.send(STATUS)
-    await until(lambda: (side := place.connection_of(peer)) is not None and side.proven and side.idle)
+    await until(
+        lambda: (side := place.connection_of(peer)) is not None and side.has_sent_complete_message and side.idle
+    )
     return peer
 
 
@@ -40,12 +42,12 @@
 async def test_a_transaction_that_came_just_before_its_resting_connection_was_to_be_ended_is_answered():
     async with Place() as place:
         await place.up()
-        front, peer = place.node.fronts[0], await resting(place)
+        front, peer = place.node.listeners[0], await resting(place)
         rested(place, peer, 1000.0)
-        front.trim(500.0)  # it is told; and rests on, as some clients do
-        rested(place, peer, 1000.0 + place.node.generation.stall_ms)
+        front.close_idle(500.0)  # it is told; and rests on, as some clients do
+        rested(place, peer, 1000.0 + place.node.generation.longest_timeout_ms)
         peer.send(asking(A))  # in the system's hands, unread here
-        front.trim(500.0)
+        front.close_idle(500.0)
         await until(lambda: place.pool.told("spawn", A))
         await place.pool.finish(A)
         assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
@@ -54,11 +56,11 @@
 async def test_a_transaction_that_comes_just_after_its_resting_connection_was_ended_destroys_no_answer():
     async with Place() as place:
         await place.up()
-        front, peer = place.node.fronts[0], await resting(place)
+        front, peer = place.node.listeners[0], await resting(place)
         rested(place, peer, 1000.0)
-        front.trim(500.0)
-        rested(place, peer, 1000.0 + place.node.generation.stall_ms)
-        front.trim(500.0)
+        front.close_idle(500.0)
+        rested(place, peer, 1000.0 + place.node.generation.longest_timeout_ms)
+        front.close_idle(500.0)
         peer.send(asking(A))  # the end has been sent and not been read
         got = await peer.to_the_end()  # and not a reset, which would take the first answer along
         assert b"healthy" in got and b"closing" in got and not place.pool.told("spawn", A)
@@ -73,7 +75,7 @@
         rested(place, asked, 1000.0)  # unused for longest
         asked.send(asking(A))
         knocking = Peer(place.port)
-        place.node.fronts[0]._accept()
+        place.node.listeners[0]._accept()
         await until(lambda: place.pool.told("spawn", A))
         await place.pool.finish(A)
         assert b"result" in await asked.until(b"result")
@@ -90,7 +92,7 @@
         await place.running(caller, A)
         late = Peer(place.port)
         late.send(asking(B))
-        place.node.fronts[0]._accept()
+        place.node.listeners[0]._accept()
         assert await late.to_the_end() == b"" and not place.pool.told("spawn", B)
         await place.pool.finish(A)
         assert (await caller.answer())[:2] == (1, "done")
@@ -98,15 +100,15 @@
 
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_first_transaction_that_crosses_the_end_of_patience_is_answered_or_ends_plainly(order, monkeypatch):
-    monkeypatch.setattr(connection, "FIRST_BYTE_MS", 100.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 100.0)
     peers = []
     fill = Stream.fill
 
     async def crossed(self, wait_ms=inf):
         try:
             await fill(self, wait_ms)
-        except Ended as ended:
-            if ended.ending is Ending.SILENT and peers:
+        except ConnectionClosedError as ended:
+            if ended.reason is CloseReason.UNRESPONSIVE and peers:
                 peers.pop().send(asking(A))  # when the last look has found nothing, and before anything is ended
             raise
 
@@ -119,7 +121,7 @@
         if order == "after":
             assert await peer.to_the_end() == b"" and not place.pool.told("spawn", A)
         else:
-            await until(lambda: place.node.fronts[0]._connections)
+            await until(lambda: place.node.listeners[0]._connections)
             with anyio.move_on_after(0.05):
                 await anyio.sleep(1)
             peer.send(asking(A))
@@ -131,12 +133,12 @@
 async def test_half_a_message_keeps_its_connection_until_it_is_whole():
     async with Place() as place:
         await place.up()
-        front, peer, whole = place.node.fronts[0], await resting(place), asking(A)
+        front, peer, whole = place.node.listeners[0], await resting(place), asking(A)
         peer.send(whole[:20])
         await until(lambda: any(each.stream.data is not None for each in front._connections))
         rested(place, peer, 1e6)
-        front.trim(500.0)
-        front.trim(500.0)
+        front.close_idle(500.0)
+        front.close_idle(500.0)
         assert not front._make_room()
         peer.send(whole[20:])
         await until(lambda: place.pool.told("spawn", A))
@@ -147,13 +149,13 @@
 async def test_an_answer_that_is_still_on_its_way_keeps_its_connection():
     async with Place() as place:
         await place.up()
-        front, peer = place.node.fronts[0], await resting(place)
+        front, peer = place.node.listeners[0], await resting(place)
         (connection,) = front._connections
         connection.stream._keep(memoryview(b"rest of an answer"))
         rested(place, peer, 1e6)
-        front.trim(500.0)
-        front.trim(500.0)
-        connection.cut_off(Ending.LEFT)  # not even for want of time: as much of it as can be is sent
+        front.close_idle(500.0)
+        front.close_idle(500.0)
+        connection.cut_off(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
         assert not front._make_room() and connection.parted is None
 
 
@@ -164,7 +166,7 @@
     async with Place() as place:
         await place.up()
         place.share_out(balancers=1, lingering=1)
-        front, first = place.node.fronts[0], await resting(place)
+        front, first = place.node.listeners[0], await resting(place)
         second, third = await connected(place, first), Peer(place.port)
         third.send(STATUS)
         front._accept()
@@ -177,7 +179,7 @@
 async def connected(place: Place, other: Peer) -> Peer:
     """A newcomer that is taken at once, for which another one has to go."""
     peer = Peer(place.port)
-    place.node.fronts[0]._accept()
+    place.node.listeners[0]._accept()
     assert place.connection_of(peer) and place.connection_of(other).parted
     return peer
 
@@ -190,7 +192,7 @@
         last = Peer(place.port)
         last.send(asking(A))
         await until(lambda: place.pool.told("spawn", A), 1.0)
-        assert len(place.node.fronts[0]._connections) <= 10
+        assert len(place.node.listeners[0]._connections) <= 10
         await place.pool.finish(A)
         assert b"result" in await last.until(b"result")
         for each in crowd[:30]:
@@ -198,11 +200,11 @@
 
 
 async def test_those_whose_patience_ran_out_and_who_linger_are_not_taken_for_a_full_table(monkeypatch):
-    monkeypatch.setattr(connection, "FIRST_BYTE_MS", 50.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 50.0)
     async with Place() as place:
         await place.up()
         place.share_out(balancers=10, lingering=10)
-        front, rests = place.node.fronts[0], await resting(place)
+        front, rests = place.node.listeners[0], await resting(place)
         silent = [Peer(place.port) for _ in range(9)]  # more than are looked at for one that may go
         await until(lambda: len(front._parting) == 9)  # they heard, and stay
         asks = Peer(place.port)
@@ -217,7 +219,7 @@
 async def test_a_newcomer_that_failed_before_it_was_taken_costs_nobody_else_anything(code):
     async with Place() as place:
         await place.up()
-        listener = place.node.fronts[0]._listener = Failing(place.listener, code)
+        listener = place.node.listeners[0]._listener = Failing(place.listener, code)
         peer = Peer(place.port)
         peer.send(STATUS)
         assert b"healthy" in await peer.until(b"healthy") and listener.accepts >= 2
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from nickelslip.coming_up.crash_file import NAME
 from nickelslip.emulator.checkers import counts
 from nickelslip.emulator.fleet import Fleet, Plan
 from nickelslip.emulator.history import Kind
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.processes import program
 from nickelslip.emulator.schedule import zone_of
+from nickelslip.startup.crash_loop_file import NAME
 
 pytestmark = pytest.mark.anyio
 COLD = {"cold": True, "machine": MachineKind(cold_from=0.3, cold_ms=2000.0, cold_calls=2.5)}
@@ -149,7 +149,7 @@
             sys.executable,
             "-B",
             "-m",
-            "nickelslip.emulator.skewed",
+            "nickelslip.emulator.clock_skew",
             *off.get(name, ("0", "0")),
             "serve",
             "--config",
--- a/tests/test_coming_up.py
+++ b/tests/test_coming_up.py
@@ -10,10 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from nickelslip.coming_up.crash_file import NAME, CrashFile
-from nickelslip.coming_up.crashes import MOST_MS, Starts
-from nickelslip.coming_up.spread import Backoff, next_in_phase, phase
-from nickelslip.coming_up.start import (
+from nickelslip.startup.backoff import Backoff
+from nickelslip.startup.crash_loop import MOST_MS, Starts
+from nickelslip.startup.crash_loop_file import NAME, CrashFile
+from nickelslip.startup.phase_jitter import next_in_phase, phase_of
+from nickelslip.startup.rolling_restart import Measured, turns
+from nickelslip.startup.slow_start import (
     FAILS,
     FIRST_CALLS,
     LAPSE_MS,
@@ -21,16 +23,15 @@
     REST_MOST_MS,
     REST_SPAN_MS,
     SHORT_MS,
-    Start,
-    Step,
+    SlowStart,
+    SlowStartPhase,
 )
-from nickelslip.coming_up.turns import Measured, turns
 
 COLD_MS = 4000.0
 
 
 def start(part=4.0, cold=True, name="n7", now=0.0):
-    return Start(name, 1, now, part, cold, COLD_MS)
+    return SlowStart(name, 1, now, part, cold, COLD_MS)
 
 
 # Spread
@@ -46,18 +47,18 @@
 )
 def test_phases_of_numbered_names_fill_a_period_evenly_whichever_are_there(names):
     for there in (names, random.Random(1).sample(names, len(names) // 2)):
-        tenths = Counter(int(10 * phase(name, 1)) for name in there)
+        tenths = Counter(int(10 * phase_of(name, 1)) for name in there)
         most = 1.5 if there is names else 2.2
         assert max(tenths.values()) <= most * len(there) / 10
 
 
 def test_names_without_numbers_and_groups_of_names_are_set_apart():
-    assert len({phase(name, 1) for name in ("alpha", "beta", "alpha-1", "beta-1", "gamma-1")}) == 5
-    assert phase("alpha", 1) != phase("alpha", 2) and phase("n3", 1) == phase("n3", 2)
+    assert len({phase_of(name, 1) for name in ("alpha", "beta", "alpha-1", "beta-1", "gamma-1")}) == 5
+    assert phase_of("alpha", 1) != phase_of("alpha", 2) and phase_of("n3", 1) == phase_of("n3", 2)
 
 
 def test_acts_in_phase_keep_apart_whatever_moment_they_begin_in_and_come_once_a_period():
-    first = [next_in_phase(1_000_000.0, 500.0, phase(f"n{number}", 1)) for number in range(1, 101)]
+    first = [next_in_phase(1_000_000.0, 500.0, phase_of(f"n{number}", 1)) for number in range(1, 101)]
     assert max(Counter(int(at // 50) for at in first).values()) <= 16
     at = next_in_phase(12.0, 500.0, 0.4)
     assert at == pytest.approx(200.0) and next_in_phase(at, 500.0, 0.4) == pytest.approx(700.0)
@@ -84,10 +85,10 @@
 
 def warm_up(one, now, took=10.0, until=60_000.0):
     """What is below answers every call in the same time; when the start is warm."""
-    while one.step is not Step.WARM and now < until:
+    while one.step is not SlowStartPhase.WARM and now < until:
         now = max(now, now + one.rest_ms(now))
         one.look(now)
-        if one.step in (Step.STARTED,):
+        if one.step in (SlowStartPhase.PROCESS_STARTED,):
             one.linked(now, 0.0)
         if one.report_at <= now:
             one.reported(now)
@@ -99,105 +100,115 @@
 
 def test_a_cold_start_asks_little_first_and_for_more_as_rounds_are_answered_in_time():
     one = start()
-    assert one.report_at == inf and one.step is Step.STARTED
-    one.linked(0.0, 0.0)
-    one.reported(one.report_at)
-    one.call_out(500.0)
-    assert one.step is Step.ASKING_LITTLE and one.calls_most == FIRST_CALLS
+    assert one.next_report_at_ms == inf and one.phase is SlowStartPhase.PROCESS_STARTED
+    one.worker_pool_connected(0.0, 0.0)
+    one.report_sent(one.next_report_at_ms)
+    one.call_started(500.0)
+    assert one.phase is SlowStartPhase.FIRST_CALLS and one.max_concurrent_calls == FIRST_CALLS
     seen = []
     for at in range(40):
         one.call_answered(510.0 + 10 * at, 10.0)
-        seen.append(one.calls_most)
-    assert seen == sorted(seen) and one.step is Step.WARM and one.calls_most == inf
+        seen.append(one.max_concurrent_calls)
+    assert seen == sorted(seen) and one.phase is SlowStartPhase.WARM and one.max_concurrent_calls == inf
     assert max(each for each in seen if each < inf) < 4.0
 
 
 def test_slow_rounds_take_the_step_back_and_a_service_slower_for_good_is_got_used_to():
     one = start(part=8.0)
-    one.linked(0.0, 0.0)
-    one.call_out(0.0)
+    one.worker_pool_connected(0.0, 0.0)
+    one.call_started(0.0)
     for at in range(6):
         one.call_answered(10.0 * at, 10.0)
-    grown = one.calls_most
+    grown = one.max_concurrent_calls
     assert grown > FIRST_CALLS
     for at in range(30):
         one.call_answered(100.0 + 40 * at, 40.0)
-    assert one.calls_most == FIRST_CALLS and one.step is Step.RISING
+    assert one.max_concurrent_calls == FIRST_CALLS and one.phase is SlowStartPhase.RAMPING_UP
     assert warm_up(one, 2000.0, took=40.0) < 60_000.0
 
 
 def test_refused_calls_make_one_attempt_at_a_time_with_pauses_and_the_first_answer_ends_that():
     one = start()
-    one.linked(0.0, 0.0)
-    one.call_out(0.0)
+    one.worker_pool_connected(0.0, 0.0)
+    one.call_started(0.0)
     now, tries = 0.0, 0
     while now < 20_000.0:
         one.call_failed(now)
         tries += 1
         if tries < FAILS:
             continue
-        assert one.step is Step.FALLING_BACK and one.calls_most == FIRST_CALLS and one.rest_ms(now) > 0
-        now += one.rest_ms(now)
+        assert (
+            one.phase is SlowStartPhase.BACKING_OFF
+            and one.max_concurrent_calls == FIRST_CALLS
+            and one.call_pause_ms(now) > 0
+        )
+        now += one.call_pause_ms(now)
     assert tries <= FAILS + 20_000.0 / REST_SPAN_MS * 12
     one.call_answered(now, 10.0)
-    assert one.step is Step.ASKING_LITTLE and one.rest_ms(now) == 0.0
+    assert one.phase is SlowStartPhase.FIRST_CALLS and one.call_pause_ms(now) == 0.0
 
 
 def test_a_lone_call_lost_is_no_failing_service():
     one = start()
-    one.linked(0.0, 0.0)
-    one.call_out(0.0)
+    one.worker_pool_connected(0.0, 0.0)
+    one.call_started(0.0)
     one.call_failed(10.0)
-    assert one.step is Step.ASKING_LITTLE
+    assert one.phase is SlowStartPhase.FIRST_CALLS
     for at in range(3):
         one.call_failed(20.0 + at)
-    assert one.step is Step.FALLING_BACK
+    assert one.phase is SlowStartPhase.BACKING_OFF
 
 
 def test_after_a_short_failure_a_start_goes_on_where_it_was_and_after_a_long_one_from_the_beginning():
-    for span, step, most in ((SHORT_MS / 2, Step.WARM, inf), (2 * SHORT_MS, Step.ASKING_LITTLE, FIRST_CALLS)):
+    for span, step, most in (
+        (SHORT_MS / 2, SlowStartPhase.WARM, inf),
+        (2 * SHORT_MS, SlowStartPhase.FIRST_CALLS, FIRST_CALLS),
+    ):
         one = start()
         now = warm_up(one, 0.0)
         for _ in range(FAILS):
             one.call_failed(now)
-        assert one.step is Step.FALLING_BACK and one.calls_most == FIRST_CALLS
+        assert one.phase is SlowStartPhase.BACKING_OFF and one.max_concurrent_calls == FIRST_CALLS
         one.call_answered(now + span, 10.0)
-        assert one.step is step and one.calls_most == most
+        assert one.phase is step and one.max_concurrent_calls == most
 
 
 def test_a_machine_that_is_not_cold_or_makes_no_calls_is_warm_with_its_first_report():
     for one in (start(cold=False), start(part=0.0)):
-        one.linked(0.0, 0.0)
-        one.reported(one.report_at)
-        assert one.step is Step.WARM and one.calls_most == inf
+        one.worker_pool_connected(0.0, 0.0)
+        one.report_sent(one.next_report_at_ms)
+        assert one.phase is SlowStartPhase.WARM and one.max_concurrent_calls == inf
 
 
 def test_one_that_has_little_to_call_for_is_warm_in_time_unless_below_is_seen_slow():
     one = start()
-    one.linked(0.0, 0.0)
-    one.reported(one.report_at)
-    one.look(COLD_MS - 1)
-    assert one.step is Step.LISTED
-    one.look(COLD_MS)
-    assert one.step is Step.WARM
+    one.worker_pool_connected(0.0, 0.0)
+    one.report_sent(one.next_report_at_ms)
+    one.time_passed(COLD_MS - 1)
+    assert one.phase is SlowStartPhase.LISTED
+    one.time_passed(COLD_MS)
+    assert one.phase is SlowStartPhase.WARM
 
 
 def test_reports_are_in_phase_six_to_a_lapse_at_once_where_an_entry_runs_out_and_told_again_on_a_change():
     one = start()
-    one.linked(1000.0, 0.0)
-    first = one.report_at
-    assert 1000.0 < first <= 1000.0 + one.period_ms
-    one.reported(first)
-    assert one.report_at == pytest.approx(first + one.period_ms) and (REPORTS - 1) * one.period_ms < LAPSE_MS - 400
-    one.told(first + 1)
+    one.worker_pool_connected(1000.0, 0.0)
+    first = one.next_report_at_ms
+    assert 1000.0 < first <= 1000.0 + one.report_period_ms
+    one.report_sent(first)
+    assert (
+        one.next_report_at_ms == pytest.approx(first + one.report_period_ms)
+        and (REPORTS - 1) * one.report_period_ms < LAPSE_MS - 400
+    )
+    one.health_changed(first + 1)
     times = []
     while len(times) < 4:
-        times.append(one.report_at)
-        one.reported(times[-1])
-    assert times[:3] == [first + 1, first + 61, first + 181] and times[3] == pytest.approx(first + one.period_ms)
+        times.append(one.next_report_at_ms)
+        one.report_sent(times[-1])
+    assert times[:3] == [first + 1, first + 61, first + 181] and times[3] == pytest.approx(first + one.report_period_ms)
     late = start()
-    late.linked(1000.0, 2900.0)
-    assert late.report_at == 1000.0
+    late.worker_pool_connected(1000.0, 2900.0)
+    assert late.next_report_at_ms == 1000.0
 
 
 EVENTS = st.lists(
@@ -213,23 +224,29 @@
 def test_from_any_events_in_any_order_a_start_keeps_its_bounds_and_gets_warm_once_below_is_well(events, part, cold):
     one, now = start(part, cold), 0.0
     act = {
-        "linked": lambda at: one.linked(at, 100.0),
-        "reported": one.reported,
-        "told": one.told,
-        "out": one.call_out,
+        "linked": lambda at: one.worker_pool_connected(at, 100.0),
+        "reported": one.report_sent,
+        "told": one.health_changed,
+        "out": one.call_started,
         "answered": lambda at: one.call_answered(at, 10.0),
         "slow": lambda at: one.call_answered(at, 300.0),
         "lost": one.call_failed,
-        "look": one.look,
+        "look": one.time_passed,
     }
     for what, wait in events:
         now += wait
         act[what](now)
-        assert one.calls_most >= FIRST_CALLS and (one.calls_most == inf or one.calls_most <= max(FIRST_CALLS, part))
-        assert 0 <= one.rest_ms(now) <= max(REST_MOST_MS, REST_SPAN_MS)
-        assert one.report_at == inf if one.step is Step.STARTED else one.report_at <= now + one.period_ms + 1e-6
-    assert warm_up(one, now, until=now + 60_000.0) < now + 60_000.0 and one.step is Step.WARM
-    assert len(one.steps) <= 64
+        assert one.max_concurrent_calls >= FIRST_CALLS and (
+            one.max_concurrent_calls == inf or one.max_concurrent_calls <= max(FIRST_CALLS, part)
+        )
+        assert 0 <= one.call_pause_ms(now) <= max(REST_MOST_MS, REST_SPAN_MS)
+        assert (
+            one.next_report_at_ms == inf
+            if one.phase is SlowStartPhase.PROCESS_STARTED
+            else one.next_report_at_ms <= now + one.report_period_ms + 1e-6
+        )
+    assert warm_up(one, now, until=now + 60_000.0) < now + 60_000.0 and one.phase is SlowStartPhase.WARM
+    assert len(one.phases) <= 64
 
 
 # Crash loops
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,10 +8,10 @@
 import pytest
 from click.testing import CliRunner
 
+from nickelslip.configuration.config import config_from_platform
 from nickelslip.server.cli import main
 from nickelslip.server.program import Lines
-from nickelslip.configuration.config import config_of
-from nickelslip.settings import Malformed
+from nickelslip.settings import MalformedSettingsError
 from tests.helpers import TOLD
 
 GOOD = {
@@ -42,7 +42,7 @@
 
 
 def test_environment_wins_over_the_file():
-    config = config_of(GOOD, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "[::1]:7"})
+    config = config_from_platform(GOOD, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "[::1]:7"})
     assert (config.name, config.listen, config.seed) == ("n9", ("::1", 7), 0x8C1F30D27A5BE964)
     assert config.gauges == ("cpu_busy", "runnable", "mem_used", "sockets")
 
@@ -73,8 +73,8 @@
 )
 def test_a_fault_is_named_by_its_field(path, value):
     name = path.split(".")[-1]
-    with pytest.raises(Malformed, match=name):
-        config_of(changed(path, value), {})
+    with pytest.raises(MalformedSettingsError, match=name):
+        config_from_platform(changed(path, value), {})
 
 
 def test_a_bad_configuration_ends_with_one_line_and_code_2(tmp_path, monkeypatch):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 
 from nickelslip.admission.interface import RequestState
-from nickelslip.configuration import history, text
-from nickelslip.configuration.changes import Changes, Denial, Denied, Step, start_of
-from nickelslip.configuration.config import config_of
+from nickelslip.configuration import history, json5_reader
+from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
+from nickelslip.configuration.change_lifecycle import Changes, Denial, Denied, Step, start_of
+from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import config_from, document_of
-from nickelslip.configuration.faults import Faulty
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import Event, Record
-from nickelslip.configuration.judge import Before, Judge, Standing, Verdict
+from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.layers import layered, merged
-from nickelslip.configuration.meter import WIDTH_MS, Meter
 from nickelslip.configuration.plan import plan_of
+from nickelslip.configuration.request_metrics import WIDTH_MS, RequestMetrics
 from nickelslip.configuration.rollout import Course, Do, Place, Rollout, Terms
 from nickelslip.configuration.schema import Effect
-from nickelslip.configuration.text import read_text
+from nickelslip.configuration.validation import InvalidDocumentError
 from tests.test_config import GOOD
 
 OURS = """// a small server
@@ -43,7 +43,7 @@
 
 
 def faults_of(*overlays, environment=None):
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidDocumentError) as caught:
         ours(*overlays, environment=environment)
     return caught.value.faults
 
@@ -59,7 +59,7 @@
         3.0,
     )
     assert config_from(document_of(config)) == config
-    platform = config_of(GOOD, {})
+    platform = config_from_platform(GOOD, {})
     assert config_from(document_of(platform)) == platform
 
 
@@ -85,7 +85,7 @@
         ("{a:" * 30 + "1" + "}" * 30, "nested deeper"),
         ("{machine: ", "not JSON5"),
         ("{machine: {cores: true}}", "whole"),
-        (" " * (text.BYTES_MOST + 1), "over"),
+        (" " * (json5_reader.BYTES_MOST + 1), "over"),
         ("\x00\xff", "not JSON5"),
         ("{version: 9}", "version"),
         ("7", "object"),
@@ -99,7 +99,7 @@
     ),
 )
 def test_what_cannot_be_used_is_refused_with_its_reason(bad, word):
-    with pytest.raises(Faulty, match=word):
+    with pytest.raises(InvalidDocumentError, match=word):
         ours(bad)
 
 
@@ -108,7 +108,7 @@
 def test_any_bytes_are_read_or_refused(data):
     try:
         read_text(data, "x")
-    except Faulty as faulty:
+    except InvalidDocumentError as faulty:
         assert faulty.faults
 
 
@@ -345,7 +345,7 @@
 
 def judged(seed, kept, load=1.0, weight=1.0, before=lambda pair: 0.97, until=8000.0, busy=0.6):
     """The first harm found within some seconds and when, or the last verdict."""
-    chance, meter = random.Random(seed), Meter(20_000.0, {"payout": 100.0, "balance": 100.0})
+    chance, meter = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
     fill(meter, chance, 0.0, 15_000.0, before)
     judge = Judge(Before(meter.between(0.0, 15_000.0)), 15_000.0, 4.0)
     now, verdict = 15_000.0, None
@@ -378,7 +378,7 @@
 def test_a_burst_that_was_over_before_the_change_hides_little():
     found = 0
     for seed in range(12):
-        chance, meter = random.Random(seed), Meter(20_000.0, {"payout": 100.0, "balance": 100.0})
+        chance, meter = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
         fill(meter, chance, 0.0, 8000.0, lambda pair: 0.97)
         fill(meter, chance, 8000.0, 12_000.0, lambda pair: 0.95 if pair[0] == "payout" else 0.3, load=2.0, busy=1.0)
         fill(meter, chance, 12_000.0, 15_000.0, lambda pair: 0.97)
@@ -411,12 +411,15 @@
 
 
 def test_what_nobody_saw_is_not_called_harmless_and_a_look_alone_undoes_nothing():
-    assert judged(1, lambda pair: 0.97, load=0.02, weight=1.0, before=lambda pair: 0.0)[0].standing is Standing.TOO_SOON
+    assert (
+        judged(1, lambda pair: 0.97, load=0.02, weight=1.0, before=lambda pair: 0.0)[0].standing
+        is Standing.INSUFFICIENT_DATA
+    )
     changes, _ = begun()
     changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
     changes.begin(2.0)
     changes.applied(2.0)
-    soon = Verdict(Standing.TOO_SOON, "")
+    soon = Verdict(Standing.INSUFFICIENT_DATA, "")
     assert changes.judged(2.0 + 10_000, soon) is None and changes.judged(2.0 + 60_000, soon) is Step.CONFIRMED
     assert changes.judged(2.0 + 9_999, Verdict(Standing.NO_HARM, "")) is None
     assert changes.judged(2.1, Verdict(Standing.HARM, "")) is Step.ROLLED_BACK
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from nickelslip.admission.control import AdmissionController
-from nickelslip.admission.interface import Tenant, Gauges, Outcome, RetrySafety, LoadSignal, RequestState, Preemption
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.interface import Gauges, LoadSignal, Outcome, Preemption, RequestState, RetrySafety, Tenant
 from tests.helpers import BOOK, PAY, READ, World, settings
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,8 +17,8 @@
 from nickelslip.emulator.history import Event, History, Kind
 from nickelslip.emulator.links import Course, Fate, Faults, Lane
 from nickelslip.emulator.models import Jobs, Level, Listing, Machine, MachineKind, Service, ServiceKind
-from nickelslip.emulator.play import play
 from nickelslip.emulator.processes import alive
+from nickelslip.emulator.scenario_runner import play
 from nickelslip.emulator.schedule import BadSchedule, Step, checked, drawn
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -139,8 +139,8 @@
                     await place.pool.finish(ident)
                     assert (await caller.answer(1.0))[:2] == (number, "done")
                 tasks.cancel_scope.cancel()
-        assert place.clean is None and not place.node.transactions
-        await until(lambda: len(place.node.fronts[0]._connections) == 1, 4.0)
+        assert place.clean is None and not place.node.requests
+        await until(lambda: len(place.node.listeners[0]._connections) == 1, 4.0)
 
 
 async def test_hundreds_withdrawn_at_once_leave_nothing_behind():
@@ -151,11 +151,11 @@
             peer.send(b"".join(asking(f"{at:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
         for peer in peers:
             peer.send(b"".join(resp.message(b"NEVERMIND", b"%d" % tag) for tag in range(1, 33)))
-        await until(lambda: all(one.gone or one.answered for one in place.node.transactions.values()))
-        for one in list(place.node.transactions.values()):
-            await until(lambda one=one: place.pool.told("spawn", one.asked.ident))
-            await place.pool.finish(one.asked.ident, end="broken_off")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: all(one.client_gone or one.answered for one in place.node.requests.values()))
+        for one in list(place.node.requests.values()):
+            await until(lambda one=one: place.pool.told("spawn", one.received.id_hex))
+            await place.pool.finish(one.received.id_hex, end="broken_off")
+        await until(lambda: not place.node.requests)
         for peer in peers:
             peer.sock.close()
-        await until(lambda: not place.node.fronts[0]._connections)
+        await until(lambda: not place.node.listeners[0]._connections)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,9 +8,9 @@
 import anyio
 import pytest
 
-from nickelslip.server import workers
-from nickelslip.server.endings import Ending
-from nickelslip.server.workers import Link
+from nickelslip.server import worker_pool_link
+from nickelslip.server.close_reasons import CloseReason
+from nickelslip.server.worker_pool_link import LinkState
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -35,12 +35,12 @@
         place.pool.seq += 1
         notice = {"op": "finished", "seq": 1, "id": A, "end": "fine", "ms": 20.0, "body": b64encode(b"once").decode()}
         place.pool.notices.append(notice)
-        stream = place.node.workers._stream
+        stream = place.node.worker_pool._stream
         if order == "before":
             unread(place, **notice)
-        stream.end_with(Ending.RESET)  # in the same step: the task that was woken finds it ended
+        stream.end_with(CloseReason.RESET)  # in the same step: the task that was woken finds it ended
         assert (await caller.answer())[1::2] == ("done", b"once")
-        await until(lambda: len(place.pool.binds()) == 2 and not place.node.transactions)
+        await until(lambda: len(place.pool.binds()) == 2 and not place.node.requests)
         assert place.pool.binds()[1]["seq"] == 0 and len(place.pool.told("spawn", A)) == 1
 
 
@@ -52,12 +52,12 @@
         await place.running(caller, A, "pay", timeout=200)
         place.pool.measures = True
         await place.pool.cut()
-        await until(lambda: place.node.workers.up)
+        await until(lambda: place.node.worker_pool.is_up)
         assert len(place.pool.told("spawn", A)) == 1  # it may run: not told again while its answer is owed
         assert (await caller.answer())[1] == "error"
         await until(lambda: len(place.pool.told("spawn", A)) == 2)
         await place.pool.finish(A, end="late" if was == "lost" else "fine")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         await place.running(caller, B, "pay")  # the one slot is free
         assert len(place.pool.told("spawn", A)) == 2
 
@@ -69,7 +69,7 @@
         old = place.pool
         old.measures = False  # what was written on it is not proven, so that the move waits
         await place.move()
-        await until(lambda: place.node.workers._link is workers.Link.MOVING)
+        await until(lambda: place.node.worker_pool._link is worker_pool_link.LinkState.MOVING)
         await caller.ask(B, "pay")  # told to nobody yet
         await old.cut()
         await until(lambda: place.pool.told("spawn", B))
@@ -94,7 +94,7 @@
             await place.move()
         newest = place.pool
         if not back:  # until it is being replaced the first link is up, and rightly takes what comes
-            await until(lambda: place.node.workers._link is not Link.UP or newest.binds())
+            await until(lambda: place.node.worker_pool._link is not LinkState.UP or newest.binds())
         await caller.ask(A)
         await until(lambda: newest.told("spawn", A))
         await newest.finish(A)
@@ -112,4 +112,4 @@
         place.config["lookup"] = f"127.0.0.1:{await place.directory_up()}"
         place.node.reload()
         await until(lambda: place.reports, 1.0)
-        assert place.node.directory._reached and place.clean is None
+        assert place.node.directory_reporter._reached and place.clean is None
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -46,7 +46,7 @@
         await caller.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
         await until(lambda: place.pool.told("suspend", A))
         await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
 
 
 async def test_calls_to_a_tier_below_are_bound_by_no_part_and_a_broken_one_is_made_again_or_left_out():
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from nickelslip.server import table
+from nickelslip.server import idempotency_table
 from tests.helpers import A, B, C, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -43,7 +43,7 @@
         await place.running(stranger, A, "book", opkey="k1", body=b"made up")
         await place.pool.say(op="unknown", end="spawn", id=A)
         assert (await stranger.answer())[1] == "error"
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         await place.running(caller, B, "book", opkey="k1")
         await place.pool.finish(B, body=b"once")
         assert (await caller.answer())[1::2] == ("done", b"once")
@@ -63,9 +63,9 @@
         caller = await (await place.up()).caller()
         await place.running(caller, C, "pay")  # the one core is taken
         await caller.ask(A, "book", opkey="k1")
-        await until(lambda: len(place.node.transactions) == 2)
+        await until(lambda: len(place.node.requests) == 2)
         await caller.send("NEVERMIND", "2")
-        await until(lambda: len(place.node.transactions) == 1)
+        await until(lambda: len(place.node.requests) == 1)
         await caller.ask(B, "book", opkey="k1", resent=1)
         await place.pool.finish(C)
         await until(lambda: place.pool.told("spawn", B))
@@ -83,7 +83,7 @@
 
 
 async def test_a_repeat_that_came_in_its_window_and_lay_unread_past_it_is_still_one(monkeypatch):
-    monkeypatch.setattr(table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
     async with Place() as place:
         short_window(place, 300.0)
         caller = await (await place.up()).caller()
@@ -98,23 +98,23 @@
 
 
 async def test_a_repeat_after_the_window_waits_for_a_run_that_is_still_out(monkeypatch):
-    monkeypatch.setattr(table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
     async with Place() as place:
         short_window(place, 100.0)
         caller = await (await place.up()).caller()
         await place.running(caller, A, "book", opkey="k1", timeout=300)
         assert (await caller.answer())[1] == "error"  # it was due, and its run goes on
-        await until(lambda: place.node.clock() > next(iter(place.node.table._entries.values())).until + 100)
+        await until(lambda: place.node.clock() > next(iter(place.node.idempotency_table._entries.values())).until + 100)
         await caller.ask(B, "book", opkey="k1", resent=1)
-        await until(lambda: len(place.node.transactions) == 2)
+        await until(lambda: len(place.node.requests) == 2)
         assert not place.pool.told("spawn", B)
         await place.pool.finish(A, body=b"once")
         assert (await caller.answer())[1::2] == ("done", b"once")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
 
 
 async def test_what_can_serve_no_repeat_any_more_is_let_go(monkeypatch):
-    monkeypatch.setattr(table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
     async with Place() as place:
         short_window(place, 100.0)
         for grade in place.told["classes"]:
@@ -124,4 +124,4 @@
         await place.running(caller, A, "book", opkey="k1", timeout=200)
         await place.pool.finish(A, body=b"once")
         assert (await caller.answer())[1] == "done"
-        await until(lambda: not place.node.table._entries and not place.node.table._bytes)
+        await until(lambda: not place.node.idempotency_table._entries and not place.node.idempotency_table._bytes)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,7 +1,9 @@
 """Framing alone: what was written is read, however it is cut, and a size is refused before its bytes come."""
 
 import pytest
-from hypothesis import given, settings as profile, strategies as st
+from hypothesis import given
+from hypothesis import settings as profile
+from hypothesis import strategies as st
 
 from nickelslip.server import resp
 
@@ -38,5 +40,5 @@
     ),
 )
 def test_a_stream_that_cannot_be_understood_is_refused_at_once(text):
-    with pytest.raises(resp.Garbled):
+    with pytest.raises(resp.MalformedMessageError):
         resp.parse(bytearray(text), 0, len(text))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,9 @@
 
 from dataclasses import replace
 
-from hypothesis import given, settings as profile, strategies as st
+from hypothesis import given
+from hypothesis import settings as profile
+from hypothesis import strategies as st
 
 from nickelslip.admission.interface import Outcome, Preemption
 from tests.helpers import BOOK, PAY, READ, World, settings
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -17,11 +17,11 @@
 import anyio
 import pytest
 
-from nickelslip.admission.control import AdmissionController
-from nickelslip.server import connection, resp, workers
-from nickelslip.server.endings import Ending
-from nickelslip.server.node import Phase
-from nickelslip.server.streams import SIZE
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.server import load_balancer_connection, resp, worker_pool_link
+from nickelslip.server.close_reasons import CloseReason
+from nickelslip.server.server import Phase
+from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, C, Failing, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -106,7 +106,7 @@
         assert dismissed and all(0 < float(fields["holdoff"]) <= 1000 for fields in dismissed if "holdoff" in fields)
         assert all(fields.get("nomore", "1") == "1" for fields in dismissed)
         assert not any({"holdoff", "nomore"} & set(fields) for _, word, fields, _ in answers if word != "later")
-        await until(lambda: place.node.said is not None)
+        await until(lambda: place.node.advertised_weight is not None)
         await caller.send("STATUS", "900", "")
         assert float((await caller.answer())[2]["signal"]) < 1
 
@@ -122,7 +122,7 @@
         assert not place.reports  # the list would name a server that can do nothing
         await place.up()
         await until(lambda: place.reports.count("PULSE n1 open") > 3, 2.5)  # since some of them get lost
-        place.node.leave()
+        place.node.begin_shutdown()
         await until(lambda: place.reports.count("PULSE n1 closed") > 1, 0.3)  # a change is told at once, and again
 
 
@@ -233,9 +233,9 @@
         else:
             await caller.stream.aclose()
         await until(lambda: place.pool.told("suspend", A))
-        assert len(place.node.transactions) == 1
+        assert len(place.node.requests) == 1
         await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         assert gone == [int(A, 16)]
 
 
@@ -244,7 +244,7 @@
         await place.up()
         idle, busy = await place.caller(), await place.caller()
         await place.running(busy, A)
-        place.node.idle_ms = 50.0
+        place.node.idle_connection_timeout_ms = 50.0
         assert await idle.answer() == (0, "closing", {}, b"")
         await place.running(idle, B)
         await place.pool.finish(B)
@@ -256,7 +256,7 @@
 async def test_the_listener_survives_running_out_of_descriptors():
     async with Place() as place:
         await place.up()
-        listener = place.node.fronts[0]._listener = Failing(place.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE)
+        listener = place.node.listeners[0]._listener = Failing(place.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE)
         caller = await place.caller()
         await caller.send("STATUS", "1", "")
         assert (await caller.answer())[1] == "healthy" and listener.accepts >= 4
@@ -303,7 +303,7 @@
             other = await place.caller()
             await other.send("STATUS", "1", "")
             assert (await other.answer())[1] == "healthy"
-            await until(lambda: len(place.node.fronts[0]._connections) == 1)
+            await until(lambda: len(place.node.listeners[0]._connections) == 1)
         assert place.node.buffers._left > 900
 
 
@@ -323,11 +323,11 @@
 
 @pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
 async def test_a_first_message_and_the_rest_of_one_are_waited_for_only_so_long(begun, monkeypatch):
-    monkeypatch.setattr(connection, "FIRST_BYTE_MS", 150.0)
-    monkeypatch.setattr(connection, "SLOW_MESSAGE_MS", 75.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 150.0)
+    monkeypatch.setattr(load_balancer_connection, "SLOW_MESSAGE_MS", 75.0)
     async with Place() as place:
         await place.up()
-        vars(place.node.generation)["stall_ms"] = 150.0  # the longest that any caller waits
+        vars(place.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
         caller, held = await place.caller(), await place.caller()
         await held.send("STATUS", "1", "")
         await caller.stream.send(begun)
@@ -345,7 +345,7 @@
 
 
 async def test_what_came_while_the_server_stood_still_is_not_late(monkeypatch):
-    monkeypatch.setattr(connection, "FIRST_BYTE_MS", 0.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 0.0)
     async with Place() as place:
         await place.up()
         with socket.create_connection(("127.0.0.1", place.port)) as there:
@@ -375,9 +375,9 @@
 async def test_nothing_but_faults_ends_the_connection():
     async with Place() as place:
         caller = await (await place.up()).caller()
-        for _ in range(connection.FAULTS_MOST + 1):
+        for _ in range(load_balancer_connection.FAULTS_MOST + 1):
             await caller.ask("bad")
-        for tag in range(1, connection.FAULTS_MOST + 2):
+        for tag in range(1, load_balancer_connection.FAULTS_MOST + 2):
             assert (await caller.answer())[:2] == (tag, "error")
         assert await caller.ended()
 
@@ -396,7 +396,7 @@
             if number in (200, 600):
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         assert sizes[1] - sizes[0] < 400  # one object for each transaction between would be too many
         assert len(place.node.buffers._free) < 4
 
@@ -434,7 +434,7 @@
         place.pool.measures = True
         await place.pool.cut()
         await until(lambda: len(place.pool.told("spawn", A)) == 2)
-        await until(lambda: place.node.workers.up)
+        await until(lambda: place.node.worker_pool.is_up)
         assert len(place.pool.told("spawn", B)) == 1
         assert (await caller.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
 
@@ -445,7 +445,7 @@
         place.pool.measures = False
         await place.running(caller, A)
         await place.pool.cut()
-        await until(lambda: place.pool.links == 2 and place.node.workers.up)
+        await until(lambda: place.pool.links == 2 and place.node.worker_pool.is_up)
         await place.running(caller, B)  # although no question is answered
         assert len(place.pool.told("spawn", A)) == 1
         place.pool.measures = True
@@ -460,8 +460,8 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A, "pay")
-        place.node.workers._stream.end_with(Ending.RESET)  # of which its reader has not heard
-        place.node.workers.supply(place.node.transactions[int(A, 16)], b"reply")
+        place.node.worker_pool._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        place.node.worker_pool.resume_with_reply(place.node.requests[int(A, 16)], b"reply")
         await until(lambda: place.pool.told("supply", A))
         assert place.pool.links == 2 and len(place.pool.told("spawn", A)) == 1
 
@@ -472,7 +472,7 @@
         port = place.pool.port
         await place.pool.down()
         await caller.ask(A)
-        await until(lambda: place.node.transactions)
+        await until(lambda: place.node.requests)
         await anyio.sleep(0.1)
         assert not place.pool.told("spawn", A)
         await place.pool.listen(place._tasks, port)
@@ -494,7 +494,7 @@
         place.config = {**told, "stop_ms": 5}  # which needs a restart
         await place.move()
         place.pool.measures = False  # and at the new place nothing more is proven
-        await until(lambda: place.pool.seen and place.node.workers.up)
+        await until(lambda: place.pool.seen and place.node.worker_pool.is_up)
         assert place.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
         assert place.node.generation.config.stop_ms == 700
         await place.running(caller, C, "pay")
@@ -516,7 +516,7 @@
         old, told = place.pool, dict(place.config)
         old.measures = False  # so that the move waits for its proof
         await place.move()
-        await until(lambda: place.node.workers._link is workers.Link.MOVING)
+        await until(lambda: place.node.worker_pool._link is worker_pool_link.LinkState.MOVING)
         place.pool, place.config = old, told
         place.node.reload()
         await caller.ask(A)
@@ -536,7 +536,7 @@
         first = place.pool
         await place.move()
         await until(lambda: first.told("spawn", A) or place.pool.told("spawn", A))
-        await until(lambda: place.pool.binds() and place.node.workers.up)
+        await until(lambda: place.pool.binds() and place.node.worker_pool.is_up)
         assert time.monotonic() - begun < 0.3
         # both are addresses of one worker pool, whose runs they share: told at either, it is told there once
         assert len(first.told("spawn", A)) + len(place.pool.told("spawn", A)) == 1
@@ -545,7 +545,7 @@
 async def test_an_address_overtaken_just_as_its_connection_came_about_is_not_bound(monkeypatch):
     async with Place() as place:
         caller = await (await place.up()).caller()
-        connect, overtaken = workers.connect, []
+        connect, overtaken = worker_pool_link.connect, []
 
         async def connect_and_be_overtaken(*values):
             stream = await connect(*values)
@@ -558,9 +558,9 @@
         await place.pool.down()
         await caller.ask(A)
         newest = await place.another_pool()
-        monkeypatch.setattr(workers, "connect", connect_and_be_overtaken)
+        monkeypatch.setattr(worker_pool_link, "connect", connect_and_be_overtaken)
         await place.move()
-        await until(lambda: newest.told("spawn", A) and place.node.workers.up)
+        await until(lambda: newest.told("spawn", A) and place.node.worker_pool.is_up)
         assert overtaken and not overtaken[0].binds()
 
 
@@ -572,7 +572,7 @@
         place.pool.measures = True
         await place.pool.cut()  # and no run of it there will ever be
         assert (await caller.answer())[:2] == (1, "error")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
         assert len(place.pool.told("spawn", A)) == 1
 
 
@@ -604,7 +604,9 @@
         assert (await caller.answer())[:2] == (2, "error")
 
 
-@pytest.mark.parametrize("line", (b"nonsense\n", b'{"op":"finished","seq":"x"}\n', b"[1]\n", b"x" * (3 * SIZE) + b"\n"))
+@pytest.mark.parametrize(
+    "line", (b"nonsense\n", b'{"op":"finished","seq":"x"}\n', b"[1]\n", b"x" * (3 * BUFFER_BYTES) + b"\n")
+)
 async def test_a_notice_that_cannot_be_read_is_passed_over(line):
     async with Place() as place:
         caller = await (await place.up()).caller()
@@ -645,12 +647,12 @@
                 lambda self, now, *values, name=name, call=call: calls.append(name) or call(self, now, *values),
             )
         place.node._wake = place.node.clock() - 1
-        place.node.at_call(place.node.transactions[int(A, 16)])
+        place.node.call_requested(place.node.requests[int(A, 16)])
         assert calls == ["timer_fired", "call_requested"]
 
 
 async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
-    monkeypatch.setattr(workers, "UNHEARD_MOST", 3)
+    monkeypatch.setattr(worker_pool_link, "UNHEARD_MOST", 3)
     async with Place() as place:
         caller = await (await place.up()).caller()
         place.pool.measures = False
@@ -716,7 +718,7 @@
         await place.running(caller, B, "pay")
         await place.pool.block(B)
         await anyio.sleep(0.05)
-        assert place.node.transactions  # refused, and tried again in its time
+        assert place.node.requests  # refused, and tried again in its time
         await place.records.listen(place._tasks, place.records.port)
         await until(lambda: ("OP", B, CALL) in place.records.seen)
 
@@ -728,10 +730,10 @@
         await place.records.reply(A, "DONE", b"")
         await until(lambda: place.pool.told("supply", A))
         await place.running(caller, B, "pay")
-        place.node.records._idle[0]._stream.end_with(Ending.RESET)  # of which its reader has not heard
+        place.node.dependency_client._idle[0]._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
         await place.pool.block(B)
         await until(lambda: ("OP", B, CALL) in place.records.seen)
-        assert place.records.links == 2 and not place.node.transactions[int(B, 16)].answered
+        assert place.records.links == 2 and not place.node.requests[int(B, 16)].answered
 
 
 async def test_a_call_that_is_given_up_is_told_and_its_late_reply_passed_over():
@@ -751,7 +753,7 @@
         await caller.send("NEVERMIND", "1")
         await until(lambda: not place.records.lines[A])
         await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.transactions)
+        await until(lambda: not place.node.requests)
 
 
 @pytest.mark.parametrize(
@@ -763,7 +765,7 @@
         f"{A} DONE\r\n",
         f"{A} MAYBE\r\n",
         "\r\n",
-        "x" * (SIZE + 1),
+        "x" * (BUFFER_BYTES + 1),
     ),
 )
 async def test_a_reply_that_lies_costs_its_own_call_and_no_other(text):
@@ -807,7 +809,7 @@
         caller = await (await place.up()).caller()
         await place.running(caller, A, "book", opkey="k1")
         await caller.ask(B, "book", opkey="k1", resent=1)
-        await until(lambda: len(place.node.transactions) == 2)
+        await until(lambda: len(place.node.requests) == 2)
         await place.pool.finish(A, body=b"once")
         assert sorted([await caller.answer(), await caller.answer()])[1][1::2] == ("done", b"once")
         await caller.ask(C, "book", opkey="k1", resent=1)
@@ -840,14 +842,14 @@
 async def test_the_table_keeps_its_bound_and_a_result_that_was_let_go_is_never_run_again():
     async with Place() as place:
         caller = await (await place.up()).caller()
-        place.node.table._bytes_most = 10
+        place.node.idempotency_table._bytes_most = 10
         for ident, key in ((A, "k1"), (B, "k2")):
             await place.running(caller, ident, "book", opkey=key)
             await place.pool.finish(ident, body=b"12345678")
             await caller.answer()
         await caller.ask(C, "book", opkey="k1", resent=1)
         assert (await caller.answer())[:2] == (3, "error") and not place.pool.told("spawn", C)
-        assert place.node.table._bytes == 8 and place.node.generation.settings.idempotency_record_kb >= 20
+        assert place.node.idempotency_table._bytes == 8 and place.node.generation.settings.idempotency_record_kb >= 20
 
 
 # Leaving, and failing
@@ -857,7 +859,7 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A)
-        place.node.leave()
+        place.node.begin_shutdown()
         await caller.send("STATUS", "90", "")
         assert (await caller.answer())[:2] == (90, "sick")
         await place.running(caller, B)
@@ -879,7 +881,7 @@
         await place.running(caller, A)
         await place.running(caller, B, "pay")
         begun = time.monotonic()
-        place.node.leave()
+        place.node.begin_shutdown()
         answers = sorted([await caller.answer(), await caller.answer()])
         assert [word for _, word, _, _ in answers] == ["error", "error"] and time.monotonic() - begun < 0.7
         await until(lambda: place.clean is True)
@@ -901,7 +903,7 @@
         elif where == "run_ended":
             await place.pool.finish(A)
         elif where == "drain":
-            place.node.leave()
+            place.node.begin_shutdown()
         words = {(await caller.answer())[1]}
         if where == "request_received":
             words.add((await caller.answer())[1])
@@ -920,7 +922,7 @@
         caller, other = await place.caller(), await place.caller()
         await place.running(caller, A)
         await place.running(other, B)
-        monkeypatch.setattr(connection, "asked_from", lambda *values: 1 / 0)
+        monkeypatch.setattr(load_balancer_connection, "decode_request", lambda *values: 1 / 0)
         await caller.ask(C)
         assert (await caller.answer())[:2] == (2, "error")
         for ident, each in ((A, caller), (B, other)):
@@ -934,7 +936,7 @@
         caller = await (await place.up()).caller()
         await place.running(caller, A)
         await place.running(caller, B)
-        monkeypatch.setattr(place.node.table, "settle", lambda *values: 1 / 0)
+        monkeypatch.setattr(place.node.idempotency_table, "finish", lambda *values: 1 / 0)
         await place.pool.finish(A)
         assert sorted([(await caller.answer())[:2], (await caller.answer())[:2]]) == [(1, "done"), (2, "error")]
         await caller.stream.aclose()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -7,8 +7,8 @@
 import anyio
 import pytest
 
-from nickelslip.server import balancers, resp
-from nickelslip.server.node import Phase
+from nickelslip.server import load_balancer_listener, resp
+from nickelslip.server.server import Phase
 from tests.helpers import A, B, Peer, Place, asking, until
 
 pytestmark = pytest.mark.anyio
@@ -25,7 +25,7 @@
     """One that has asked once, has not read what it was answered, and rests."""
     peer = Peer(place.port)
     peer.send(STATUS)
-    await until(lambda: any(each.proven and each.idle for each in place.node.fronts[0]._connections))
+    await until(lambda: any(each.proven and each.idle for each in place.node.listeners[0]._connections))
     return peer
 
 
@@ -59,9 +59,9 @@
 async def test_who_knocks_between_the_last_look_and_the_shutting_is_refused_and_not_reset():
     async with Place() as place:
         await place.up()
-        front = place.node.fronts[0]
+        front = place.node.listeners[0]
         knocking = front._listener = Knocking(place.listener)
-        front.shut_door()
+        front.stop_accepting()
         with anyio.fail_after(5):
             await anyio.wait_writable(knocking.late)
         assert knocking.late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0, "it was let in, to be reset"
@@ -74,7 +74,7 @@
         await place.up()
         peer = Peer(place.port)
         peer.send(asking(A))
-        place.node.fronts[0].shut_door()  # before the server can have looked
+        place.node.listeners[0].stop_accepting()  # before the server can have looked
         await until(lambda: place.pool.told("spawn", A))
         await place.pool.finish(A)
         assert b"result" in await peer.until(b"result")
@@ -86,7 +86,7 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A)
-        place.node.leave()
+        place.node.begin_shutdown()
         late = Peer(place.port)
         late.send(asking(B))
         await until(lambda: place.pool.told("spawn", B))
@@ -106,9 +106,9 @@
     async with Place() as place:
         await place.up()
         rests, silent = await ready(place), Peer(place.port)
-        await until(lambda: len(place.node.fronts[0]._connections) == 2)
+        await until(lambda: len(place.node.listeners[0]._connections) == 2)
         began = time.monotonic()
-        place.node.leave()
+        place.node.begin_shutdown()
         got = await rests.to_the_end()  # a plain end, with all that it was told
         assert b"healthy" in got and got.endswith(CLOSING) and await silent.to_the_end() == CLOSING
         await until(lambda: place.clean is True)
@@ -119,7 +119,7 @@
 async def test_a_transaction_that_crosses_the_end_of_its_resting_connection(order, monkeypatch):
     async with Place() as place:
         await place.up()
-        peer, front = await ready(place), place.node.fronts[0]
+        peer, front = await ready(place), place.node.listeners[0]
         (connection,) = front._connections
         shut_down = connection.stream.shut_down
 
@@ -142,7 +142,7 @@
         monkeypatch.setattr(connection, "part", parting)
         if order == "after":
             monkeypatch.setattr(connection.stream, "shut_down", crossing)
-        place.node.leave()
+        place.node.begin_shutdown()
         got = await peer.to_the_end()
         assert b"healthy" in got and not place.pool.told("spawn", A)
         assert (b"later" in got) is (order == "before")  # read, it is answered; after the end, it is sent again
@@ -154,7 +154,7 @@
         await place.up()
         peer, whole = await ready(place), asking(A)
         peer.send(whole[:30])
-        place.node.leave()
+        place.node.begin_shutdown()
         assert b"closing" in await peer.until(b"closing")
         with anyio.move_on_after(0.15):  # longer than what crosses a close may take
             await anyio.sleep(1)
@@ -172,7 +172,7 @@
         peer = await ready(place)
         peer.send(asking(A)[:30])
         began = time.monotonic()
-        place.node.leave()
+        place.node.begin_shutdown()
         assert (await peer.to_the_end()).endswith(CLOSING)
         await until(lambda: place.clean is True)
         assert time.monotonic() - began < 0.7
@@ -181,7 +181,7 @@
 async def test_an_answer_that_its_caller_is_slow_to_read_is_not_cut_off_while_there_is_time():
     async with Place(cpus=32, **{"memory-kb": 1e6}) as place:
         caller = await (await place.up()).caller()
-        (connection,) = place.node.fronts[0]._connections
+        (connection,) = place.node.listeners[0]._connections
         sock = caller.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
         connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
@@ -191,8 +191,8 @@
         for ident in idents:
             await place.pool.finish(ident, body=bytes(4096))
         await until(lambda: not connection.stream.all_sent and not connection._open)
-        place.node.leave()
-        await until(lambda: place.node.phase is Phase.LEAVING)
+        place.node.begin_shutdown()
+        await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
         with anyio.move_on_after(0.2):
             await anyio.sleep(1)
         words = [(await caller.answer())[1] for _ in range(32)]
@@ -205,7 +205,7 @@
         await place.running(caller, A)
         await place.running(caller, B, "pay")
         began = time.monotonic()
-        place.node.leave()
+        place.node.begin_shutdown()
         assert [(await caller.answer())[1] for _ in range(3)] == ["error", "error", "closing"]
         await caller.stream.aclose()
         await until(lambda: place.clean is True)
@@ -219,10 +219,10 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A)
-        place.node.leave()
+        place.node.begin_shutdown()
         await place.move()  # the new worker pool goes on where the old one was
-        place.node.leave()
-        await until(lambda: len(place.pool.binds()) == 1 and place.node.workers.up)
+        place.node.begin_shutdown()
+        await until(lambda: len(place.pool.binds()) == 1 and place.node.worker_pool.is_up)
         await place.pool.finish(A)
         assert [(await caller.answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
         await caller.stream.aclose()
@@ -234,10 +234,10 @@
         caller = await place.caller()
         await caller.send("STATUS", "1", "")
         assert (await caller.answer())[1] == "healthy"
-        place.node.leave()
+        place.node.begin_shutdown()
         await caller.ask(A)
         words = [(await caller.answer())[1] for _ in range(2)]
-        assert sorted(words) == ["closing", "error"] and place.node.phase is Phase.LEAVING
+        assert sorted(words) == ["closing", "error"] and place.node.phase is Phase.SHUTTING_DOWN
         await caller.stream.aclose()
         await until(lambda: place.clean is True)
 
@@ -246,8 +246,8 @@
     async with Place() as place:
         await place.up()
         await ready(place)
-        monkeypatch.setattr(balancers, "CROSSING_MS", 1e6)
-        place.node.leave()
-        await until(lambda: place.node.phase is Phase.LEAVING)
-        place.node.tasks.cancel_scope.cancel()
+        monkeypatch.setattr(load_balancer_listener, "CROSSING_MS", 1e6)
+        place.node.begin_shutdown()
+        await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
+        place.node.task_group.cancel_scope.cancel()
         await until(lambda: place.clean is not None)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from nickelslip.admission.control import AdmissionController
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import RetrySafety
-from nickelslip.configuration.config import config_of
+from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.generations import Generation
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -70,7 +70,7 @@
     site = tomllib.loads(path.read_text())
     assert site["name"] == path.stem == path.parent.name and len(site["fam"]["class"]) == len(site["class"])
     told, work = settings(site)
-    config = config_of(
+    config = config_from_platform(
         {
             "name": "n1",
             "listen": "127.0.0.1:1",
