--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -76,10 +76,10 @@
         try:
             kept = whole_of(start.document)
             told = replace(config_from(kept), seed=config.seed)
-            log.info("configuration from the history", generation=start.number)
+            log.info("configuration_restored", generation=start.number)
             return told, document, replace(start, document=kept), records
         except MalformedSettingsError as fault:
-            log.error("the history's configuration does not do any more", fault=str(fault))
+            log.error("stored_configuration_rejected", error=str(fault))
             start = start_of([], document, now)
             number = max((each.generation for each in records), default=0) + 1
             at = records[-1].at + 1 if records else 1
@@ -122,10 +122,10 @@
 
     def _tell(self, change: Change) -> None:
         self._node.log.info(
-            "configuration change",
+            "configuration_change",
             number=change.number,
             step=change.step.name,
-            why=change.reason,
+            reason=change.reason,
             origin=change.origin[:SHOWN_MOST],
             generation=change.generation.number if change.generation else None,
         )
@@ -150,7 +150,7 @@
         try:
             await self._look()
         except Exception as error:
-            self._node.log.error("the judge failed", error=repr(error), exc_info=error)
+            self._node.log.error("canary_analysis_failed", error=repr(error), exc_info=error)
             if self.changes.current is not None and self.changes.current.step is Step.ON_PROBATION:
                 await self._undo(f"the judge failed: {error!r}"[:SHOWN_MOST])
 
@@ -229,7 +229,9 @@
             try:
                 await self._write(self._unwritten[0])
             except OSError as error:
-                self._node.log.error("the history cannot be written", fault=error.strerror, behind=len(self._unwritten))
+                self._node.log.error(
+                    "history_write_failed", error=error.strerror, unwritten_records=len(self._unwritten)
+                )
                 return
             del self._unwritten[0]
 
@@ -247,11 +249,11 @@
             try:
                 config = await anyio.to_thread.run_sync(self._read_again)
             except MalformedSettingsError as fault:
-                self._node.log.error("configuration not taken", fault=str(fault))
+                self._node.log.error("configuration_rejected", error=str(fault))
                 return
             document, earlier = document_of(config), self._file
             if digest_of(document) == digest_of(earlier):
-                self._node.log.info("configuration not changed")
+                self._node.log.info("configuration_unchanged")
                 return
             rest = [each for each in plan_of(earlier, document).differences if each.effect is not Effect.LINKS]
             if not rest or not self.changes.rules.reload_all:
@@ -264,11 +266,11 @@
                 self._adopt(generation)
                 await self._write_or_keep(record)
             self._node.log.info(
-                "configuration taken",
+                "configuration_applied",
                 pool=config.pool,
                 records=config.records,
                 directory=config.directory,
-                rest=[".".join(each.path) for each in rest[:20]],
+                needs_restart=[".".join(each.path) for each in rest[:20]],
             )
             if rest and self.changes.rules.reload_all:
                 base = self.changes.base
@@ -278,7 +280,7 @@
                     self._file = document
                 except Denied as denied:  # the next notice tries it again
                     self.changes.base = base
-                    self._node.log.error("configuration not taken", fault=str(denied))
+                    self._node.log.error("configuration_rejected", error=str(denied))
 
     # Commands
 
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -84,9 +84,9 @@
             listener.setblocking(False)
         except OSError as error:
             listener.close()
-            self._around.log.error("no control socket", path=self._path, fault=error.strerror)
+            self._around.log.error("control_socket_unavailable", path=self._path, error=error.strerror)
             return
-        self._around.log.info("control socket", path=self._path, mode=oct(self._mode))
+        self._around.log.info("control_socket_listening", path=self._path, mode=oct(self._mode))
         try:
             while True:
                 await anyio.wait_readable(listener)
@@ -120,7 +120,7 @@
             stream.write(framed(denied({}, "improper", str(improper))))
         except Exception as error:  # this peer alone is left without its answer
             ending = CloseReason.FAULT
-            self._around.log.error("control connection failed", error=repr(error), exc_info=error)
+            self._around.log.error("control_connection_failed", error=repr(error), exc_info=error)
         finally:
             stream.end_with(ending)
             self.open -= 1
--- a/nickelslip/server/crash_loop_guard.py
+++ b/nickelslip/server/crash_loop_guard.py
@@ -30,7 +30,7 @@
         self._file.write(starts)
         pause_ms = starts.pause_ms(random.Random(f"{self._seed} {starts.begun}"))
         if pause_ms > 0:
-            self._log.warning("waiting before coming up", early_deaths=starts.row, pause_ms=round(pause_ms))
+            self._log.warning("crash_loop_delay", consecutive_early_exits=starts.row, delay_ms=round(pause_ms))
             if signal.sigtimedwait({signal.SIGTERM}, pause_ms / 1000) is not None:
                 self.well()
                 return False
--- a/nickelslip/server/directory_reporter.py
+++ b/nickelslip/server/directory_reporter.py
@@ -83,4 +83,4 @@
             detail = error.strerror
         if (detail is None) is not self._reached:
             self._reached = detail is None
-            self._around.log.info("directory", reached=self._reached, detail=detail)
+            self._around.log.info("directory_reachability", is_reachable=self._reached, detail=detail)
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -78,7 +78,7 @@
                 await self._drain_open_transactions()
         except Exception as error:  # only this connection ends, and its open transactions are answered first
             ended = ConnectionClosedError(CloseReason.FAULT, repr(error))
-            self._host.log.error("balancer connection failed", error=repr(error), exc_info=error)
+            self._host.log.error("load_balancer_connection_failed", error=repr(error), exc_info=error)
             await self._drain_open_transactions()
         finally:
             self.stream.end_with(ended.reason)
--- a/nickelslip/server/load_balancer_listener.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -231,7 +231,7 @@
         """Log the first malformed transaction, and from then on each one whose count is a power of two."""
         self._malformed_count += 1
         if _is_power_of_two(self._malformed_count):
-            self.host.log.warning("transaction not understood", fault=fault, so_far=self._malformed_count)
+            self.host.log.warning("malformed_request", error=fault, count=self._malformed_count)
 
     def report_close(self, ended: ConnectionClosedError) -> None:
         """Log an ending other than a plain close: of each kind the first, and each whose count is a power of two."""
@@ -240,7 +240,9 @@
         self._ending_counts[ended.reason] += 1
         count = self._ending_counts[ended.reason]
         if _is_power_of_two(count):
-            self.host.log.info("balancer connection ended", ending=ended.reason.name, detail=ended.detail, so_far=count)
+            self.host.log.info(
+                "load_balancer_connection_closed", reason=ended.reason.name, detail=ended.detail, count=count
+            )
 
     # Ending connections
 
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -82,7 +82,7 @@
         except ConnectionClosedError as ended:
             self.end(ended)
         except Exception as error:  # this call alone ends, and may have run
-            self._around.log.error("call failed", error=repr(error), exc_info=error)
+            self._around.log.error("dependency_call_failed", error=repr(error), exc_info=error)
             self.end(ConnectionClosedError(CloseReason.FAULT, repr(error)))
         finally:
             self._records.forget(self)
@@ -250,12 +250,12 @@
         """Whether a connection came about: a change of that makes a line."""
         if (fault is not None) is not self._refused:
             self._refused = fault is not None
-            self.context.log.warning("records service", reached=fault is None, detail=fault)
+            self.context.log.warning("dependency_reachability", is_reachable=fault is None, detail=fault)
 
     def tell_broken(self, ended: ConnectionClosedError) -> None:
         """Calls that ended with their connection: the first, and then every power of two of them, makes a line."""
         self._broken += 1
         if not self._broken & (self._broken - 1):
             self.context.log.warning(
-                "call ended with its connection", ending=ended.reason.name, detail=ended.detail, so_far=self._broken
+                "dependency_call_connection_closed", reason=ended.reason.name, detail=ended.detail, count=self._broken
             )
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -153,7 +153,7 @@
             signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGTERM, signal.SIGHUP})
             try:
                 async for notice in notices:
-                    self.log.info("notice", signal=signal.Signals(notice).name)
+                    self.log.info("signal_received", signal=signal.Signals(notice).name)
                     if notice == signal.SIGHUP:
                         (self.reload_handler or self).reload()
                         continue
@@ -168,10 +168,10 @@
         try:
             config, rest = with_new_peer_addresses(self.generation.config, self._reread())
         except MalformedSettingsError as fault:
-            self.log.error("configuration not taken", fault=str(fault))
+            self.log.error("configuration_rejected", error=str(fault))
             return
         self.log.info(
-            "configuration taken",
+            "configuration_applied",
             pool=config.pool,
             records=config.records,
             directory=config.directory,
@@ -203,14 +203,14 @@
     def _enter(self, phase: Phase) -> None:
         """The one place where the server changes its phase."""
         if self.phase is not phase and self.phase is not Phase.FAILED:
-            self.log.info("phase", now=phase.name, means=phase.value, in_hand=len(self.requests))
+            self.log.info("phase_changed", phase=phase.name, meaning=phase.value, open_requests=len(self.requests))
             self.phase = phase
             self._tell_change()
 
     def fail(self, error: Exception) -> None:
         if self.phase is Phase.FAILED:
             return
-        self.log.error("failed", error=repr(error), exc_info=error)
+        self.log.error("server_failed", error=repr(error), exc_info=error)
         self._enter(Phase.FAILED)
         self.is_healthy, self._control = False, None
         self.directory_reporter.report_health_change()
@@ -250,7 +250,7 @@
             self._step = step
             self._steps[step] += 1
             if not (count := self._steps[step]) & (count - 1):
-                self.log.info("coming up", step=step.name, means=step.value, so_far=count)
+                self.log.info("slow_start_phase", phase=step.name, meaning=step.value, count=count)
         most, rest_ms = self.slow_start.max_concurrent_calls, self.slow_start.call_pause_ms(now)
         if (most != self._calls_most or rest_ms > 0) and self._control is not None and not self._deciding:
             self._calls_most = most
@@ -291,7 +291,7 @@
             async with anyio.create_task_group() as leaving:
                 for front in self.listeners:
                     leaving.start_soon(front.shut_down, left)
-        self.log.info("ended", in_hand=len(self.requests))
+        self.log.info("server_stopped", open_requests=len(self.requests))
 
     def _tell_change(self) -> None:
         """Who leaves waits for this; while the server serves, nobody does."""
@@ -314,7 +314,7 @@
         if self.idempotency_table.has_key_conflict(one):
             self._clashes += 1
             if not self._clashes & (self._clashes - 1):
-                self.log.warning("a key that stands for another transaction", so_far=self._clashes)
+                self.log.warning("idempotency_key_conflict", count=self._clashes)
             return False
         self.requests[one.number] = one
         if self.request_metrics is not None:
@@ -404,7 +404,7 @@
             self.advertised_weight = result.advertised_weight
         if result.health is not None and result.health.is_healthy is not self.is_healthy:
             self.is_healthy = result.health.is_healthy
-            self.log.info("health", good=self.is_healthy)
+            self.log.info("health_changed", is_healthy=self.is_healthy)
             self.directory_reporter.report_health_change()
         if result.idle_connection_timeout_ms is not None:
             self.idle_connection_timeout_ms = result.idle_connection_timeout_ms
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -193,7 +193,7 @@
                 self._stream.write(b'{"op":"bind","seq":%d}\n' % self._seq)
                 await self._read(self._stream)
             except ConnectionClosedError as ended:
-                self._around.log.warning("worker pool link ended", ending=ended.reason.name, detail=ended.detail)
+                self._around.log.warning("worker_pool_link_closed", reason=ended.reason.name, detail=ended.detail)
                 self._stream.end_with(ended.reason)
                 self._stream = None
                 self._enter(LinkState.DOWN)
@@ -243,7 +243,7 @@
     def _enter(self, link: LinkState) -> None:
         """The one place where the link changes its state."""
         if self._link is not link:
-            self._around.log.info("worker pool", link=link.name, waiting=len(self._waiting))
+            self._around.log.info("worker_pool_link_state", state=link.name, waiting_commands=len(self._waiting))
         self._link = link
 
     async def _read(self, stream: Stream) -> None:
@@ -270,7 +270,7 @@
     def _unreadable(self, line: bytes, fault: str) -> None:
         """A notice that cannot be understood as a whole: as far as it can, it still counts, and what it told of a run
         is told without its body."""
-        self._around.log.error("notice not understood", error=fault, line=repr(line[:100]))
+        self._around.log.error("malformed_notification", error=fault, line=repr(line[:100]))
         found = {name: value for name, value in PARTS_OF_NOTICE.findall(line)}
         try:
             if self._counts(int(found.get(b"seq", b"0"))) and b"id" in found:
@@ -283,7 +283,7 @@
         if seq <= self._seq:
             return False
         if seq > self._seq + 1:
-            self._around.log.error("notices lost", after=self._seq, before=seq)
+            self._around.log.error("notifications_lost", after_seq=self._seq, before_seq=seq)
         self._seq = seq
         return True
 
@@ -302,7 +302,7 @@
         if op == "finished":
             end, took_ms = RUN_OUTCOMES.get(str(told.get("end"))), told.get("ms")
             if end is None or body is None or not isinstance(took_ms, int | float):
-                self._around.log.error("end of a run not understood", id=ident)
+                self._around.log.error("malformed_run_result", id=ident)
                 one.deliver(RunFinished(MALFORMED_RESULT_OUTCOME, 0.0))
             else:
                 one.deliver(RunFinished(end, float(took_ms), body))
@@ -329,7 +329,7 @@
     def _bound(self, end: str, ago_ms: float) -> None:
         """The link stands. What was never written goes out now; what may be lost waits for the answer to a question
         behind the missed notices, by which all of them have been read."""
-        self._around.log.info("worker pool bound", was=end, ago_ms=ago_ms, resumed_after=self._seq)
+        self._around.log.info("worker_pool_bound", outcome=end, ago_ms=ago_ms, resumed_after_seq=self._seq)
         self._enter(LinkState.UP)
         self._begun = True
         lost = [*self._doubtful, *self._unproven]
@@ -403,6 +403,6 @@
         self._gauges = Gauges(**read)
 
     def _unknown(self, command: str, one: Request | None) -> None:
-        self._around.log.warning("command not carried out", command=command, known=one is not None)
+        self._around.log.warning("command_not_executed", command=command, is_known=one is not None)
         if one is not None and command == "spawn":
             one.deliver(RunFinished(UNKNOWN_START_OUTCOME, 0.0, ran=False))
--- a/nickelslip/startup/crash_loop_file.py
+++ b/nickelslip/startup/crash_loop_file.py
@@ -43,7 +43,7 @@
         except FileNotFoundError:
             return Starts()
         except (OSError, ValueError, KeyError, TypeError, RecursionError) as error:
-            self._log.warning("earlier starts not known", file=str(self._path), fault=repr(error)[:200])
+            self._log.warning("crash_loop_state_unreadable", file=str(self._path), error=repr(error)[:200])
             return Starts()
 
     def write(self, starts: Starts) -> None:
@@ -57,4 +57,4 @@
                 os.fsync(file.fileno())
             fresh.rename(self._path)
         except OSError as error:
-            self._log.warning("starts cannot be remembered", file=str(self._path), fault=error.strerror)
+            self._log.warning("crash_loop_state_write_failed", file=str(self._path), error=error.strerror)
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -534,7 +534,7 @@
         stdout=subprocess.PIPE,
     )
     for line in process.stdout:  # bounded by the server's own start
-        if b'"control socket"' in line:
+        if b'"control_socket_listening"' in line:
             break
     return process, base
 
--- a/tests/test_coming_up.py
+++ b/tests/test_coming_up.py
@@ -85,14 +85,14 @@
 
 def warm_up(one, now, took=10.0, until=60_000.0):
     """What is below answers every call in the same time; when the start is warm."""
-    while one.step is not SlowStartPhase.WARM and now < until:
-        now = max(now, now + one.rest_ms(now))
-        one.look(now)
-        if one.step in (SlowStartPhase.PROCESS_STARTED,):
-            one.linked(now, 0.0)
-        if one.report_at <= now:
-            one.reported(now)
-        one.call_out(now)
+    while one.phase is not SlowStartPhase.WARM and now < until:
+        now = max(now, now + one.call_pause_ms(now))
+        one.time_passed(now)
+        if one.phase in (SlowStartPhase.PROCESS_STARTED,):
+            one.worker_pool_connected(now, 0.0)
+        if one.next_report_at_ms <= now:
+            one.report_sent(now)
+        one.call_started(now)
         now += took
         one.call_answered(now, took)
     return now
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -331,16 +331,18 @@
     """Traffic from begin to end: of what comes of each pair, the part that is answered in time."""
     for at in range(int(begin / WIDTH_MS), int(end / WIDTH_MS)):
         now = at * WIDTH_MS + 1.0
-        meter.state(now, weight, 0.5, busy)
+        meter.sample_server(now, weight, 0.5, busy)
         for pair, rate in RATES.items():
             mean = rate * load * WIDTH_MS / 1000
             count, left = 0, chance.expovariate(1.0)
             while left < mean:
                 count, left = count + 1, left + chance.expovariate(1.0)
             for _ in range(count):
-                meter.read(now, *pair)
+                meter.request_received(now, *pair)
                 good = chance.random() < kept(pair)
-                meter.ended(now, *pair, RequestState.COMPLETED if good else RequestState.REJECTED, 10.0, WORK[pair[0]])
+                meter.request_ended(
+                    now, *pair, RequestState.COMPLETED if good else RequestState.REJECTED, 10.0, WORK[pair[0]]
+                )
 
 
 def judged(seed, kept, load=1.0, weight=1.0, before=lambda pair: 0.97, until=8000.0, busy=0.6):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -983,9 +983,9 @@
                 await until(lambda: process.poll() is not None)
                 assert process.returncode == 0
                 lines = [json.loads(line) for line in process.stdout.read().splitlines()]
-                assert any("not JSON" in line.get("fault", "") for line in lines)
-                phases = [line.get("now") for line in lines]
-                assert [phase for phase in phases if phase] == ["SERVING", "DRAINING", "LEAVING"]
+                assert any("not JSON" in line.get("error", "") for line in lines)
+                phases = [line.get("phase") for line in lines if line["event"] == "phase_changed"]
+                assert [phase for phase in phases if phase] == ["SERVING", "DRAINING", "SHUTTING_DOWN"]
             finally:
                 process.kill()
         assert os.listdir(tmp_path) == ["config.json"]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -25,7 +25,9 @@
     """One that has asked once, has not read what it was answered, and rests."""
     peer = Peer(place.port)
     peer.send(STATUS)
-    await until(lambda: any(each.proven and each.idle for each in place.node.listeners[0]._connections))
+    await until(
+        lambda: any(each.has_sent_complete_message and each.idle for each in place.node.listeners[0]._connections)
+    )
     return peer
 
 
