--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -17,7 +17,8 @@
 from typing import Any
 
 from benchmarks.capacity.texts import encoded, own_document, tenant
-from nickelslip.admission.controller import AdmissionController, SlidingWindowSum
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.estimators import SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
 from nickelslip.configuration.change_lifecycle import RECORDS_MOST, Changes
 from nickelslip.configuration.document import Checker, Document, checked, config_from
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -159,9 +159,10 @@
         self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
         settings = hollow.settings_for(FEW_TENANTS, core_count=HELD_CORES)
         grades = tuple(
-            replace(grade, quoted_ms=hollow.LONG_MS, abandon_ms=hollow.LONG_MS) for grade in settings.traffic_classes
+            replace(grade, latency_objective_ms=hollow.LONG_MS, timeout_ms=hollow.LONG_MS)
+            for grade in settings.traffic_classes
         )
-        settings = replace(settings, grades=grades)
+        settings = replace(settings, traffic_classes=grades)
         points = {size: hollow.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
         self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
         self._tell("decisions measured")
--- a/benchmarks/watched.py
+++ b/benchmarks/watched.py
@@ -1,8 +1,8 @@
 """A server under a witness: `python -m benchmarks.watched REPORT serve --config FILE`.
 
-Owns a watch over every event of every transaction: the grading by which the module holds it, and the generation that
-the server keeps for it, have to be of one and the same configuration from its reading to its end. What was seen is
-written to REPORT when the server ends. It must never change what the server does.
+At every event of every request, the class statistics by which the controller holds it and the generation that the
+server keeps for it have to be of the same configuration, from its reading to its end. What was seen is written to
+REPORT when the server ends. What the server does is not changed.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
     def __init__(self) -> None:
         self.kept: list[object] = []  # so that no id is used again
-        self.of_settings: dict[int, int] = {}  # by which settings each grading came
+        self.of_settings: dict[int, int] = {}  # by which settings each class's statistics came
         self.adoptions = 0
         self.first: dict[int, tuple[int, int]] = {}
         self.mixed: set[int] = set()
         self.events = self.across = 0
 
     def adopted(self, control: AdmissionController, settings: object) -> None:
-        """The module has taken settings: the gradings that it made are of these."""
+        """The module has taken settings: the class statistics that it made are of these."""
         self.adoptions += 1
         self.kept.append(settings)
-        for grading in control._gradings.values():
-            self.kept.append(grading)
-            self.of_settings[id(grading)] = id(settings)
+        for statistics in control._classes.values():
+            self.kept.append(statistics)
+            self.of_settings[id(statistics)] = id(settings)
 
     def event(self, node: Server, number: int) -> None:
         """Something happened to a transaction."""
         one, control = node.requests.get(number), node._control
-        item = control._items.get(number) if control is not None else None
+        item = control._requests.by_id.get(number) if control is not None else None
         if one is None or item is None:
             return
         self.events += 1
-        seen = (self.of_settings[id(item.grading)], id(one.generation.settings))
+        seen = (self.of_settings[id(item.statistics)], id(one.generation.settings))
         if seen[0] != seen[1] or self.first.setdefault(number, seen) != seen:
             self.mixed.add(number)
         self.across += one.generation is not node.generation
--- /dev/null
+++ b/nickelslip/admission/answer_deadlines.py
@@ -0,0 +1,74 @@
+"""Until when each request must be answered, and until when its answer is worth its work."""
+
+from __future__ import annotations
+
+from math import inf
+
+from nickelslip.admission.drain_schedule import DrainSchedule
+from nickelslip.admission.interface import RequestState, Settings
+from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
+
+MARGIN_TICKS = 2.0  # an answer that falls due goes out so many ticks before
+# All answers go out so many answer slacks before the server is killed, since the process may stand still meanwhile.
+KILL_MARGIN_SLACKS = 4.0
+
+
+class AnswerDeadlines:
+    """Finds the requests whose answer falls due.
+
+    The queue is scanned at most once in half of the margin, or when something is due: a long queue that is looked
+    through at each event would take the core from the requests.
+    """
+
+    __slots__ = ("margin_ms", "next_due_at_ms", "last_scan_at_ms", "_drain", "_kill_margin_ms")
+
+    def __init__(self, settings: Settings, drain: DrainSchedule) -> None:
+        self.next_due_at_ms = inf
+        self.last_scan_at_ms = -inf
+        self._drain = drain
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take the margins from the settings."""
+        self.margin_ms = MARGIN_TICKS * settings.tick_ms
+        self._kill_margin_ms = KILL_MARGIN_SLACKS * settings.answer_slack_ms
+
+    def answer_by_ms(self, request: TrackedRequest) -> float:
+        """Return the moment by which the request must be answered, whatever becomes of it."""
+        return min(request.deadline_at_ms, self._drain.kill_at_ms - self._kill_margin_ms)
+
+    def useful_until_ms(self, request: TrackedRequest) -> float:
+        """Return the moment by which its answer must be there to be worth its work."""
+        answer_by_ms = self.answer_by_ms(request)
+        if request.statistics.is_worthless_when_late:
+            return min(answer_by_ms, request.useful_until_ms)
+        return answer_by_ms
+
+    def is_due(self, now_ms: float, request: TrackedRequest) -> bool:
+        """Whether the request must be answered now."""
+        return now_ms >= self.answer_by_ms(request) - self.margin_ms
+
+    def is_any_due(self, now_ms: float) -> bool:
+        """Whether some request may have to be answered now."""
+        return now_ms >= self.next_due_at_ms - self.margin_ms
+
+    def is_scan_due(self, now_ms: float) -> bool:
+        """Whether the queue is to be looked through now."""
+        return now_ms >= min(self.last_scan_at_ms + self.margin_ms / 2, self.next_due_at_ms - self.margin_ms)
+
+    def watch(self, request: TrackedRequest) -> None:
+        """Take a request that arrived into account."""
+        self.next_due_at_ms = min(self.next_due_at_ms, self.answer_by_ms(request))
+
+    def due_requests(self, now_ms: float, requests: TrackedRequests) -> list[TrackedRequest]:
+        """Return the unanswered requests that must be answered now."""
+        return [request for request in _unanswered(requests) if self.is_due(now_ms, request)]
+
+    def find_next_due(self, requests: TrackedRequests) -> None:
+        """Find out when the next answer falls due."""
+        moments = (self.answer_by_ms(request) for request in _unanswered(requests))
+        self.next_due_at_ms = min(moments, default=inf)
+
+
+def _unanswered(requests: TrackedRequests) -> list[TrackedRequest]:
+    return [request for request in requests.by_id.values() if request.state is not RequestState.ORPHANED]
--- /dev/null
+++ b/nickelslip/admission/early_rejection.py
@@ -0,0 +1,61 @@
+"""Early rejection: requests that are predicted to miss their deadline are answered at once instead of being queued."""
+
+from __future__ import annotations
+
+from math import inf
+
+from nickelslip.admission.answer_deadlines import AnswerDeadlines
+from nickelslip.admission.interface import Arrival
+from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
+
+# A prediction on arrival allows for work that will overtake the request, and for runs that take longer than the mean.
+PREDICTION_SAFETY_FACTOR = 1.5
+ELSEWHERE_USELESS_WEIGHT = 0.6  # under this weight the whole fleet is likely to be full
+
+
+def is_predicted_late(
+    now_ms: float,
+    request: TrackedRequest,
+    requests: TrackedRequests,
+    effective_slots: float,
+    deadlines: AnswerDeadlines,
+) -> bool:
+    """Whether an arrival that has to queue would be answered too late, its queue wait included.
+
+    The wait is the expected run time of the queued requests ahead of it over the slots that turn over; its own
+    expected time follows. With no such slot the wait has no end.
+    """
+    run_ms_ahead = sum(
+        queued.expected_run_ms for queued in requests.queued.values() if queued.priority_key < request.priority_key
+    )
+    wait_ms = run_ms_ahead / effective_slots if effective_slots else inf
+    own_ms = request.expected_run_ms
+    call_ms = request.statistics.call_ms.mean(now_ms)
+    return now_ms + PREDICTION_SAFETY_FACTOR * (wait_ms + own_ms + call_ms) > deadlines.useful_until_ms(request)
+
+
+def is_late_if_started_now(
+    now_ms: float, request: TrackedRequest, has_contention: bool, deadlines: AnswerDeadlines
+) -> bool:
+    """Whether the request would be answered too late even if it started now.
+
+    Without contention, with a core free, only recent runs may say so: what was learned under pressure must not keep an
+    idle server from learning better.
+    """
+    statistics = request.statistics
+    if has_contention:
+        run_ms = request.expected_run_ms
+        call_ms = statistics.call_ms.mean(now_ms)
+    else:
+        run_ms = min(request.expected_run_ms, statistics.run_ms.recent_mean(now_ms))
+        call_ms = statistics.call_ms.recent_mean(now_ms)
+    return now_ms + run_ms + call_ms > deadlines.useful_until_ms(request)
+
+
+def is_retry_elsewhere_useless(arrival: Arrival, attempt_age_ms: float, weight: float) -> bool:
+    """Whether a rejected arrival is told not to try another server.
+
+    Retries have been elsewhere already; under a low weight the whole fleet is likely to be full, and each server that
+    is tried has to read the request again.
+    """
+    return arrival.is_retry or attempt_age_ms > 0 or weight < ELSEWHERE_USELESS_WEIGHT
--- /dev/null
+++ b/nickelslip/admission/idempotency_records.py
@@ -0,0 +1,46 @@
+"""Which requests are recorded for their idempotency key, or for serving like reads, and until when.
+
+The server keeps keys and results; the decision to record one, and the memory that it takes, are accounted for here.
+"""
+
+from __future__ import annotations
+
+from nickelslip.admission.interface import IdempotencyUpdate
+
+
+class IdempotencyRecords:
+    """The moments at which records expire, by request id, and the updates that the server has not been told of yet."""
+
+    __slots__ = ("expire_at_ms", "_updates")
+
+    def __init__(self) -> None:
+        self.expire_at_ms: dict[int, float] = {}
+        self._updates: list[IdempotencyUpdate] = []
+
+    def __len__(self) -> int:
+        return len(self.expire_at_ms)
+
+    def add(self, now_ms: float, request_id: int, retention_ms: float) -> None:
+        """Record a request for so long."""
+        self.expire_at_ms[request_id] = now_ms + retention_ms
+        self._updates.append(IdempotencyUpdate(request_id, retention_ms))
+
+    def remove(self, request_id: int) -> None:
+        """Drop the record of a request, if there is one."""
+        if request_id in self.expire_at_ms:
+            del self.expire_at_ms[request_id]
+            self._updates.append(IdempotencyUpdate(request_id, 0.0))
+
+    def drop_expired(self, now_ms: float) -> None:
+        """Forget the records that have expired; the server drops them by itself."""
+        self.expire_at_ms = {
+            request_id: expires_at_ms
+            for request_id, expires_at_ms in self.expire_at_ms.items()
+            if expires_at_ms > now_ms
+        }
+
+    def take_updates(self) -> list[IdempotencyUpdate]:
+        """Return the updates since the last call."""
+        updates = self._updates
+        self._updates = []
+        return updates
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -1,7 +1,7 @@
-"""What a server tells the admission control, and what it is told back.
+"""The types that go into the admission controller and come out of it.
 
-Types only: every decision is in control.py. Times are float milliseconds of one clock that
-only goes forward; memory is in kilobytes; ids and names are opaque.
+Types only; nothing here decides. Moments are float milliseconds on one clock that only goes forward. Memory is in
+kilobytes. Ids and names are opaque.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class RetrySafety(Enum):
-    """What may happen to a transaction a second time."""
+    """Whether a request may be run a second time."""
 
     IDEMPOTENT = "may run again"
-    IDEMPOTENCY_KEY = "runs once within its window; a repeat is known by its mark"
+    IDEMPOTENCY_KEY = "runs once within its window; a retry is known by its idempotency key"
     NON_IDEMPOTENT = "never runs twice"
 
 
@@ -24,74 +24,75 @@
     """Whether a run can be taken off the cores."""
 
     NEVER = "it runs to its end"
-    DISCARD_PROGRESS = "it falls back into the hold, its work lost"
+    DISCARD_PROGRESS = "it goes back into the queue, its work lost"
     KEEP_PROGRESS = "it keeps its progress and its memory"
 
 
 class LoadSignal(Enum):
-    """What the callers take the said value for."""
+    """What clients take the advertised value for."""
 
-    NONE = "no value can be said"
-    SELECTION_PROBABILITY = "the chance that a caller does not pass this server over"
-    CLIENT_CONCURRENCY = "how many transactions each caller may have out here"
-    PRIORITY_THRESHOLD = "the lowest rank that is still sent here"
+    NONE = "nothing can be advertised"
+    SELECTION_PROBABILITY = "the probability with which a client selects this server when its turn comes"
+    CLIENT_CONCURRENCY = "how many requests each client may have open here"
+    PRIORITY_THRESHOLD = "the lowest priority that is still sent here"
 
 
 class Outcome(Enum):
-    """How a run or a call ended."""
+    """How a run or a dependency call ended."""
 
     OK = "well"
     ERROR = "with an error"
-    REJECTED = "turned away unseen"
-    TIMEOUT = "given up"
-    CONNECT_FAILED = "never got there"
-    RESET = "broke off"
+    REJECTED = "rejected before it began"
+    TIMEOUT = "abandoned"
+    CONNECT_FAILED = "the connection never came about"
+    RESET = "the connection broke"
     CANCELLED = "stopped"
     NOT_STARTED = "over before it began"
 
     @property
     def proves_never_ran(self) -> bool:
+        """Whether this outcome proves that nothing was executed."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 class RequestState(Enum):
-    """The life of a transaction; a change into one of them is an order to the server."""
+    """The state of a request. A change into one of them is an instruction to the server."""
 
-    QUEUED = "read, and waiting for a running slot"  # from RUNNING: take it off the cores
+    QUEUED = "read, and waiting for a slot"  # from RUNNING: take it off the cores
     RUNNING = "on the cores"
     PAUSED = "taken off the cores with its progress kept"
-    AWAITING_CALL = "stands at a call, waiting for leave"
-    CALL_IN_FLIGHT = "its call is out"
+    AWAITING_CALL = "its run waits for permission to call the dependency"
+    CALL_IN_FLIGHT = "its dependency call is in flight"
     DEGRADED = "goes on without its call"
-    COALESCED = "takes the result of its forerunner"
-    ORPHANED = "answered or abandoned, and still on a core"  # as an order: take it off, if possible
+    COALESCED = "takes the result of its original"
+    ORPHANED = "answered or cancelled, its run still on a core"  # as an instruction: stop it, if possible
     COMPLETED = "answered with its result"
-    REJECTED = "turned away, unrun or replayable"
+    REJECTED = "rejected; not run, or idempotent"
     FAILED = "answered with an error"
-    CANCELLED = "its caller has gone"
+    CANCELLED = "its client is gone"
 
     __hash__ = object.__hash__  # states are keys at every step; Enum's own hash is a call of Python code
 
 
 @dataclass(frozen=True)
 class TrafficClass:
-    """A service grade."""
+    """A class of requests, as it is configured."""
 
     name: str
     priority_weight: float
     latency_objective_ms: float
     timeout_ms: float
     retry_safety: RetrySafety
-    idempotency_window_ms: float = 0.0  # REFERENCED: a repeat may come this long after an arrival
-    late_value_fraction: float = 0.0  # what an answer after the quoted time still earns
-    objective_stretch: float = 0.0  # extra quoted time, as a multiple of the transaction's work
+    idempotency_window_ms: float = 0.0  # IDEMPOTENCY_KEY: a retry may come this long after the first attempt
+    late_value_fraction: float = 0.0  # of the value, what an answer after the objective still has
+    objective_stretch: float = 0.0  # additional objective, as a multiple of the request's run time
     makes_calls: bool = False
-    degraded_value_fraction: float = 0.0  # what an answer without its call earns; 0: not allowed
-    reserved_slot_count: int = 0  # running slots that other grades leave free for it
+    degraded_value_fraction: float = 0.0  # of the value, what an answer without its call has; 0: not allowed
+    reserved_slot_count: int = 0  # slots that other classes leave free for this one
 
 
 class Tenant(NamedTuple):
-    """Who sends, and how much a second of it, over all servers, counts in full."""
+    """Who sends requests, and at which rate, over all servers, they count in full."""
 
     name: str
     quota_per_s: float
@@ -99,16 +100,16 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a server knows of itself when it starts."""
+    """What a server knows of itself and its surroundings."""
 
     traffic_classes: tuple[TrafficClass, ...]
     core_count: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running transaction over that of a held one
+    running_memory_factor: float  # memory of a running request over that of a queued one
     starts_cold: bool
-    cold_speed_fraction: float  # share of its speed that a cold server starts at
+    cold_speed_fraction: float  # of its speed, what a cold machine starts with
     warm_up_ms: float
-    overload_concurrency_per_core: float  # running transactions a core that a warm server survives
+    overload_concurrency_per_core: float  # running requests a core that a warm machine survives
     answer_slack_ms: float
     drain_grace_ms: float
     tick_ms: float
@@ -116,77 +117,80 @@
     client_count: int = 1
     tenants: tuple[Tenant, ...] = ()
     over_quota_value_fraction: float = 1.0
-    value_counts_work: bool = False
+    value_counts_work: bool = False  # the priority weight is per unit of work, not per request
     clients_mark_retries: bool = False
     preemption: Preemption = Preemption.NEVER
     load_signal: LoadSignal = LoadSignal.NONE
-    retry_after_max_ms: float = 0.0  # longest advice that is passed on; 0: none is
-    dependency_concurrency_share: float = 0.0  # mean number of calls out that is this server's part; 0: no bound told
-    dependency_window_ms: float = 0.0
-    abandoned_call_linger_ms: float = 0.0  # a call given up stays out this long
+    retry_after_max_ms: float = 0.0  # the longest Retry-After that is passed on; 0: none is
+    dependency_concurrency_share: float = 0.0  # this server's share, as a mean of calls in flight; 0: not told
+    dependency_window_ms: float = 0.0  # over which the share is a mean
+    abandoned_call_linger_ms: float = 0.0  # an abandoned call occupies the dependency for so long
     idempotency_record_kb: float = 0.0
-    response_cache_ms: float = 0.0  # how long the answer to a read may serve others
-    idle_connection_timeout_ms: float = 0.0  # callers close unused connections after this
-    health_check_costs_work: bool = False  # a check works like a small transaction unless answered from store
-    max_concurrency: float = inf  # transactions on the cores at once that the operators allow
+    response_cache_ms: float = 0.0  # how long the answer to a read may serve like reads
+    idle_connection_timeout_ms: float = 0.0  # clients close unused connections after this
+    health_check_costs_work: bool = False  # like a small request, unless answered from a cached result
+    max_concurrency: float = inf  # requests on the cores at once that the operators allow
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """A transaction as it was read."""
+    """A request as it was read."""
 
     id: int
     traffic_class: str
     memory_kb: float
     tenant: str | None = None
-    deadline_at_ms: float | None = None  # when its caller gives this try up, where that is told
+    deadline_at_ms: float | None = None  # when its client gives this attempt up, where that is told
     cost_hint_ms: float | None = None
-    is_retry: bool = False  # marked as a further try
+    is_retry: bool = False  # marked as a retry
     client: int | None = None
-    read_delay_ms: float = 0.0
-    original_request_id: int | None = None  # the remembered transaction of which this is a repeat
-    has_key: bool = False  # it carries a key by which a like one is known
+    read_delay_ms: float = 0.0  # for how long it lay unread
+    original_request_id: int | None = None  # the recorded request of which this is a repetition
+    has_key: bool = False  # it carries a key by which a like request is known
 
 
 class Gauges(NamedTuple):
-    """What a server measures of itself, where it does."""
+    """What the machine measures of itself, where it does."""
 
-    cpu_utilization: float | None = None  # share of the cores
+    cpu_utilization: float | None = None  # fraction of the cores in use
     run_queue_length: float | None = None  # all that wants a core now
-    memory_utilization: float | None = None  # share in use
+    memory_utilization: float | None = None  # fraction in use
     connection_count: float | None = None
 
 
 class StateChange(NamedTuple):
-    """One decided change of state."""
+    """A decided change of a request's state."""
 
     id: int
     state: RequestState
-    duration_ms: float = 0.0  # DISMISSED: when to come back; CALLING: time-out of the call
-    retry_elsewhere_useless: bool = False  # DISMISSED: another server would not help
+    duration_ms: float = 0.0  # REJECTED: when to come back; CALL_IN_FLIGHT: timeout of the call
+    retry_elsewhere_useless: bool = False  # REJECTED: another server would not help
 
 
 class IdempotencyUpdate(NamedTuple):
-    """One change of the table; a span of 0 drops the entry."""
+    """A decided change of the idempotency table; a retention of 0 drops the record."""
 
     id: int
     retention_ms: float
 
 
 class Health(NamedTuple):
-    """How checks are answered from now on."""
+    """How health checks are answered from now on."""
 
     is_healthy: bool
-    is_cached: bool
+    is_cached: bool  # from a cached result, at little cost
 
 
 @dataclass(eq=False)
 class Decisions:
-    """What one call decided. The outward words go out first, then the table, then the changes in order."""
+    """What was decided after one event.
+
+    The server carries it out in this order: what is told to clients, the idempotency updates, then the state changes.
+    """
 
     state_changes: list[StateChange] = field(default_factory=list)
     idempotency_updates: list[IdempotencyUpdate] = field(default_factory=list)
-    advertised_weight: float | None = None
+    advertised_weight: float | None = None  # None in this and the following fields: unchanged
     health: Health | None = None
     idle_connection_timeout_ms: float | None = None
     wake_in_ms: float | None = None
--- /dev/null
+++ b/nickelslip/admission/interval_measurements.py
@@ -0,0 +1,64 @@
+"""What was measured since the last adjustment: the rules that adapt do so once an interval, on these figures."""
+
+from __future__ import annotations
+
+from nickelslip.admission.interface import Gauges
+
+ADJUSTMENT_INTERVAL_MS = 100.0
+CPU_BUSY_UTILIZATION = 0.9  # under this utilization the cores count as idle
+
+# Requests that lie unread show congestion ahead of the queue. As fractions of the class's latency objective:
+HIGH_READ_DELAY_FRACTION = 1 / 6  # a longer delay lowers the advertised weight
+LOW_READ_DELAY_FRACTION = 1 / 12  # a longer delay keeps the weight from rising and makes room for reading
+
+
+class IntervalMeasurements:
+    """Counts of the current adjustment interval, and the latest gauges of the machine."""
+
+    __slots__ = (
+        "ends_at_ms",
+        "early_rejection_count",
+        "request_count",
+        "max_read_delay_fraction",
+        "last_read_delay_ms",
+        "cpu_utilization",
+        "connection_count",
+    )
+
+    def __init__(self, now_ms: float) -> None:
+        self.ends_at_ms = now_ms + ADJUSTMENT_INTERVAL_MS
+        self.early_rejection_count = 0
+        self.request_count = 0
+        self.max_read_delay_fraction = 0.0
+        self.last_read_delay_ms = 0.0
+        self.cpu_utilization = 0.0
+        self.connection_count = 0.0
+
+    @property
+    def are_cores_busy(self) -> bool:
+        """Whether the cores had no time to spare when the gauges were last read."""
+        return self.cpu_utilization >= CPU_BUSY_UTILIZATION
+
+    @property
+    def is_reading_late(self) -> bool:
+        """Whether a request of this interval lay unread for long enough to call for room for reading."""
+        return self.max_read_delay_fraction > LOW_READ_DELAY_FRACTION
+
+    def record_request(self, read_delay_ms: float, latency_objective_ms: float) -> None:
+        """Count a request that was read, and how long it lay unread."""
+        self.max_read_delay_fraction = max(self.max_read_delay_fraction, read_delay_ms / latency_objective_ms)
+        self.request_count += 1
+        self.last_read_delay_ms = read_delay_ms
+
+    def record_gauges(self, gauges: Gauges) -> None:
+        """Keep the latest gauges, where the machine measures them."""
+        if gauges.cpu_utilization is not None:
+            self.cpu_utilization = gauges.cpu_utilization
+            self.connection_count = gauges.connection_count or 0.0
+
+    def begin_next(self, now_ms: float) -> None:
+        """Start the next interval. The gauges and the last read delay stay."""
+        self.early_rejection_count = 0
+        self.request_count = 0
+        self.max_read_delay_fraction = 0.0
+        self.ends_at_ms = now_ms + ADJUSTMENT_INTERVAL_MS
--- /dev/null
+++ b/nickelslip/admission/queue_priority.py
@@ -0,0 +1,67 @@
+"""Queue priority: the order in which queued requests start.
+
+Most value for the expected run time comes first, where value is the class's priority weight, less what lies over the
+tenant's quota, and less for retries.
+"""
+
+from __future__ import annotations
+
+from nickelslip.admission.estimators import SlidingWindowSum
+from nickelslip.admission.interface import Arrival, Settings
+from nickelslip.admission.starved_classes import StarvedClasses
+from nickelslip.admission.tenant_quotas import TenantQuotas
+from nickelslip.admission.tracked_request import TrackedRequest
+
+# A retry does not tell its age. The more of them there are, the likelier it is that its objective is over.
+MIN_RETRY_VALUE_FRACTION = 0.1
+MIN_RUN_MS = 1e-9  # keeps a quotient finite
+
+
+class QueuePriority:
+    """Computes the priority of each arrival.
+
+    Args:
+        settings: How value is counted, and whether clients mark retries.
+        window_ms: How far back retries are counted.
+        quotas: Tells what lies within a tenant's quota.
+        starved_classes: Tells which classes go ahead, and with which value.
+    """
+
+    def __init__(
+        self, settings: Settings, window_ms: float, quotas: TenantQuotas, starved_classes: StarvedClasses
+    ) -> None:
+        self._quotas = quotas
+        self._starved_classes = starved_classes
+        self._retries = SlidingWindowSum(window_ms)
+        self._retry_fraction = 0.0
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take from the settings how value is counted, and whether retries are marked."""
+        self._value_counts_work = settings.value_counts_work
+        self._clients_mark_retries = settings.clients_mark_retries
+        self._over_quota_value_fraction = settings.over_quota_value_fraction
+
+    def record_arrival(self, now_ms: float, arrival: Arrival) -> None:
+        """Count the arrival as a first attempt or a retry."""
+        self._retries.add(now_ms, float(arrival.is_retry))
+        retry_count, arrival_count = self._retries.total(now_ms)
+        self._retry_fraction = retry_count / arrival_count if self._clients_mark_retries else 0.0
+
+    def rank(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> None:
+        """Set the priority of a request that has arrived, and what lies within its tenant's quota."""
+        within_quota = self._quotas.within_quota_fraction(now_ms, arrival.tenant)
+        request.within_quota_fraction = within_quota
+        value_fraction = within_quota + self._over_quota_value_fraction * (1 - within_quota)
+        if arrival.is_retry:
+            value_fraction *= max(MIN_RETRY_VALUE_FRACTION, 1 - self._retry_fraction)
+        value_per_ms = value_fraction * self._class_value_per_ms(request)
+        request.priority_key = (-value_per_ms, request.useful_until_ms, request.id)
+
+    def _class_value_per_ms(self, request: TrackedRequest) -> float:
+        statistics = request.statistics
+        run_ms = 1.0 if self._value_counts_work else max(request.expected_run_ms, MIN_RUN_MS)
+        value_per_ms = statistics.priority_weight / run_ms
+        if statistics.is_starved:
+            return max(value_per_ms, self._starved_classes.best_value_per_ms)
+        return value_per_ms
--- /dev/null
+++ b/nickelslip/admission/tenant_quotas.py
@@ -0,0 +1,57 @@
+"""Tenant quotas: how much of a tenant's requests lies within the rate that counts in full."""
+
+from __future__ import annotations
+
+from math import sqrt
+
+from nickelslip.admission.class_statistics import START_COUNT_WINDOWS
+from nickelslip.admission.estimators import SlidingWindowSum
+from nickelslip.admission.interface import Settings
+
+QUOTA_STANDARD_DEVIATIONS = 1.0  # a tenant is over its quota when its starts are so many deviations above it
+ALL_TENANTS = ""
+SMALLEST_COUNT = 1e-9  # keeps a quotient finite
+
+
+class TenantQuotas:
+    """Counts the starts of each tenant against this server's part of its quota.
+
+    Args:
+        settings: Names the tenants and their quotas over the whole fleet.
+        window_ms: How far back the recent means look; starts are counted over several of these windows.
+    """
+
+    def __init__(self, settings: Settings, window_ms: float) -> None:
+        self._window_ms = window_ms
+        self._starts = {ALL_TENANTS: SlidingWindowSum(START_COUNT_WINDOWS * window_ms)}
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take the quotas from the settings; starts that were counted stay counted."""
+        window_s_per_server = START_COUNT_WINDOWS * self._window_ms / 1000 / settings.server_count
+        self._quota_counts = {tenant.name: tenant.quota_per_s * window_s_per_server for tenant in settings.tenants}
+        self._total_quota_count = max(sum(self._quota_counts.values()), SMALLEST_COUNT)
+        self._starts = {
+            name: self._starts.get(name) or SlidingWindowSum(START_COUNT_WINDOWS * self._window_ms)
+            for name in (ALL_TENANTS, *self._quota_counts)
+        }
+
+    def record_start(self, now_ms: float, tenant: str) -> None:
+        """Count a request that starts; tenants without a quota are not counted."""
+        if tenant in self._quota_counts:
+            self._starts[ALL_TENANTS].add(now_ms, 1.0)
+            self._starts[tenant].add(now_ms, 1.0)
+
+    def within_quota_fraction(self, now_ms: float, tenant: str | None) -> float:
+        """Return the fraction of a tenant's starts that lies within its quota, 1 for a tenant without one.
+
+        The quota is this server's part of the tenant's quota, or of all that was started here, if that is more: a
+        quick server does more of everybody's requests.
+        """
+        if tenant not in self._quota_counts:
+            return 1.0
+        quota_count = self._quota_counts[tenant]
+        start_count = self._starts[tenant].total(now_ms).sample_count
+        quota_count *= max(1.0, self._starts[ALL_TENANTS].total(now_ms).sample_count / self._total_quota_count)
+        allowed_count = quota_count + QUOTA_STANDARD_DEVIATIONS * sqrt(quota_count)
+        return min(1.0, allowed_count / max(start_count, SMALLEST_COUNT))
--- /dev/null
+++ b/nickelslip/admission/tracked_request.py
@@ -0,0 +1,107 @@
+"""A request in this server's hands, and the table of all of them by state."""
+
+from __future__ import annotations
+
+from math import inf
+from operator import attrgetter
+
+from nickelslip.admission.class_statistics import ClassStatistics
+from nickelslip.admission.interface import Arrival, RequestState
+
+PRIORITY = attrgetter("priority_key")  # sorts the most urgent request first
+
+
+class TrackedRequest:
+    """A request from its arrival until nothing of it is left on this server."""
+
+    __slots__ = (
+        "id",
+        "statistics",
+        "memory_kb",
+        "cost_hint_ms",
+        "tenant",
+        "deadline_at_ms",
+        "expected_run_ms",
+        "useful_until_ms",
+        "state",
+        "has_run",
+        "started_at_ms",
+        "total_call_ms",
+        "call_phase_began_at_ms",
+        "call_not_before_ms",
+        "call_ends_at_ms",
+        "stop_requested_at_ms",
+        "priority_key",
+        "within_quota_fraction",
+    )
+
+    def __init__(self, arrival: Arrival, statistics: ClassStatistics, now_ms: float) -> None:
+        received_at_ms = now_ms - arrival.read_delay_ms
+        deadline_at_ms = arrival.deadline_at_ms
+        if deadline_at_ms is None:
+            deadline_at_ms = received_at_ms + statistics.timeout_ms
+        self.id = arrival.id
+        self.statistics = statistics
+        self.memory_kb = arrival.memory_kb
+        self.cost_hint_ms = arrival.cost_hint_ms
+        self.tenant = arrival.tenant or ""
+        self.deadline_at_ms = max(now_ms, deadline_at_ms)
+        self.expected_run_ms = statistics.expected_run_ms(now_ms, arrival.cost_hint_ms)
+        self.useful_until_ms = min(
+            self.deadline_at_ms,
+            received_at_ms + statistics.latency_objective_ms + statistics.objective_stretch * self.expected_run_ms,
+        )
+        self.state = RequestState.QUEUED
+        self.has_run = False
+        self.started_at_ms = now_ms
+        self.total_call_ms = 0.0  # waiting for permission to call included
+        self.call_phase_began_at_ms = now_ms  # AWAITING_CALL or CALL_IN_FLIGHT: since when
+        self.call_not_before_ms = inf  # AWAITING_CALL: no call before this moment
+        self.call_ends_at_ms = inf  # CALL_IN_FLIGHT: when the call times out
+        self.stop_requested_at_ms = -inf  # ORPHANED: when its run was last told to stop
+        self.priority_key = (0.0, 0.0, 0)  # the smallest key starts first
+        self.within_quota_fraction = 1.0  # of this request, what lies within its tenant's quota
+
+
+class TrackedRequests:
+    """All requests in this server's hands, by id in order of arrival and by state in order of entry."""
+
+    __slots__ = (
+        "by_id",
+        "by_state",
+        "queued",
+        "running",
+        "degraded",
+        "orphaned",
+        "coalesced",
+        "awaiting_call",
+        "call_in_flight",
+    )
+
+    def __init__(self) -> None:
+        self.by_id: dict[int, TrackedRequest] = {}
+        self.by_state: dict[RequestState, dict[int, TrackedRequest]] = {state: {} for state in RequestState}
+        self.queued = self.by_state[RequestState.QUEUED]
+        self.running = self.by_state[RequestState.RUNNING]
+        self.degraded = self.by_state[RequestState.DEGRADED]
+        self.orphaned = self.by_state[RequestState.ORPHANED]
+        self.coalesced = self.by_state[RequestState.COALESCED]
+        self.awaiting_call = self.by_state[RequestState.AWAITING_CALL]
+        self.call_in_flight = self.by_state[RequestState.CALL_IN_FLIGHT]
+
+    def add(self, request: TrackedRequest) -> None:
+        """Take in a request that has arrived."""
+        self.by_id[request.id] = request
+        self.by_state[request.state][request.id] = request
+
+    def on_core_count(self) -> int:
+        """Return how many requests occupy a core, those whose result nobody awaits included."""
+        return len(self.running) + len(self.degraded) + len(self.orphaned)
+
+    def on_cores(self) -> list[TrackedRequest]:
+        """Return the requests that occupy a core."""
+        return [*self.running.values(), *self.degraded.values(), *self.orphaned.values()]
+
+    def queued_run_ms(self) -> float:
+        """Return the expected run time of all queued requests."""
+        return sum(request.expected_run_ms for request in self.queued.values())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.dependency_usage import DependencyUsage
 from nickelslip.admission.interface import Gauges, LoadSignal, Outcome, Preemption, RequestState, RetrySafety, Tenant
 from tests.helpers import BOOK, PAY, READ, World, settings
 
@@ -396,8 +396,12 @@
 
 
 def test_many_that_wait_for_leave_to_call_cost_one_look_at_the_calls_that_are_out(monkeypatch):
-    looks, room = [], AdmissionController._call_room
-    monkeypatch.setattr(AdmissionController, "_call_room", lambda self, now: looks.append(now) or room(self, now))
+    looks, room = [], DependencyUsage.max_call_duration_ms
+    monkeypatch.setattr(
+        DependencyUsage,
+        "max_call_duration_ms",
+        lambda self, now, *values: looks.append(now) or room(self, now, *values),
+    )
     world = World(
         settings(core_count=40, memory_kb=1e6, dependency_concurrency_share=2.0, abandoned_call_linger_ms=1900.0)
     )
@@ -422,7 +426,7 @@
         world.now += took
         world.back(ident, Outcome.OK)
         world.end(ident)
-        return world.control._call_limit
+        return world.control._call_limit.limit
 
     assert all(call(ident, 1.0) == 5.1 for ident in range(1, 40))
     assert call(40, 9.0) == 5.1  # under a tick or two times tell nothing
