--- a/nickelslip/simulator_adapter/adapter.py
+++ b/nickelslip/simulator_adapter/adapter.py
@@ -1,128 +1,191 @@
-"""Drives many instances of the admission control from the bench's wire. No decision is made here."""
+"""Drives many admission controllers from the simulator's text protocol. No decision is made here."""
 
 from __future__ import annotations
 
 import traceback
+from collections.abc import Callable
 from functools import partial
-from typing import TextIO
+from typing import NamedTuple, TextIO
 
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import Decisions, Settings
 from nickelslip.settings import MalformedSettingsError, settings_from
 from nickelslip.simulator_adapter import codec
+from nickelslip.simulator_adapter.codec import MalformedLineError
 
-# How many values stand behind the instance in a line, at least.
-VALUES = {
-    "ASK": 2,
-    "FINISHED": 3,
-    "STALLED_ON_CALL": 1,
-    "RETURNED": 3,
-    "TIMED_OUT_CLIENT": 1,
-    "DRAIN": 1,
-    "WAKE": 1,
-    "SHUTDOWN": 0,
-}
+MAX_QUOTED_CHARACTERS = 200  # of a malformed line
+EXIT_OK = 0
+EXIT_MALFORMED_INPUT = 2
 
+Event = Callable[[AdmissionController], Decisions]
 
-def _fault(instance: str, error: Exception) -> str:
-    """One line that names the error and where it came from."""
-    where = traceback.extract_tb(error.__traceback__)[-1]
-    text = f"{type(error).__name__}: {error} at {where.filename.rsplit('/', 1)[-1]}:{where.lineno} in {where.name}"
-    return f"BROKEN {instance} " + " ".join(text.split())
+
+class EventDecoder(NamedTuple):
+    """How the line of one event is read."""
+
+    min_value_count: int  # values behind the instance, at least
+    decode: Callable[[float, list[str]], Event]
+
+
+def _request_received(now_ms: float, values: list[str]) -> Event:
+    arrival = codec.decode_arrival(values)
+    return lambda controller: controller.request_received(now_ms, arrival)
+
+
+def _run_ended(now_ms: float, values: list[str]) -> Event:
+    request_id = int(values[0])
+    outcome = codec.decode_outcome(values[1])
+    took_ms = float(values[2])
+    return lambda controller: controller.run_ended(now_ms, request_id, outcome, took_ms)
+
+
+def _call_requested(now_ms: float, values: list[str]) -> Event:
+    request_id = int(values[0])
+    return lambda controller: controller.call_requested(now_ms, request_id)
+
+
+def _call_returned(now_ms: float, values: list[str]) -> Event:
+    request_id = int(values[0])
+    outcome = codec.decode_outcome(values[2])
+    took_ms = float(values[1])
+    return lambda controller: controller.call_returned(now_ms, request_id, outcome, took_ms)
+
+
+def _client_disconnected(now_ms: float, values: list[str]) -> Event:
+    request_id = int(values[0])
+    return lambda controller: controller.client_disconnected(now_ms, request_id)
+
+
+def _drain(now_ms: float, values: list[str]) -> Event:
+    kill_at_ms = float(values[0])
+    return lambda controller: controller.drain(now_ms, kill_at_ms)
+
+
+def _timer_fired(now_ms: float, values: list[str]) -> Event:
+    gauges = codec.decode_gauges(values[1] if len(values) > 1 else codec.ABSENT)
+    return lambda controller: controller.timer_fired(now_ms, gauges)
+
+
+EVENT_DECODERS = {
+    "ASK": EventDecoder(2, _request_received),
+    "FINISHED": EventDecoder(3, _run_ended),
+    "STALLED_ON_CALL": EventDecoder(1, _call_requested),
+    "RETURNED": EventDecoder(3, _call_returned),
+    "TIMED_OUT_CLIENT": EventDecoder(1, _client_disconnected),
+    "DRAIN": EventDecoder(1, _drain),
+    "WAKE": EventDecoder(1, _timer_fired),
+}
 
 
 class Adapter:
-    """The instances of one process, each with a module of its own."""
+    """The instances of one process, each with a controller of its own."""
 
     def __init__(self) -> None:
-        self._controls: dict[str, AdmissionController] = {}
+        self._controllers: dict[str, AdmissionController] = {}
 
-    def handle(self, now: float, line: str) -> list[str]:
-        """Replies to one event line."""
-        parts = line.split(" ")
-        verb, instance = parts[0], parts[1] if len(parts) > 1 else ""
+    def handle(self, now_ms: float, line: str) -> list[str]:
+        """Return the replies to one event line.
+
+        An exception of a controller ends that instance alone, and is reported in one line.
+
+        Raises:
+            MalformedLineError: The line cannot be understood.
+        """
+        verb, _, rest = line.partition(" ")
+        instance = rest.partition(" ")[0]
         try:
-            if verb == "START":
-                seed, text = line.split(" ", 3)[2:]
-                call = partial(self._start, instance, settings_from(text), int(seed), now)
-            elif verb not in VALUES:
-                raise ValueError("no such message")
-            elif len(parts) - 2 < VALUES[verb]:
-                raise ValueError("too few values")
-            elif verb == "SHUTDOWN":
-                self._controls.pop(instance, None)
-                return []
-            else:
-                call = partial(self._event, instance, now, verb, self._values(verb, parts[2:]))
+            decide = self._decode(now_ms, verb, instance, line)
         except (ValueError, KeyError, MalformedSettingsError) as error:
-            raise codec.Malformed(f"malformed line: {line[:200]!r}: {error}") from error
+            raise _malformed(line, error) from error
         try:
-            return codec.lines_from(instance, call())
-        except Exception as error:  # whatever the module raises is reported for its instance
-            self._controls.pop(instance, None)
-            return [_fault(instance, error)]
-
-    def _start(self, instance: str, settings: Settings, seed: int, now: float) -> Decisions:
-        control = self._controls[instance] = AdmissionController(settings, seed, now)
-        return control.start(now)
-
-    @staticmethod
-    def _values(verb: str, parts: list[str]) -> list[object]:
-        """The decoded values of an event, in the order that the module's call takes them."""
-        if verb == "ASK":
-            return [codec.arrival_from(parts)]
-        if verb == "FINISHED":
-            return [int(parts[0]), codec.outcome_from(parts[1]), float(parts[2])]
-        if verb == "RETURNED":
-            return [int(parts[0]), codec.outcome_from(parts[2]), float(parts[1])]
-        if verb == "WAKE":
-            return [codec.gauges_from(parts[1] if len(parts) > 1 else "-")]
-        if verb == "DRAIN":
-            return [float(parts[0])]
-        return [int(parts[0])]
-
-    def _event(self, instance: str, now: float, verb: str, values: list[object]) -> Decisions:
-        control = self._controls.get(instance)
-        if control is None:
-            return Decisions()
-        call = {
-            "ASK": control.request_received,
-            "FINISHED": control.run_ended,
-            "STALLED_ON_CALL": control.call_requested,
-            "RETURNED": control.call_returned,
-            "TIMED_OUT_CLIENT": control.client_disconnected,
-            "DRAIN": control.drain,
-            "WAKE": control.timer_fired,
-        }[verb]
-        return call(now, *values)  # type: ignore[operator,no-any-return]
+            return codec.encode_decisions(instance, decide())
+        except Exception as error:  # whatever the controller raises is reported for its instance
+            self._controllers.pop(instance, None)
+            return [_report(instance, error)]
+
+    def _decode(self, now_ms: float, verb: str, instance: str, line: str) -> Callable[[], Decisions]:
+        """Return what a line asks for; the values of an event are checked whether or not its instance is known."""
+        if verb == "START":
+            seed, settings_text = line.split(" ", 3)[2:]
+            return partial(self._start, instance, settings_from(settings_text), int(seed), now_ms)
+        if verb == "SHUTDOWN":
+            return partial(self._shut_down, instance)
+        if verb not in EVENT_DECODERS:
+            raise ValueError("no such message")
+        decoder = EVENT_DECODERS[verb]
+        values = line.split(" ")[2:]
+        if len(values) < decoder.min_value_count:
+            raise ValueError("too few values")
+        return partial(self._apply, instance, decoder.decode(now_ms, values))
+
+    def _start(self, instance: str, settings: Settings, seed: int, now_ms: float) -> Decisions:
+        controller = AdmissionController(settings, seed, now_ms)
+        self._controllers[instance] = controller
+        return controller.start(now_ms)
+
+    def _shut_down(self, instance: str) -> Decisions:
+        self._controllers.pop(instance, None)
+        return Decisions()
+
+    def _apply(self, instance: str, event: Event) -> Decisions:
+        controller = self._controllers.get(instance)
+        return Decisions() if controller is None else event(controller)
 
 
 def main(source: TextIO, sink: TextIO, complaints: TextIO) -> int:
-    """Serve batches until the input ends; 2 on input that cannot be understood."""
-    adapter = Adapter()
-    now: float | None = None
-    replies: list[str] = []
+    """Serve batches of events until the input ends.
+
+    Returns:
+        The exit code: 0, or 2 on input that cannot be understood, which is named in one line of `complaints`.
+    """
     try:
-        for raw in source:
-            line = raw.rstrip("\r\n")
-            if line.startswith("TICK ") and now is None:
-                try:
-                    now = codec.clock_from(line[5:])
-                except ValueError as error:
-                    raise codec.Malformed(f"malformed line: {line[:200]!r}: {error}") from error
-            elif now is None:
-                if line:
-                    raise codec.Malformed(f"malformed line: {line[:200]!r}: outside a batch")
-            elif line == "OVER_TO_YOU":
-                replies.append("OK\n")
-                sink.write("\n".join(replies))
-                sink.flush()
-                now, replies = None, []
-            else:
-                replies += adapter.handle(now, line)
-        if now is not None:
-            raise codec.Malformed("the input ended inside a batch")
-    except codec.Malformed as error:
+        _serve(source, sink)
+    except MalformedLineError as error:
         print(f"nickelslip: {error}", file=complaints)
-        return 2
-    return 0
+        return EXIT_MALFORMED_INPUT
+    return EXIT_OK
+
+
+def _serve(source: TextIO, sink: TextIO) -> None:
+    """A batch begins with the clock, holds event lines, and ends with the request for the replies."""
+    adapter = Adapter()
+    now_ms: float | None = None
+    replies: list[str] = []
+    for raw in source:
+        line = raw.rstrip("\r\n")
+        if now_ms is None:
+            now_ms = _begin_batch(line)
+        elif line == "OVER_TO_YOU":
+            replies.append("OK\n")
+            sink.write("\n".join(replies))
+            sink.flush()
+            now_ms = None
+            replies = []
+        else:
+            replies += adapter.handle(now_ms, line)
+    if now_ms is not None:
+        raise MalformedLineError("the input ended inside a batch")
+
+
+def _begin_batch(line: str) -> float | None:
+    """Return the clock of the batch that this line begins, None for an empty line between batches."""
+    if line.startswith("TICK "):
+        try:
+            return codec.decode_number(line.removeprefix("TICK "))
+        except ValueError as error:
+            raise _malformed(line, error) from error
+    if line:
+        raise _malformed(line, "outside a batch")
+    return None
+
+
+def _malformed(line: str, fault: object) -> MalformedLineError:
+    return MalformedLineError(f"malformed line: {line[:MAX_QUOTED_CHARACTERS]!r}: {fault}")
+
+
+def _report(instance: str, error: Exception) -> str:
+    """Return the line that names an error and where it came from."""
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    place = f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} in {frame.name}"
+    text = f"{type(error).__name__}: {error} at {place}"
+    return f"BROKEN {instance} " + " ".join(text.split())
--- a/nickelslip/simulator_adapter/codec.py
+++ b/nickelslip/simulator_adapter/codec.py
@@ -1,21 +1,36 @@
-"""The text of the bench's wire: lines to fields, results to lines."""
+"""The text protocol of the simulator: lines to typed events, decisions to lines.
+
+The words of the protocol are the simulator's. They are mapped to the terms of this project here and nowhere else.
+"""
 
 from __future__ import annotations
 
 import math
 
-from nickelslip.admission.interface import Arrival, Decisions, Gauges, Outcome, RequestState
+from nickelslip.admission.interface import (
+    Arrival,
+    Decisions,
+    Gauges,
+    IdempotencyUpdate,
+    Outcome,
+    RequestState,
+    StateChange,
+)
+
+ABSENT = "-"
+ARRIVAL_VALUE_COUNT = 13
 
 OUTCOMES = {
     "0": Outcome.OK,
     "5": Outcome.ERROR,
     "11": Outcome.REJECTED,
+    "104": Outcome.RESET,
     "110": Outcome.TIMEOUT,
     "111": Outcome.CONNECT_FAILED,
-    "104": Outcome.RESET,
-    "125": Outcome.CANCELLED,
     "114": Outcome.NOT_STARTED,
+    "125": Outcome.CANCELLED,
 }
+# REJECTED and CALL_IN_FLIGHT carry values of their own; the final states reported by the simulator are never sent.
 VERBS = {
     RequestState.QUEUED: "STOP",
     RequestState.PAUSED: "STOP",
@@ -27,84 +42,112 @@
 }
 
 
-class Malformed(Exception):
+class MalformedLineError(Exception):
     """A line that cannot be understood."""
 
 
-def clock_from(text: str) -> float:
-    """The clock of a TICK line's value."""
-    return _number(text)
+def decode_number(text: str) -> float:
+    """Return a finite number.
 
-
-def _number(text: str) -> float:
+    Raises:
+        ValueError: The text is not one.
+    """
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"not a finite number: {text}")
     return value
 
 
-def _optional(text: str) -> str | None:
-    return None if text == "-" else text
-
-
-def arrival_from(parts: list[str]) -> Arrival:
-    """The values of an ASK line behind its instance; absent trailing ones may be left out."""
-    ident, grade, customer, key, due, hint, kb, _rank, again, _update, caller, unread, earlier = (
-        _optional(part) for part in (parts + ["-"] * 13)[:13]
-    )
-    if ident is None or grade is None:
+def decode_arrival(values: list[str]) -> Arrival:
+    """Decode the values of an ASK line behind its instance; absent trailing ones may be left out.
+
+    Raises:
+        ValueError: A value is missing or not a number.
+    """
+    padded = (values + [ABSENT] * ARRIVAL_VALUE_COUNT)[:ARRIVAL_VALUE_COUNT]
+    (
+        request_id,
+        traffic_class,
+        tenant,
+        key,
+        deadline,
+        cost_hint,
+        memory,
+        _priority,
+        is_retry,
+        _update,
+        client,
+        read_delay,
+        original,
+    ) = (None if value == ABSENT else value for value in padded)
+    if request_id is None or traffic_class is None:
         raise ValueError("a transaction needs an id and a service grade")
     return Arrival(
-        id=int(ident),
-        traffic_class=grade,
-        tenant=customer,
-        memory_kb=_number(kb or "0"),
-        deadline_at_ms=_number(due or "0") or None,
-        cost_hint_ms=_number(hint or "0") or None,
-        is_retry=again == "1",
-        client=None if caller is None else int(caller),
-        read_delay_ms=_number(unread or "0"),
-        original_request_id=int(earlier or "0") or None,
+        id=int(request_id),
+        traffic_class=traffic_class,
+        tenant=tenant,
+        memory_kb=decode_number(memory or "0"),
+        deadline_at_ms=decode_number(deadline or "0") or None,
+        cost_hint_ms=decode_number(cost_hint or "0") or None,
+        is_retry=is_retry == "1",
+        client=None if client is None else int(client),
+        read_delay_ms=decode_number(read_delay or "0"),
+        original_request_id=int(original or "0") or None,
         has_key=key is not None,
     )
 
 
-def gauges_from(text: str) -> Gauges:
-    """Gauges of a WAKE line."""
-    pairs = dict(part.split(":", 1) for part in text.split(",")) if text not in ("", "-") else {}
-    read = {name: _number(value) for name, value in pairs.items()}
-    return Gauges(read.get("cpu_busy"), read.get("runnable"), read.get("mem_used"), read.get("sockets"))
+def decode_gauges(text: str) -> Gauges:
+    """Decode the gauges of a WAKE line: `name:value` pairs, separated by commas."""
+    if text in ("", ABSENT):
+        return Gauges()
+    pairs = dict(pair.split(":", 1) for pair in text.split(","))
+    gauges = {name: decode_number(value) for name, value in pairs.items()}
+    return Gauges(
+        cpu_utilization=gauges.get("cpu_busy"),
+        run_queue_length=gauges.get("runnable"),
+        memory_utilization=gauges.get("mem_used"),
+        connection_count=gauges.get("sockets"),
+    )
+
 
+def decode_outcome(text: str) -> Outcome:
+    """Decode an outcome code.
 
-def outcome_from(text: str) -> Outcome:
-    """An outcome code."""
+    Raises:
+        KeyError: There is no such code.
+    """
     return OUTCOMES[text]
 
 
-def lines_from(instance: str, result: Decisions) -> list[str]:
-    """The lines that carry a result out, in the order that Result states."""
+def encode_decisions(instance: str, decisions: Decisions) -> list[str]:
+    """Return the lines that carry decisions out, in the order in which `Decisions` states them."""
     lines = []
-    if result.advertised_weight is not None:
-        lines.append(f"STAMP {instance} {result.advertised_weight:.6f}")
-    if result.health is not None:
-        lines.append(f"HEALTH {instance} {int(result.health.is_cached)} {int(result.health.is_healthy)}")
-    if result.idle_connection_timeout_ms is not None:
-        lines.append(f"TRIM_AFTER {instance} {result.idle_connection_timeout_ms:.3f}")
-    for entry in result.idempotency_updates:
-        lines.append(
-            f"REMEMBER {instance} {entry.id} {entry.retention_ms:.3f}"
-            if entry.retention_ms > 0
-            else f"FORGET {instance} {entry.id}"
-        )
-    for change in result.state_changes:
-        if change.state is RequestState.REJECTED:
-            lines.append(
-                f"PUSH_BACK {instance} {change.id} {change.duration_ms:.3f} {int(change.retry_elsewhere_useless)}"
-            )
-        elif change.state is RequestState.CALL_IN_FLIGHT:
-            lines.append(f"INVOKE {instance} {change.id} {change.duration_ms:.3f}")
-        else:
-            lines.append(f"{VERBS[change.state]} {instance} {change.id}")
-    if result.wake_in_ms is not None:
-        lines.append(f"SCHEDULE {instance} {result.wake_in_ms:.3f} 1")
+    if decisions.advertised_weight is not None:
+        lines.append(f"STAMP {instance} {decisions.advertised_weight:.6f}")
+    if decisions.health is not None:
+        lines.append(f"HEALTH {instance} {int(decisions.health.is_cached)} {int(decisions.health.is_healthy)}")
+    if decisions.idle_connection_timeout_ms is not None:
+        lines.append(f"TRIM_AFTER {instance} {decisions.idle_connection_timeout_ms:.3f}")
+    lines += [_encode_idempotency_update(instance, update) for update in decisions.idempotency_updates]
+    lines += [_encode_state_change(instance, change) for change in decisions.state_changes]
+    if decisions.wake_in_ms is not None:
+        lines.append(f"SCHEDULE {instance} {decisions.wake_in_ms:.3f} 1")
     return lines
+
+
+def _encode_idempotency_update(instance: str, update: IdempotencyUpdate) -> str:
+    if update.retention_ms > 0:
+        return f"REMEMBER {instance} {update.id} {update.retention_ms:.3f}"
+    return f"FORGET {instance} {update.id}"
+
+
+def _encode_state_change(instance: str, change: StateChange) -> str:
+    match change.state:
+        case RequestState.REJECTED:
+            is_useless = int(change.retry_elsewhere_useless)
+            return f"PUSH_BACK {instance} {change.id} {change.duration_ms:.3f} {is_useless}"
+        case RequestState.CALL_IN_FLIGHT:
+            return f"INVOKE {instance} {change.id} {change.duration_ms:.3f}"
+        case state:
+            return f"{VERBS[state]} {instance} {change.id}"
--- a/tests/test_bench.py
+++ b/tests/test_simulator_adapter.py
@@ -102,7 +102,7 @@
 
     monkeypatch.setattr(AdmissionController, "request_received", broken)
     code, out, _ = play("TICK 0", START, "ASK server/1 1 p", "OVER_TO_YOU")
-    assert code == 0 and out[-2].startswith("BROKEN server/1 RuntimeError: lost count at test_bench.py:")
+    assert code == 0 and out[-2].startswith("BROKEN server/1 RuntimeError: lost count at test_simulator_adapter.py:")
 
 
 def test_instances_act_alike_however_they_are_dealt_out():
