--- a/benchmarks/watched.py
+++ b/benchmarks/watched.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.server.server import Server
+from nickelslip.server.decision_executor import DecisionExecutor
 
 
 class Witness:
@@ -37,9 +37,9 @@
             self.kept.append(grading)
             self.of_settings[id(grading)] = id(settings)
 
-    def event(self, node: Server, number: int) -> None:
+    def event(self, executor: DecisionExecutor, number: int) -> None:
         """Something happened to a transaction."""
-        one, control = node.requests.get(number), node._control
+        one, control = executor.context.requests.get(number), executor.controller
         item = control._items.get(number) if control is not None else None
         if one is None or item is None:
             return
@@ -47,28 +47,28 @@
         seen = (self.of_settings[id(item.grading)], id(one.generation.settings))
         if seen[0] != seen[1] or self.first.setdefault(number, seen) != seen:
             self.mixed.add(number)
-        self.across += one.generation is not node.generation
+        self.across += one.generation is not executor.context.generation
 
 
 def watch(witness: Witness) -> None:
     """Put the witness beside the module's adoption of settings and every event of a transaction."""
-    adopt, decide = AdmissionController._adopt, Server._decide
+    adopt, decide = AdmissionController._adopt, DecisionExecutor.decide
 
     def adopted(control: AdmissionController, settings: Any) -> None:
         adopt(control, settings)
         witness.adopted(control, settings)
 
-    def decided(node: Server, call: Any, *values: Any) -> None:
+    def decided(executor: DecisionExecutor, call: Any, *values: Any) -> None:
         number = (
             values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) if values else None
         )
         if isinstance(number, int) and call is not AdmissionController.drain:
-            witness.event(node, number)
-        decide(node, call, *values)
+            witness.event(executor, number)
+        decide(executor, call, *values)
         if isinstance(number, int) and call is not AdmissionController.drain:
-            witness.event(node, number)
+            witness.event(executor, number)
 
-    AdmissionController._adopt, Server._decide = adopted, decided  # type: ignore[method-assign]
+    AdmissionController._adopt, DecisionExecutor.decide = adopted, decided  # type: ignore[method-assign]
 
 
 def main() -> None:
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -31,7 +31,8 @@
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.store import Store
 from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
-from nickelslip.server.server import Phase, Server
+from nickelslip.server.lifecycle import Phase
+from nickelslip.server.server import Server
 from nickelslip.settings import MalformedSettingsError
 
 HISTORY_SHOWN = 50  # records that one reply brings at most
--- /dev/null
+++ b/nickelslip/server/control_timer.py
@@ -0,0 +1,116 @@
+"""The timer of the admission controller, and what is done regularly beside it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from math import inf
+from typing import TYPE_CHECKING
+
+import anyio
+
+if TYPE_CHECKING:  # types only; importing them would lengthen the start
+    from nickelslip.server.advertised_state import AdvertisedState
+    from nickelslip.server.decision_executor import DecisionExecutor
+    from nickelslip.server.idempotency_table import IdempotencyTable
+    from nickelslip.server.interfaces import RequestListener, WorkerPool
+
+GAUGES_REQUEST_LEAD_MS = 5.0  # the worker pool answers within this time
+
+
+class WakeSchedule:
+    """When the controller's timer is due next.
+
+    Args:
+        clock: Returns the current time in milliseconds.
+
+    Attributes:
+        wake_at_ms: When the timer is due; inf for never.
+    """
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        self.wake_at_ms = inf
+        self._clock = clock
+        self._moved = anyio.Event()
+
+    @property
+    def is_due(self) -> bool:
+        """Whether the timer should have been called."""
+        return self._clock() >= self.wake_at_ms
+
+    def wake_after(self, wait_ms: float) -> None:
+        """Have the timer called after `wait_ms`, unless it is due earlier."""
+        wake_at_ms = self._clock() + wait_ms
+        if wake_at_ms < self.wake_at_ms:
+            self.wake_at_ms = wake_at_ms
+            self._moved.set()
+
+    def clear(self) -> None:
+        """Forget the wake, which is being carried out."""
+        self.wake_at_ms = inf
+        self._moved.set()
+
+    async def wait_until(self, moment_at_ms: float) -> None:
+        """Wait for a moment, or until the wake is moved or cleared."""
+        left_ms = moment_at_ms - self._clock()
+        if left_ms <= 0:
+            return
+        self._moved = anyio.Event()
+        with anyio.move_on_after(None if left_ms == inf else left_ms / 1000):
+            await self._moved.wait()
+
+
+class ControlTimer:
+    """Calls the controller when it asked for it, with gauges that were requested a little before.
+
+    Args:
+        clock: Returns the current time in milliseconds.
+        wake_schedule: When the timer is due.
+        executor: Calls the controller.
+        worker_pool: Supplies the gauges.
+        idempotency_table: Is purged after every call.
+        listeners: Close their idle connections after every call.
+        advertised: Says after what time connections are idle.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        wake_schedule: WakeSchedule,
+        executor: DecisionExecutor,
+        worker_pool: WorkerPool,
+        idempotency_table: IdempotencyTable,
+        listeners: Sequence[RequestListener],
+        advertised: AdvertisedState,
+    ) -> None:
+        self._clock = clock
+        self._wake_schedule = wake_schedule
+        self._executor = executor
+        self._worker_pool = worker_pool
+        self._idempotency_table = idempotency_table
+        self._listeners = listeners
+        self._advertised = advertised
+
+    async def run(self) -> None:
+        """Run until cancelled."""
+        requested_for_ms = -inf  # the wake for which gauges were requested
+        while True:
+            wake_at_ms = self._wake_schedule.wake_at_ms
+            if self._clock() < wake_at_ms - GAUGES_REQUEST_LEAD_MS:
+                await self._wake_schedule.wait_until(wake_at_ms - GAUGES_REQUEST_LEAD_MS)
+            elif requested_for_ms != wake_at_ms:
+                self._worker_pool.request_gauges()
+                requested_for_ms = wake_at_ms
+            elif self._clock() < wake_at_ms:
+                await self._wake_schedule.wait_until(wake_at_ms)
+            else:
+                self._executor.fire_timer()
+                self._clean_up()
+
+    def _clean_up(self) -> None:
+        """Drop expired idempotency records and close idle connections."""
+        self._idempotency_table.purge_expired()
+        idle_ms = self._advertised.idle_connection_timeout_ms
+        if idle_ms is None:
+            return
+        for listener in self._listeners:
+            listener.close_idle(idle_ms)
--- /dev/null
+++ b/nickelslip/server/decision_executor.py
@@ -0,0 +1,150 @@
+"""Calls of the admission controller, and the execution of what it decides.
+
+Nothing is awaited between a decision and the write that carries it out: every decision is executed before the call
+that brought it returns.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.interface import (
+    Decisions,
+    Gauges,
+    Health,
+    IdempotencyUpdate,
+    RequestState,
+    Settings,
+    StateChange,
+)
+from nickelslip.server.advertised_state import AdvertisedState
+from nickelslip.server.control_timer import WakeSchedule
+from nickelslip.server.lifecycle import Lifecycle
+from nickelslip.server.requests import fail_requests
+from nickelslip.server.state_changes import execute_state_change
+
+if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+    from nickelslip.server.interfaces import DecisionContext
+
+
+class DecisionExecutor:
+    """The one caller of the admission controller.
+
+    Args:
+        context: The server around it.
+        advertised: Where decisions for clients are stored.
+        wake_schedule: When the controller's timer is due.
+        lifecycle: Is notified when the state of a request changes.
+
+    Attributes:
+        context: The server around it.
+        controller: The admission controller; None before the worker pool is up and after a failure.
+        gauges: The measurements that the controller's timer was last called with.
+    """
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        advertised: AdvertisedState,
+        wake_schedule: WakeSchedule,
+        lifecycle: Lifecycle,
+    ) -> None:
+        self.context = context
+        self.controller: AdmissionController | None = None
+        self.gauges = Gauges()
+        self._advertised = advertised
+        self._wake_schedule = wake_schedule
+        self._lifecycle = lifecycle
+        self._is_deciding = False
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether there is a controller, and no call of it is in progress."""
+        return self.controller is not None and not self._is_deciding
+
+    def create_controller(self, settings: Settings, seed: int, started_at_ms: float) -> None:
+        """Create the controller; whatever its constructor raises is passed on."""
+        self.controller = AdmissionController(settings, seed, started_at_ms)
+
+    def discard_controller(self) -> None:
+        """Decide nothing more, after a failure."""
+        self.controller = None
+
+    def decide(self, method: Callable[..., Decisions], *arguments: object) -> None:
+        """Call a method of the controller and execute all that it decides.
+
+        A timer that is due is called first, as if it had been called in time. An error that is raised fails the
+        server. After a failure all open requests are answered with a failure instead.
+
+        Args:
+            method: The method, as an attribute of `AdmissionController`.
+            *arguments: Its arguments after the current time.
+
+        Raises:
+            RuntimeError: If another call is in progress.
+        """
+        if self.controller is None:
+            fail_requests(list(self.context.requests.values()), self._advertised.advertised_weight)
+            return
+        if self._is_deciding:
+            raise RuntimeError("the admission controller was called while a call of it was in progress")
+        if self._wake_schedule.is_due:
+            self.fire_timer()
+        self._is_deciding = True
+        try:
+            self._execute(method(self.controller, self.context.clock(), *arguments))
+        except Exception as error:
+            self.context.fail(error)
+        finally:
+            self._is_deciding = False
+
+    def fire_timer(self) -> None:
+        """Call the controller's timer, with the gauges that have arrived since the last time."""
+        self._wake_schedule.clear()
+        self.gauges = self.context.worker_pool.take_gauges() or Gauges()
+        self.decide(AdmissionController.timer_fired, self.gauges)
+
+    def _execute(self, decisions: Decisions) -> None:
+        """Execute what one call decided, in a fixed order.
+
+        What clients are told comes first, so that the answers of the same call carry it; then the idempotency updates,
+        the state changes in their order, and the next wake.
+        """
+        self._advertise(decisions)
+        for update in decisions.idempotency_updates:
+            self._update_idempotency_record(update)
+        for change in decisions.state_changes:
+            self._change_state(change)
+        if decisions.wake_in_ms is not None:
+            self._wake_schedule.wake_after(decisions.wake_in_ms)
+
+    def _advertise(self, decisions: Decisions) -> None:
+        if decisions.advertised_weight is not None:
+            self._advertised.advertised_weight = decisions.advertised_weight
+        if decisions.health is not None:
+            self._change_health(decisions.health)
+        if decisions.idle_connection_timeout_ms is not None:
+            self._advertised.idle_connection_timeout_ms = decisions.idle_connection_timeout_ms
+
+    def _change_health(self, health: Health) -> None:
+        if health.is_healthy is self._advertised.is_healthy:
+            return
+        self._advertised.is_healthy = health.is_healthy
+        self.context.log.info("health_changed", is_healthy=health.is_healthy)
+        self.context.directory_reporter.report_health_change()
+
+    def _update_idempotency_record(self, update: IdempotencyUpdate) -> None:
+        request = self.context.requests.get(update.id)
+        if request is not None:
+            self.context.idempotency_table.remember(request, update.retention_ms)
+
+    def _change_state(self, change: StateChange) -> None:
+        request = self.context.requests.get(change.id)
+        if request is None:
+            return
+        if change.state is RequestState.CALL_IN_FLIGHT:
+            self.context.slow_start.call_started(self.context.clock())
+        execute_state_change(self.context, request, change)
+        self._lifecycle.notify_change()
--- a/nickelslip/server/idempotency_table.py
+++ b/nickelslip/server/idempotency_table.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 
 from nickelslip.admission.interface import Outcome, RetrySafety
-from nickelslip.server.requests import Request, RunFinished
+from nickelslip.server.request_events import RunFinished
+from nickelslip.server.requests import Request
 
 SLACK_MS = 50.0  # by which, by the protocol, every limit is longer on sockets: that on repeats, too
 
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -17,7 +17,8 @@
 from nickelslip.server import resp
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
 from nickelslip.server.request_decoder import InvalidFieldError, decode_request, tag_in
-from nickelslip.server.requests import Answer, ClientDisconnected, Request
+from nickelslip.server.request_events import ClientDisconnected
+from nickelslip.server.requests import Answer, Request
 from nickelslip.server.streams import Stream
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
--- /dev/null
+++ b/nickelslip/server/open_requests.py
@@ -0,0 +1,93 @@
+"""The open requests of a server: from their acceptance to the end of their lifecycle."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from nickelslip.admission.interface import Outcome
+from nickelslip.server.log_sampling import is_power_of_two
+from nickelslip.server.request_lifecycle import run_request_lifecycle
+from nickelslip.server.requests import FINAL_STATES, Request
+
+if TYPE_CHECKING:  # types only; importing them would lengthen the start
+    from nickelslip.server.decision_executor import DecisionExecutor
+    from nickelslip.server.idempotency_table import IdempotencyTable
+    from nickelslip.server.interfaces import DecisionSink, RequestActions, ServerContext
+    from nickelslip.server.lifecycle import Lifecycle
+    from nickelslip.server.request_counter import RequestCounter
+
+
+class OpenRequests:
+    """Accepts requests and runs each one's lifecycle in a task of its own.
+
+    Args:
+        context: Clock, log and tasks of the server, and the configuration in force.
+        actions: What can be done for a request.
+        sink: Where the events of requests are reported.
+        executor: Whether a controller is there to decide.
+        idempotency_table: Knows conflicts of idempotency keys.
+        counter: Counts what becomes of requests.
+        lifecycle: Is notified when a request is over.
+        requests: The open requests by number, which this class alone changes.
+    """
+
+    def __init__(
+        self,
+        context: ServerContext,
+        actions: RequestActions,
+        sink: DecisionSink,
+        executor: DecisionExecutor,
+        idempotency_table: IdempotencyTable,
+        counter: RequestCounter,
+        lifecycle: Lifecycle,
+        requests: dict[int, Request],
+    ) -> None:
+        self._context = context
+        self._actions = actions
+        self._sink = sink
+        self._executor = executor
+        self._idempotency_table = idempotency_table
+        self._counter = counter
+        self._lifecycle = lifecycle
+        self._requests = requests
+        self._key_conflict_count = 0
+
+    def accept(self, request: Request) -> bool:
+        """Report the arrival of a request, and run its lifecycle in a task unless it is over already.
+
+        Returns False if its connection has to answer it with a failure: there is no controller to decide, its number
+        is in use, its configuration is no longer in force, or its idempotency key is another request's.
+        """
+        if request.number in self._requests or self._executor.controller is None:
+            return False
+        if request.generation is not self._context.generation:
+            return False
+        if self._idempotency_table.has_key_conflict(request):
+            self._log_key_conflict()
+            return False
+        self._requests[request.number] = request
+        self._counter.request_accepted(request)
+        self._sink.request_received(request)
+        if request.state in FINAL_STATES:
+            self._close(request)
+        else:
+            self._context.task_group.start_soon(self._context.supervise, self._run_lifecycle, request)
+        return True
+
+    async def _run_lifecycle(self, request: Request) -> None:
+        try:
+            await run_request_lifecycle(self._actions, self._sink, request)
+        finally:
+            self._close(request)
+
+    def _close(self, request: Request) -> None:
+        """Remove a request that is over; those that joined it fail if it left them no result."""
+        self._idempotency_table.finish(request, Outcome.CANCELLED)
+        del self._requests[request.number]
+        self._lifecycle.notify_change()
+
+    def _log_key_conflict(self) -> None:
+        """Log the 1st, 2nd, 4th and so on conflict of idempotency keys."""
+        self._key_conflict_count += 1
+        if is_power_of_two(self._key_conflict_count):
+            self._context.log.warning("idempotency_key_conflict", count=self._key_conflict_count)
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -22,7 +22,8 @@
     CloseReason,
     ConnectionClosedError,
 )
-from nickelslip.server.requests import CallReturned, Request
+from nickelslip.server.request_events import CallReturned
+from nickelslip.server.requests import Request
 from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
--- /dev/null
+++ b/nickelslip/server/request_lifecycle.py
@@ -0,0 +1,122 @@
+"""The lifecycle of one request, from its arrival to the end of all that is done for it.
+
+Each event updates the request and is reported to the admission controller, whose decisions are executed before the
+report returns.
+"""
+
+from __future__ import annotations
+
+from math import inf
+from typing import TYPE_CHECKING
+
+from nickelslip.admission.interface import Outcome, RequestState
+from nickelslip.server.close_reasons import ABANDONED_CALL_OUTCOME
+from nickelslip.server.request_events import (
+    CallRequested,
+    CallReturned,
+    ClientDisconnected,
+    RequestEvent,
+    RunFinished,
+)
+from nickelslip.server.requests import FINAL_STATES, Answer, Request
+
+if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+    from nickelslip.server.interfaces import DecisionSink, RequestActions
+
+
+async def run_request_lifecycle(actions: RequestActions, sink: DecisionSink, request: Request) -> None:
+    """Handle the events of a request until it has reached a final state.
+
+    Args:
+        actions: Where runs, calls and idempotency records of the request are changed.
+        sink: Where its events are reported to the admission controller.
+        request: The request, whose arrival has been reported already.
+    """
+    while request.state not in FINAL_STATES:
+        event = await _next_event(actions, request)
+        if event is not None:
+            _handle_event(actions, sink, request, event)
+
+
+async def _next_event(actions: RequestActions, request: Request) -> RequestEvent | None:
+    """Wait for the next event, no longer than to the deadline of the call in flight.
+
+    A call that is past its deadline is given up and reported as returned. None means that the state may have changed.
+    """
+    wait_ms = inf
+    if request.state is RequestState.CALL_IN_FLIGHT:
+        wait_ms = request.call_deadline_at_ms - actions.clock()
+    event = await request.next_event(wait_ms)
+    if event is not None or request.state is not RequestState.CALL_IN_FLIGHT:
+        return event
+    if actions.clock() < request.call_deadline_at_ms:
+        return None
+    actions.dependency_client.give_up(request)
+    return CallReturned(ABANDONED_CALL_OUTCOME)
+
+
+def _handle_event(actions: RequestActions, sink: DecisionSink, request: Request, event: RequestEvent) -> None:
+    match event:
+        case CallRequested():
+            _handle_call_requested(sink, request, event)
+        case CallReturned():
+            _handle_call_returned(actions, sink, request, event)
+        case RunFinished():
+            _handle_run_finished(actions, sink, request, event)
+        case ClientDisconnected():
+            _handle_client_disconnected(actions, sink, request)
+
+
+def _handle_call_requested(sink: DecisionSink, request: Request, event: CallRequested) -> None:
+    """Record the call at which the run stands, and ask for permission to make it."""
+    request.notified = True
+    request.call = event
+    if request.state in (RequestState.RUNNING, RequestState.DEGRADED):
+        request.enter(RequestState.AWAITING_CALL)
+    sink.call_requested(request)
+
+
+def _handle_call_returned(actions: RequestActions, sink: DecisionSink, request: Request, event: CallReturned) -> None:
+    """Resume the run with the reply; after any other outcome it goes on waiting at the call.
+
+    The return of a call that is no longer in flight is ignored.
+    """
+    if request.state is not RequestState.CALL_IN_FLIGHT:
+        return
+    if event.outcome is Outcome.OK:
+        request.enter(RequestState.RUNNING)
+        actions.worker_pool.resume_with_reply(request, event.body)
+    else:
+        request.enter(RequestState.AWAITING_CALL)
+    sink.call_returned(request, event.outcome, actions.clock() - request.call_started_at_ms)
+
+
+def _handle_run_finished(actions: RequestActions, sink: DecisionSink, request: Request, event: RunFinished) -> None:
+    """Report the end of the run and answer with its result; a run that was stopped is queued again."""
+    if request.state is RequestState.CALL_IN_FLIGHT:
+        actions.dependency_client.give_up(request)
+    request.run_is_out = False
+    if event.outcome is Outcome.CANCELLED and request.state in (RequestState.RUNNING, RequestState.DEGRADED):
+        request.enter(RequestState.QUEUED)
+        sink.run_ended(request, event.outcome, event.took_ms)
+        return
+    sink.run_ended(request, event.outcome, event.took_ms)
+    final_state = RequestState.COMPLETED if event.outcome is Outcome.OK else RequestState.FAILED
+    request.answer(Answer(final_state, actions.advertised_weight, event.body))
+    request.enter(final_state)
+    actions.idempotency_table.finish(request, event.outcome, event.body)
+    if not event.ran:
+        actions.idempotency_table.forget(request)
+
+
+def _handle_client_disconnected(actions: RequestActions, sink: DecisionSink, request: Request) -> None:
+    """Cancel a request that is still to be answered."""
+    if request.state is RequestState.ORPHANED or request.state in FINAL_STATES:
+        return
+    if request.state is RequestState.CALL_IN_FLIGHT:
+        actions.dependency_client.give_up(request)
+    request.client_gone = True
+    request.enter(RequestState.CANCELLED)
+    if request.on_finished is not None and not request.answered:
+        request.on_finished(request, RequestState.CANCELLED)
+    sink.client_disconnected(request)
--- /dev/null
+++ b/nickelslip/server/request_reports.py
@@ -0,0 +1,79 @@
+"""Reports of what happens to requests to the admission controller."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+from typing import TYPE_CHECKING
+
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.interface import Outcome
+
+if TYPE_CHECKING:  # types only; importing them would lengthen the start
+    from nickelslip.server.call_limit import CallLimit
+    from nickelslip.server.decision_executor import DecisionExecutor
+    from nickelslip.server.idempotency_table import IdempotencyTable
+    from nickelslip.server.request_counter import RequestCounter
+    from nickelslip.server.requests import Request
+    from nickelslip.startup.slow_start import SlowStart
+
+ANSWERED_CALL_OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # they show that the dependency is reached
+
+
+class RequestReports:
+    """Reports each event of a request; the decisions that follow are executed before a report returns.
+
+    Args:
+        clock: Returns the current time in milliseconds.
+        executor: Calls the controller.
+        idempotency_table: Knows the request that another one repeats.
+        counter: Counts the ends of calls.
+        slow_start: Learns from the ends of calls.
+        call_limit: Is updated after the end of a call.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        executor: DecisionExecutor,
+        idempotency_table: IdempotencyTable,
+        counter: RequestCounter,
+        slow_start: SlowStart,
+        call_limit: CallLimit,
+    ) -> None:
+        self._clock = clock
+        self._executor = executor
+        self._idempotency_table = idempotency_table
+        self._counter = counter
+        self._slow_start = slow_start
+        self._call_limit = call_limit
+
+    def request_received(self, request: Request) -> None:
+        """Report the arrival of a request."""
+        original = self._idempotency_table.original_of(request)
+        original_number = original.number if original else None
+        arrival = request.received.arrival(request.number, self._clock(), original_number)
+        self._executor.decide(AdmissionController.request_received, arrival)
+
+    def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
+        """Report the end of its run, which took `took_ms` on a core."""
+        request.run_ms = took_ms
+        self._executor.decide(AdmissionController.run_ended, request.number, outcome, took_ms)
+
+    def call_requested(self, request: Request) -> None:
+        """Report that its run has stopped at a call."""
+        self._executor.decide(AdmissionController.call_requested, request.number)
+
+    def call_returned(self, request: Request, outcome: Outcome, took_ms: float) -> None:
+        """Report the end of its call, which took `took_ms`."""
+        self._counter.call_returned(outcome)
+        if outcome in ANSWERED_CALL_OUTCOMES:
+            self._slow_start.call_answered(self._clock(), took_ms if outcome is Outcome.OK else inf)
+        elif outcome is not Outcome.NOT_STARTED:
+            self._slow_start.call_failed(self._clock())
+        self._executor.decide(AdmissionController.call_returned, request.number, outcome, took_ms)
+        self._call_limit.update()
+
+    def client_disconnected(self, request: Request) -> None:
+        """Report that its client has gone."""
+        self._executor.decide(AdmissionController.client_disconnected, request.number)
--- /dev/null
+++ b/nickelslip/server/state_changes.py
@@ -0,0 +1,78 @@
+"""Execution of the state changes that the admission controller decides for a request.
+
+Everything that a change asks for is written before the function returns.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from nickelslip.admission.interface import RequestState, StateChange
+from nickelslip.server.requests import Answer, Request
+
+if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+    from nickelslip.server.interfaces import RequestActions
+
+
+def execute_state_change(actions: RequestActions, request: Request, change: StateChange) -> None:
+    """Execute one decided change, and wake the lifecycle of the request."""
+    match change.state:
+        case RequestState.RUNNING:
+            _start_run(actions, request)
+        case RequestState.QUEUED | RequestState.PAUSED | RequestState.ORPHANED:
+            _stop_run(actions, request)
+        case RequestState.CALL_IN_FLIGHT:
+            _start_call(actions, request, change.duration_ms)
+        case RequestState.DEGRADED:
+            _continue_without_call(actions, request)
+        case RequestState.COALESCED:
+            _coalesce(actions, request)
+        case RequestState.REJECTED | RequestState.FAILED:
+            _refuse(actions, request, change)
+    request.wake()
+
+
+def _start_run(actions: RequestActions, request: Request) -> None:
+    request.run_is_out = True
+    request.notified = False
+    request.enter(RequestState.RUNNING)
+    actions.worker_pool.start(request)
+
+
+def _stop_run(actions: RequestActions, request: Request) -> None:
+    """Ask the worker pool to stop the run; the state changes when the end of the run is reported."""
+    if request.run_is_out:
+        actions.worker_pool.stop(request)
+
+
+def _start_call(actions: RequestActions, request: Request, timeout_ms: float) -> None:
+    request.enter(RequestState.CALL_IN_FLIGHT)
+    request.call_started_at_ms = actions.clock()
+    request.call_deadline_at_ms = actions.clock() + timeout_ms
+    actions.dependency_client.call(request, timeout_ms)
+
+
+def _continue_without_call(actions: RequestActions, request: Request) -> None:
+    request.enter(RequestState.DEGRADED)
+    actions.worker_pool.resume_without_call(request)
+
+
+def _coalesce(actions: RequestActions, request: Request) -> None:
+    request.enter(RequestState.COALESCED)
+    request.coalesced_at_ms = actions.clock()
+    actions.idempotency_table.coalesce(request)
+
+
+def _refuse(actions: RequestActions, request: Request, change: StateChange) -> None:
+    """Answer a request that is rejected or has failed, and give up its call."""
+    if request.state is RequestState.CALL_IN_FLIGHT:
+        actions.dependency_client.give_up(request)
+    request.answer(
+        Answer(
+            change.state,
+            actions.advertised_weight,
+            retry_after_ms=change.duration_ms,
+            retry_elsewhere_useless=change.retry_elsewhere_useless,
+        )
+    )
+    request.enter(change.state)
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -28,7 +28,8 @@
     CloseReason,
     ConnectionClosedError,
 )
-from nickelslip.server.requests import FINAL_STATES, CallRequested, Request, RunFinished
+from nickelslip.server.request_events import CallRequested, RunFinished
+from nickelslip.server.requests import FINAL_STATES, Request
 from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
 from nickelslip.startup.backoff import Backoff
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,9 +37,10 @@
 from nickelslip.server import resp
 from nickelslip.server.configuration_manager import ConfigurationManager, begin
 from nickelslip.server.control_socket import ControlSocket
+from nickelslip.server.lifecycle import Phase
 from nickelslip.server.load_balancer_connection import LoadBalancerConnection
 from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
-from nickelslip.server.server import Phase, Server
+from nickelslip.server.server import Server
 
 READ = TrafficClass("read", 1.0, 1000.0, 3000.0, RetrySafety.IDEMPOTENT, makes_calls=True, degraded_value_fraction=0.5)
 PAY = TrafficClass("pay", 3.0, 500.0, 1500.0, RetrySafety.NON_IDEMPOTENT, makes_calls=True)
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -12,7 +12,7 @@
 from nickelslip.admission.interface import Outcome
 from nickelslip.server import requests, streams
 from nickelslip.server.records_client import PooledConnection
-from nickelslip.server.requests import CallReturned, RunFinished
+from nickelslip.server.request_events import CallReturned, RunFinished
 from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, Place, until
 
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -34,7 +34,8 @@
 from nickelslip.configuration.store import Store
 from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server import control_socket
-from nickelslip.server.server import Phase, Server
+from nickelslip.server.decision_executor import DecisionExecutor
+from nickelslip.server.lifecycle import Phase
 from tests.helpers import A, B, C, Place, until
 from tests.test_configuration import OURS, fill, ours
 
@@ -51,7 +52,7 @@
 @pytest.fixture
 def witness(monkeypatch):
     """A watch over every event of every transaction."""
-    for part, name in ((AdmissionController, "_adopt"), (Server, "_decide")):
+    for part, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
     seen = Witness()
     watch(seen)
@@ -101,7 +102,7 @@
         caller = await (await place.up()).caller()
         await place.running(caller, A, "pay")
         await place.push(SOON)
-        control = place.node._control
+        control = place.node.decision_executor.controller
         control._items[int(A, 16)].grading = control._gradings["pay"]  # as one would by looking it up anew
         await place.pool.finish(A)
         await caller.answer()
@@ -114,7 +115,7 @@
         await place.running(caller, A, "pay")
         await place.pool.finish(A)
         await caller.answer()
-        control = place.node._control
+        control = place.node.decision_executor.controller
         control._weight, mean = 0.5, control._gradings["pay"].run
         await place.push(SOON)
         assert control._gradings["pay"].run is mean and mean._seen == 1 and control._weight <= 0.6
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -20,7 +20,7 @@
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.server import load_balancer_connection, resp, worker_pool_link
 from nickelslip.server.close_reasons import CloseReason
-from nickelslip.server.server import Phase
+from nickelslip.server.lifecycle import Phase
 from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, C, Failing, Place, until
 
@@ -244,7 +244,7 @@
         await place.up()
         idle, busy = await place.caller(), await place.caller()
         await place.running(busy, A)
-        place.node.idle_connection_timeout_ms = 50.0
+        place.node.advertised.idle_connection_timeout_ms = 50.0
         assert await idle.answer() == (0, "closing", {}, b"")
         await place.running(idle, B)
         await place.pool.finish(B)
@@ -646,8 +646,8 @@
                 name,
                 lambda self, now, *values, name=name, call=call: calls.append(name) or call(self, now, *values),
             )
-        place.node._wake = place.node.clock() - 1
-        place.node.call_requested(place.node.requests[int(A, 16)])
+        place.node.wake_schedule.wake_after(-1.0)
+        place.node.request_reports.call_requested(place.node.requests[int(A, 16)])
         assert calls == ["timer_fired", "call_requested"]
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from nickelslip.server import load_balancer_listener, resp
-from nickelslip.server.server import Phase
+from nickelslip.server.lifecycle import Phase
 from tests.helpers import A, B, Peer, Place, asking, until
 
 pytestmark = pytest.mark.anyio
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -34,7 +34,7 @@
         self._node, self._moved_ms = place.node, 0.0
 
     def advance(self, ms: float) -> None:
-        self._node._origin += ms
+        self._node._clock_offset_ms += ms
         self._moved_ms += ms
 
     def asking(self, ident: str, later_ms: float = 0.0, **fields: object) -> bytes:
