--- a/nickelslip/server/__main__.py
+++ b/nickelslip/server/__main__.py
@@ -1,8 +1,6 @@
-"""Entry point: python -m nickelslip.server, and the command nickelslip.
+"""Entry point of the command `nickelslip` and of `python -m nickelslip.server`."""
 
-Owns the first moments of the process: until the server listens for notices, they wait; and the short way to serving,
-which the platform takes. It must never do more.
-"""
+from __future__ import annotations
 
 import gc
 import os
@@ -11,14 +9,15 @@
 
 
 def run() -> None:
-    """A notice that comes while the program is still being read would end it, by the system's default. `serve` with one
-    file, named by the environment or by --config, needs no reading of arguments; all else goes by the command line."""
+    """Run the command line.
+
+    SIGHUP and SIGTERM are blocked first: during the imports they would end the process by the system's default. They
+    wait until the server handles signals. `serve` with a single file skips the imports of the command line.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
-    arguments, path = sys.argv[1:], os.environ.get("ROUTER_CONFIG", "")
-    if len(arguments) == 3 and arguments[1] == "--config":
-        arguments, path = arguments[:1], arguments[2]
-    if arguments == ["serve"] and len(path.split()) == 1:
-        gc.disable()  # until the start is over: what is imported stays
+    path = _single_path_to_serve(sys.argv[1:], os.environ.get("ROUTER_CONFIG", ""))
+    if path is not None:
+        gc.disable()  # until the server is built: what is imported stays
         from nickelslip.server.program import serve
 
         serve((path,))
@@ -27,5 +26,17 @@
     main(prog_name="nickelslip")
 
 
+def _single_path_to_serve(arguments: list[str], environment_path: str) -> str | None:
+    """Return the file to serve, if the arguments are `serve` with a single file from --config or the environment."""
+    match arguments:
+        case ["serve"]:
+            path = environment_path
+        case ["serve", "--config", argument_path]:
+            path = argument_path
+        case _:
+            return None
+    return path if len(path.split()) == 1 else None
+
+
 if __name__ == "__main__":
     run()
--- a/nickelslip/server/cli.py
+++ b/nickelslip/server/cli.py
@@ -1,28 +1,28 @@
 """The command line: serve, check, config, turns, version.
 
-Owns the arguments. What a sub-command needs is imported when it is asked for. It must never hold anything of a server.
+What a sub-command needs is imported when it is called.
 """
 
 from __future__ import annotations
 
 import signal
 from importlib.metadata import PackageNotFoundError
-from importlib.metadata import version as installed
+from importlib.metadata import version as installed_version
 
 import click
 
 import nickelslip
 
 
-class Program(click.Group):
-    """The sub-commands; those that `serve` does not need are imported when they are asked for."""
+class LazyGroup(click.Group):
+    """A group that imports the sub-commands `config` and `turns` when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All of them."""
+        """Return the names of all sub-commands."""
         return sorted([*super().list_commands(ctx), "config", "turns"])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """One of them."""
+        """Return the sub-command of this name, if there is one."""
         if name == "config":
             from nickelslip.configuration.commands import config
 
@@ -34,7 +34,7 @@
         return super().get_command(ctx, name)
 
 
-CONFIG = click.option(
+CONFIG_OPTION = click.option(
     "--config",
     "paths",
     envvar="ROUTER_CONFIG",
@@ -47,31 +47,31 @@
 
 
 @click.group(
-    cls=Program,
+    cls=LazyGroup,
     help="Admission and scheduling for the servers behind other people's balancers.",
     epilog="Exit codes: 0 done, 1 failed while serving, 2 a fault in the arguments or the configuration.",
 )
 def main() -> None:
-    """The program."""
+    """Run the command line."""
 
 
 @main.command(help="Serve until told to leave by SIGTERM or an interrupt.")
-@CONFIG
+@CONFIG_OPTION
 def serve(paths: tuple[str, ...]) -> None:
-    """One server."""
+    """Run a server with the configuration in these files."""
     from nickelslip.server import program
 
     program.serve(paths)
 
 
 @main.command(help="Check a configuration, and say what it is.")
-@CONFIG
+@CONFIG_OPTION
 def check(paths: tuple[str, ...]) -> None:
-    """A configuration without a server."""
+    """Check the configuration in these files, and print a summary."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGTERM})
     from nickelslip.server import program
 
-    config = program.loaded(paths)
+    config = program.load_or_exit(paths)
     settings = config.settings
     click.echo(
         f"{config.name}: {len(settings.traffic_classes)} service grades, {len(settings.tenants)} customers, "
@@ -81,8 +81,8 @@
 
 @main.command(help="Print the version.")
 def version() -> None:
-    """The version."""
+    """Print the version of the installed package, or of the source where it is not installed."""
     try:
-        click.echo(installed("nickelslip"))
+        click.echo(installed_version("nickelslip"))
     except PackageNotFoundError:
         click.echo(nickelslip.__version__)
--- a/nickelslip/server/close_reasons.py
+++ b/nickelslip/server/close_reasons.py
@@ -1,8 +1,4 @@
-"""How things end: every way in which a connection, a run or a call can end, and what each means to the module.
-
-Owns the one mapping from endings to the module's Outcome. It must never do I/O or choose what follows from an
-ending: that is the module's, or the caller's by the protocol.
-"""
+"""Why connections, runs and calls end, and the outcome that each of these means to the admission controller."""
 
 from __future__ import annotations
 
@@ -12,40 +8,56 @@
 
 
 class CloseReason(Enum):
-    """Every way in which a connection can end."""
+    """Why a connection ended."""
 
     CLOSED = "the other side closed it"
-    RESET = "it broke off"
-    MALFORMED = "what came on it could not be understood"
-    STALLED = "the other side stood still half way through a message, or did not read"
+    RESET = "the connection was reset"
+    MALFORMED = "a message could not be parsed"
+    STALLED = "the other side stopped half way through a message, or did not read"
     SHED = "no buffer or descriptor was left for it"
-    REFUSED = "it never came about"
-    IDLE = "unused for as long as it may stay, or not needed any more"
-    UNRESPONSIVE = "nothing whole came on it"
-    ENDPOINT_CHANGED = "the other side's address was replaced"
-    SHUTDOWN = "this server leaves"
+    REFUSED = "it was never established"
+    IDLE = "it was unused for too long, or is no longer needed"
+    UNRESPONSIVE = "no complete message arrived on it"
+    ENDPOINT_CHANGED = "the address of the other side was replaced"
+    SHUTDOWN = "this server shuts down"
     FAULT = "an error of this program"
 
     @property
     def outcome(self) -> Outcome:
-        """What became of work that was out on it: only one that never came about proves that nothing ran."""
+        """The outcome of work that was in flight on the connection.
+
+        Only a connection that was never established proves that nothing ran.
+        """
         return Outcome.CONNECT_FAILED if self is CloseReason.REFUSED else Outcome.RESET
 
 
 class ConnectionClosedError(Exception):
-    """A connection has ended, in the named way."""
+    """A connection has ended.
+
+    Args:
+        reason: Why it ended.
+        detail: What exactly happened, if there is more to say.
 
-    def __init__(self, ending: CloseReason, detail: str = "") -> None:
-        super().__init__(f"{ending.value}{': ' if detail else ''}{detail}")
-        self.reason, self.detail = ending, detail
+    Attributes:
+        reason: Why it ended.
+        detail: What exactly happened; empty if there is nothing more to say.
+    """
 
+    def __init__(self, reason: CloseReason, detail: str = "") -> None:
+        super().__init__(f"{reason.value}: {detail}" if detail else reason.value)
+        self.reason = reason
+        self.detail = detail
 
+
+# The words of the worker pool's protocol for the end of a run.
 RUN_OUTCOMES = {
     "fine": Outcome.OK,
     "fault": Outcome.ERROR,
     "broken_off": Outcome.CANCELLED,
     "late": Outcome.NOT_STARTED,
 }
+
+# The words of the records service's protocol for the end of a call.
 CALL_OUTCOMES = {
     b"DONE": Outcome.OK,
     b"WAIT": Outcome.REJECTED,
@@ -53,8 +65,9 @@
     b"PAST": Outcome.TIMEOUT,
     b"EMPTY": Outcome.NOT_STARTED,
 }
+
 ABANDONED_CALL_OUTCOME = Outcome.TIMEOUT
-MALFORMED_RESULT_OUTCOME = Outcome.ERROR  # a run that is over, and nobody can read how
-UNREADABLE_CALL_OUTCOME = Outcome.REJECTED  # one that was never made, since its body cannot be read
-NO_DESCRIPTOR_OUTCOME = Outcome.REJECTED  # one that was never made, since there is none left for calls
-UNKNOWN_START_OUTCOME = Outcome.ERROR  # a start that the worker pool does not know: no run, no result
+MALFORMED_RESULT_OUTCOME = Outcome.ERROR  # the run is over, and its result cannot be read
+UNREADABLE_CALL_OUTCOME = Outcome.REJECTED  # the call is never made, as its body cannot be read
+NO_DESCRIPTOR_OUTCOME = Outcome.REJECTED  # the call is never made, as no descriptor is left for calls
+UNKNOWN_START_OUTCOME = Outcome.ERROR  # the worker pool does not know the start: there is no run and no result
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,7 +10,7 @@
 
 from nickelslip.configuration.config import config_from_platform
 from nickelslip.server.cli import main
-from nickelslip.server.program import Lines
+from nickelslip.server.log_output import LogWriter
 from nickelslip.settings import MalformedSettingsError
 from tests.helpers import TOLD
 
@@ -101,7 +101,7 @@
 
 def test_a_log_that_nobody_reads_never_blocks_and_says_what_it_left_out():
     reader, writer = os.pipe()
-    lines = Lines(writer)
+    lines = LogWriter(writer)
     for _ in range(100):
         lines.msg('{"event":"' + "x" * 6000 + '"}')
     left = os.read(reader, 1 << 20)
