--- a/nickelslip/server/idempotency_table.py
+++ b/nickelslip/server/idempotency_table.py
@@ -1,158 +1,156 @@
-"""The table of remembered transactions.
+"""The idempotency table: it recognises duplicates of a request and gives them the result of the original one.
 
-Owns the keys, the transactions remembered by them and the results kept for repeats. It must never decide what is
-remembered, or for how long: that is the module's. Results are bounded by this process's memory.
+A request is a duplicate if a record is kept under its key that still serves it; see `IdempotencyRecord.serves`. The
+admission control says which requests are recorded and for how long. The results are bounded by this process's memory.
+When a result was evicted, duplicates with an idempotency key fail until the record expires; without such a key the
+record goes with its result, and the next request runs.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Callable
 
-from nickelslip.admission.interface import Outcome, RetrySafety
+from nickelslip.admission.interface import Outcome
+from nickelslip.server.idempotency_record import IdempotencyRecord, RecordEvent, fingerprint_of, uses_idempotency_key
 from nickelslip.server.requests import Request, RunFinished
+from nickelslip.server.result_cache import IdempotencyKey, ResultCache
 
-SLACK_MS = 50.0  # by which, by the protocol, every limit is longer on sockets: that on repeats, too
-
-PURGE_MS = 1000.0
-
-
-def _repeat(one: Request) -> RetrySafety:
-    return one.generation.retry_safety_by_class[one.received.traffic_class]
-
-
-def _fingerprint(one: Request) -> int:
-    """By which a true repeat is known from another transaction under its key. The process draws at its start what this
-    is reckoned with, so that nobody can have another body pass."""
-    return hash((one.received.body, one.received.tenant))
-
-
-class IdempotencyRecord:
-    """A remembered transaction: itself while it is not over, and then what is left of it."""
-
-    __slots__ = ("number", "fingerprint", "referenced", "holder", "until", "unread_ms", "result")
-
-    def __init__(self, holder: Request) -> None:
-        self.number, self.fingerprint = holder.number, _fingerprint(holder)
-        self.referenced = _repeat(holder) is RetrySafety.IDEMPOTENCY_KEY
-        self.holder: Request | None = holder
-        self.until = 0.0
-        self.unread_ms = holder.generation.longest_timeout_ms  # a repeat that came in time may lie unread for so long
-        self.result: bytes | None = None
-
-    def serves(self, one: Request, now: float) -> bool:
-        """Whether this one comes within its time. A referenced one is a repeat by when it came, and not by when it is
-        read; and as long as the first try's run is out, or in doubt."""
-        if not self.referenced:
-            return now < self.until
-        return self.holder is not None or min(one.received.received_at_ms, now) <= self.until + SLACK_MS
-
-    def lapsed(self, now: float) -> bool:
-        """Whether nothing that may still be read can be served by it."""
-        if not self.referenced:
-            return self.until <= now
-        return self.holder is None and self.until + SLACK_MS + self.unread_ms < now
+PURGE_INTERVAL_MS = 1000.0
 
 
 class IdempotencyTable:
-    """Keys and the transactions remembered by them, as the module says; results are bounded by this process's
-    memory, and a repeat whose result was let go is answered with a failure, never run."""
+    """Records by their keys, and the cache of results.
+
+    Args:
+        clock: Returns the Unix time in milliseconds.
+        max_result_bytes: Upper bound of the sum of the cached results' sizes.
+    """
 
-    def __init__(self, clock: Callable[[], float], result_bytes: float) -> None:
+    def __init__(self, clock: Callable[[], float], max_result_bytes: float) -> None:
         self._clock = clock
-        self._entries: dict[tuple[str, str], IdempotencyRecord] = {}
-        self._kept: OrderedDict[tuple[str, str], int] = OrderedDict()
-        self._bytes, self._bytes_most = 0, result_bytes
-        self._purge_at = 0.0
-
-    def _key(self, one: Request) -> tuple[str, str] | None:
-        return None if one.received.key is None else (one.received.traffic_class, one.received.key)
-
-    def _entry(self, one: Request) -> IdempotencyRecord | None:
-        key = self._key(one)
-        return self._entries.get(key) if key else None
-
-    def original_of(self, one: Request) -> IdempotencyRecord | None:
-        """The remembered transaction of which this is a repeat, or a like read whose answer still serves."""
-        entry = self._entry(one)
-        return entry if entry is not None and entry.serves(one, self._clock()) else None
-
-    def has_key_conflict(self, one: Request) -> bool:
-        """Whether its idempotency key stands for another transaction: a repeat has its first try's body and customer.
-        Joined, whoever has seen a key would be answered with what was never made for it."""
-        entry = self.original_of(one)
-        return entry is not None and entry.referenced and entry.fingerprint != _fingerprint(one)
-
-    def remember(self, one: Request, span_ms: float) -> None:
-        key = self._key(one)
+        self.records: dict[IdempotencyKey, IdempotencyRecord] = {}
+        self.results = ResultCache(max_result_bytes)
+        self._next_purge_at_ms = 0.0
+
+    def original_of(self, request: Request) -> IdempotencyRecord | None:
+        """Return the record of which the request is a duplicate, or None."""
+        record = self._record_of(request)
+        if record is None or not record.serves(request, self._clock()):
+            return None
+        return record
+
+    def has_key_conflict(self, request: Request) -> bool:
+        """Whether its idempotency key belongs to another request, with another body or tenant.
+
+        Such a request must not be coalesced: whoever has seen a key would get an answer made for somebody else.
+        """
+        record = self.original_of(request)
+        if record is None or not record.has_idempotency_key:
+            return False
+        return record.fingerprint != fingerprint_of(request)
+
+    def remember(self, request: Request, retention_ms: float) -> None:
+        """Keep a record of the request for so long from now on; a time of 0 or less forgets it.
+
+        A record under the same key that belongs to another request is replaced.
+        """
+        key = _key_of(request)
         if key is None:
             return
-        if span_ms <= 0:
-            self.forget(one)
-        elif _repeat(one) is RetrySafety.IDEMPOTENCY_KEY or one.generation.settings.response_cache_ms > 0:
-            entry = self._entries.get(key)
-            if entry is None or entry.number != one.number:
-                self._drop(key)
-                entry = self._entries[key] = IdempotencyRecord(one)
-            entry.until = self._clock() + span_ms
-
-    def forget(self, one: Request) -> None:
-        """It never ran, or is not to serve others: who comes under its key is the first."""
-        entry, key = self._entry(one), self._key(one)
-        if entry is not None and key is not None and entry.number == one.number:
-            self._drop(key)
-
-    def coalesce(self, one: Request) -> None:
-        """Let a repeat have its forerunner's result, now or when it is there."""
-        entry = self._entry(one)
-        if entry is not None and entry.holder is not None:
-            entry.holder.coalesced_requests.append(one)
-        elif entry is not None and entry.result is not None:
-            one.deliver(RunFinished(Outcome.OK, 0.0, entry.result))
+        if retention_ms <= 0:
+            self.forget(request)
+            return
+        if not _may_be_recorded(request):
+            return
+        record = self.records.get(key)
+        if record is None or record.number != request.number:
+            self._remove(key)
+            record = IdempotencyRecord(request)
+            self.records[key] = record
+        record.expires_at_ms = self._clock() + retention_ms
+
+    def forget(self, request: Request) -> None:
+        """Remove the record of a request that never ran or must not serve others: the next one under its key runs."""
+        key = _key_of(request)
+        record = self._record_of(request)
+        if key is not None and record is not None and record.number == request.number:
+            self._remove(key)
+
+    def coalesce(self, request: Request) -> None:
+        """Give a duplicate the result of its original request, now or as soon as there is one.
+
+        Without a result to come, or where it was evicted, the duplicate fails.
+        """
+        record = self._record_of(request)
+        if record is not None and record.original_request is not None:
+            record.original_request.coalesced_requests.append(request)
+            return
+        key = _key_of(request)
+        result = None if key is None else self.results.get(key)
+        if result is None:
+            request.deliver(RunFinished(Outcome.ERROR, 0.0))
         else:
-            one.deliver(RunFinished(Outcome.ERROR, 0.0))
-
-    def finish(self, one: Request, outcome: Outcome, body: bytes = b"") -> None:
-        """A transaction is over: what joined it learns how, and a good result is kept for those still to come."""
-        now = self._clock()
-        joiners, one.coalesced_requests = one.coalesced_requests, []
-        for each in joiners:
-            each.deliver(
-                RunFinished(Outcome.OK if outcome is Outcome.OK else Outcome.ERROR, now - each.coalesced_at_ms, body)
-            )
-        entry, key = self._entry(one), self._key(one)
-        if entry is None or key is None or entry.holder is not one:
+            request.deliver(RunFinished(Outcome.OK, 0.0, result))
+
+    def finish(self, request: Request, outcome: Outcome, body: bytes = b"") -> None:
+        """Note the end of a request: requests coalesced with it get the outcome, and a success is cached."""
+        now_ms = self._clock()
+        _deliver_to_coalesced(request, outcome, body, now_ms)
+        key = _key_of(request)
+        record = self._record_of(request)
+        if key is None or record is None or record.original_request is not request:
             return
-        entry.holder = None
         if outcome is Outcome.OK:
-            entry.result = body
-            self._kept[key] = len(body)
-            self._bytes += len(body)
-            if not entry.referenced:
-                entry.until = min(entry.until, now + one.generation.settings.response_cache_ms)
-            self._let_go()
-        elif not entry.referenced:
-            self._drop(key)
-
-    def _let_go(self) -> None:
-        """Results over what this process's memory has room for, the oldest first."""
-        while self._bytes > self._bytes_most:
-            old = next(iter(self._kept))
-            if self._entries[old].referenced:
-                self._bytes -= self._kept.pop(old)
-                self._entries[old].result = None
-            else:
-                self._drop(old)  # the next read of it simply runs
-
-    def _drop(self, key: tuple[str, str]) -> None:
-        self._entries.pop(key, None)
-        self._bytes -= self._kept.pop(key, 0)
+            record.apply(RecordEvent.ORIGINAL_SUCCEEDED)
+            if not record.has_idempotency_key:
+                cached_until_ms = now_ms + request.generation.settings.response_cache_ms
+                record.expires_at_ms = min(record.expires_at_ms, cached_until_ms)
+            self._cache_result(key, body)
+        elif record.has_idempotency_key:
+            record.apply(RecordEvent.ORIGINAL_FAILED)
+        else:
+            self._remove(key)
 
     def purge_expired(self) -> None:
-        """Drop what can serve nobody any more; a look through all of it at most once in a while."""
-        now = self._clock()
-        if now < self._purge_at:
+        """Remove the records that can serve nobody any more, looking through all at most every PURGE_INTERVAL_MS."""
+        now_ms = self._clock()
+        if now_ms < self._next_purge_at_ms:
             return
-        self._purge_at = now + PURGE_MS
-        for key in [key for key, entry in self._entries.items() if entry.lapsed(now)]:
-            self._drop(key)
+        self._next_purge_at_ms = now_ms + PURGE_INTERVAL_MS
+        expired = [key for key, record in self.records.items() if record.is_expired(now_ms)]
+        for key in expired:
+            self._remove(key)
+
+    def _record_of(self, request: Request) -> IdempotencyRecord | None:
+        key = _key_of(request)
+        return None if key is None else self.records.get(key)
+
+    def _cache_result(self, key: IdempotencyKey, result: bytes) -> None:
+        for evicted in self.results.store(key, result):
+            record = self.records[evicted]
+            if record.has_idempotency_key:
+                record.apply(RecordEvent.RESULT_EVICTED)
+            else:
+                del self.records[evicted]
+
+    def _remove(self, key: IdempotencyKey) -> None:
+        self.records.pop(key, None)
+        self.results.discard(key)
+
+
+def _key_of(request: Request) -> IdempotencyKey | None:
+    received = request.received
+    return None if received.key is None else IdempotencyKey(received.traffic_class, received.key)
+
+
+def _may_be_recorded(request: Request) -> bool:
+    return uses_idempotency_key(request) or request.generation.settings.response_cache_ms > 0
+
+
+def _deliver_to_coalesced(request: Request, outcome: Outcome, body: bytes, now_ms: float) -> None:
+    """Give every request that was coalesced with this one its outcome; anything but a success is a failure."""
+    duplicates = request.coalesced_requests
+    request.coalesced_requests = []
+    shared_outcome = Outcome.OK if outcome is Outcome.OK else Outcome.ERROR
+    for duplicate in duplicates:
+        duplicate.deliver(RunFinished(shared_outcome, now_ms - duplicate.coalesced_at_ms, body))
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -83,7 +83,7 @@
 
 
 async def test_a_repeat_that_came_in_its_window_and_lay_unread_past_it_is_still_one(monkeypatch):
-    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with Place() as place:
         short_window(place, 300.0)
         caller = await (await place.up()).caller()
@@ -98,13 +98,15 @@
 
 
 async def test_a_repeat_after_the_window_waits_for_a_run_that_is_still_out(monkeypatch):
-    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with Place() as place:
         short_window(place, 100.0)
         caller = await (await place.up()).caller()
         await place.running(caller, A, "book", opkey="k1", timeout=300)
         assert (await caller.answer())[1] == "error"  # it was due, and its run goes on
-        await until(lambda: place.node.clock() > next(iter(place.node.idempotency_table._entries.values())).until + 100)
+        await until(
+            lambda: place.node.clock() > next(iter(place.node.idempotency_table.records.values())).expires_at_ms + 100
+        )
         await caller.ask(B, "book", opkey="k1", resent=1)
         await until(lambda: len(place.node.requests) == 2)
         assert not place.pool.told("spawn", B)
@@ -114,7 +116,7 @@
 
 
 async def test_what_can_serve_no_repeat_any_more_is_let_go(monkeypatch):
-    monkeypatch.setattr(idempotency_table, "PURGE_MS", 0.0)
+    monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with Place() as place:
         short_window(place, 100.0)
         for grade in place.told["classes"]:
@@ -124,4 +126,6 @@
         await place.running(caller, A, "book", opkey="k1", timeout=200)
         await place.pool.finish(A, body=b"once")
         assert (await caller.answer())[1] == "done"
-        await until(lambda: not place.node.idempotency_table._entries and not place.node.idempotency_table._bytes)
+        await until(
+            lambda: not place.node.idempotency_table.records and not place.node.idempotency_table.results.size_bytes
+        )
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -842,14 +842,17 @@
 async def test_the_table_keeps_its_bound_and_a_result_that_was_let_go_is_never_run_again():
     async with Place() as place:
         caller = await (await place.up()).caller()
-        place.node.idempotency_table._bytes_most = 10
+        place.node.idempotency_table.results.max_bytes = 10
         for ident, key in ((A, "k1"), (B, "k2")):
             await place.running(caller, ident, "book", opkey=key)
             await place.pool.finish(ident, body=b"12345678")
             await caller.answer()
         await caller.ask(C, "book", opkey="k1", resent=1)
         assert (await caller.answer())[:2] == (3, "error") and not place.pool.told("spawn", C)
-        assert place.node.idempotency_table._bytes == 8 and place.node.generation.settings.idempotency_record_kb >= 20
+        assert (
+            place.node.idempotency_table.results.size_bytes == 8
+            and place.node.generation.settings.idempotency_record_kb >= 20
+        )
 
 
 # Leaving, and failing
