--- /dev/null
+++ b/nickelslip/server/connection_log.py
@@ -0,0 +1,48 @@
+"""Log lines about load balancers' connections, thinned out so that clients cannot flood the log.
+
+Of every kind of line only the 1st, 2nd, 4th, 8th ... is written.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+
+if TYPE_CHECKING:  # keeps imports at startup few
+    from nickelslip.server.interfaces import ServerContext
+
+
+class ConnectionLog:
+    """Counts and logs malformed requests and closed connections.
+
+    Args:
+        context: The server, whose log is written to.
+    """
+
+    def __init__(self, context: ServerContext) -> None:
+        self._context = context
+        self._malformed_count = 0
+        self._close_counts: Counter[CloseReason] = Counter()
+
+    def report_malformed_request(self, error: str) -> None:
+        """Log a request that could not be decoded."""
+        self._malformed_count += 1
+        if _is_power_of_two(self._malformed_count):
+            self._context.log.warning("malformed_request", error=error, count=self._malformed_count)
+
+    def report_close(self, closed: ConnectionClosedError) -> None:
+        """Log why a connection was closed, unless the other side plainly closed it; each reason counts by itself."""
+        if closed.reason is CloseReason.CLOSED:
+            return
+        self._close_counts[closed.reason] += 1
+        count = self._close_counts[closed.reason]
+        if _is_power_of_two(count):
+            self._context.log.info(
+                "load_balancer_connection_closed", reason=closed.reason.name, detail=closed.detail, count=count
+            )
+
+
+def _is_power_of_two(count: int) -> bool:
+    return count & (count - 1) == 0
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -23,7 +23,8 @@
 import nickelslip
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.loading import load
-from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
+from nickelslip.server.listening_socket import bind
+from nickelslip.server.load_balancer_listener import LoadBalancerListener
 from nickelslip.server.server import Server
 from nickelslip.settings import MalformedSettingsError
 
--- /dev/null
+++ b/nickelslip/server/tagged_requests.py
@@ -0,0 +1,169 @@
+"""The requests that are open on one connection, told apart by the tags that the load balancer gave them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+import anyio
+
+from nickelslip.admission.interface import RequestState
+from nickelslip.server.answer_encoder import (
+    CANCEL_VERB,
+    HEALTH_CHECK_VERB,
+    REQUEST_VERB,
+    encode_answer,
+    encode_health,
+)
+from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.request_decoder import InvalidFieldError, decode_request, tag_in
+from nickelslip.server.requests import Answer, ClientDisconnected, Request
+from nickelslip.server.streams import Stream
+
+if TYPE_CHECKING:  # keeps imports at startup few
+    from nickelslip.server.connection_log import ConnectionLog
+    from nickelslip.server.interfaces import RequestHandler
+
+MAX_OPEN_REQUESTS = 32  # on one connection
+
+
+class TaggedRequests:
+    """Handles the messages of one connection and writes the answers to it.
+
+    Each request lives in a task of its own and is answered on the connection that it came on.
+
+    Args:
+        server: Where decoded requests go.
+        stream: The connection's stream, to which answers are written.
+        log: Where malformed requests are reported.
+        on_valid_message: Called for each request that was accepted and each health check.
+        on_answered: Called when an answer to a request was written.
+
+    Attributes:
+        consecutive_refusal_count: Requests refused since the last one that was accepted.
+    """
+
+    def __init__(
+        self,
+        server: RequestHandler,
+        stream: Stream,
+        log: ConnectionLog,
+        on_valid_message: Callable[[], None],
+        on_answered: Callable[[], None],
+    ) -> None:
+        self._server = server
+        self._stream = stream
+        self._log = log
+        self._on_valid_message = on_valid_message
+        self._on_answered = on_answered
+        self._requests: dict[int, Request] = {}
+        self._drained = anyio.Event()  # set when no request is open any more
+        self.consecutive_refusal_count = 0
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def handle_message(self, parts: list[bytes]) -> None:
+        """Handle one complete message.
+
+        Raises:
+            ConnectionClosedError: The message has no tag, or that of an open request, so that no answer could be
+                assigned to it.
+        """
+        verb = parts[0]
+        tag = tag_in(parts)
+        if not tag:
+            raise ConnectionClosedError(CloseReason.MALFORMED, "no tag")
+        if verb == CANCEL_VERB:
+            self._cancel(tag)
+        elif tag in self._requests:
+            raise ConnectionClosedError(CloseReason.MALFORMED, f"tag {tag} is in use")
+        elif verb == HEALTH_CHECK_VERB:
+            self._answer_health_check(tag)
+        elif verb == REQUEST_VERB:
+            self._handle_request(tag, parts[2:])
+        else:
+            self.consecutive_refusal_count += 1
+            self._refuse(tag)
+
+    def refuse_malformed_message(self, parts: list[bytes]) -> None:
+        """Answer a message that cannot be parsed to its end, if its first parts hold a tag that can be answered."""
+        tag = tag_in(parts)
+        if tag and parts[0] != CANCEL_VERB and tag not in self._requests:
+            self._refuse(tag)
+
+    def abandon_all(self) -> None:
+        """Cancel every open request, as the connection has ended."""
+        for request in self._requests.values():
+            request.deliver(ClientDisconnected())
+        self._requests.clear()
+
+    async def wait_until_answered(self) -> None:
+        """Wait until no request is open, or the stream has ended."""
+        while self._requests and not self._stream.ending:
+            self._drained = anyio.Event()
+            await self._drained.wait()
+
+    def _cancel(self, tag: int) -> None:
+        """Cancel a request of which the client has disconnected; it is not answered any more."""
+        request = self._requests.pop(tag, None)
+        if request is not None:
+            request.deliver(ClientDisconnected())
+            self._notify_if_drained()
+
+    def _answer_health_check(self, tag: int) -> None:
+        self._on_valid_message()
+        self._stream.write(encode_health(tag, self._server.is_healthy, self._server.advertised_weight))
+
+    def _handle_request(self, tag: int, parts: list[bytes]) -> None:
+        """Open a request or refuse it; it is refused also where an unexpected error is raised."""
+        is_accepted = False
+        try:
+            is_accepted = self._open(tag, parts)
+        except InvalidFieldError as error:
+            self._log.report_malformed_request(str(error))
+        finally:
+            if is_accepted:
+                self.consecutive_refusal_count = 0
+            else:
+                self.consecutive_refusal_count += 1
+                self._refuse(tag)
+
+    def _open(self, tag: int, parts: list[bytes]) -> bool:
+        """Decode a request and hand it to the server; return whether the server accepted it.
+
+        Raises:
+            InvalidFieldError: The request is malformed, or too many are open.
+        """
+        if len(self._requests) >= MAX_OPEN_REQUESTS:
+            raise InvalidFieldError("more than may be open")
+        generation = self._server.generation  # the request keeps the one under which it was read
+        received = decode_request(
+            parts,
+            generation.retry_safety_by_class,
+            generation.tenant_names,
+            self._server.clock(),
+            generation.longest_timeout_ms,
+        )
+        request = Request(received, generation, lambda answer: self._answer(tag, answer))
+        self._requests[tag] = request
+        if not self._server.accept_request(request):
+            del self._requests[tag]
+            return False
+        self._on_valid_message()
+        return True
+
+    def _refuse(self, tag: int) -> None:
+        """Answer with a failure."""
+        self._answer(tag, Answer(RequestState.FAILED, self._server.advertised_weight))
+
+    def _answer(self, tag: int, answer: Answer) -> None:
+        """Write the answer to a request, which is then no longer open."""
+        self._requests.pop(tag, None)
+        self._stream.write(encode_answer(tag, answer))
+        self._on_answered()
+        self._notify_if_drained()
+
+    def _notify_if_drained(self) -> None:
+        if not self._requests:
+            self._drained.set()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,8 +37,9 @@
 from nickelslip.server import resp
 from nickelslip.server.configuration_manager import ConfigurationManager, begin
 from nickelslip.server.control_socket import ControlSocket
+from nickelslip.server.listening_socket import bind
 from nickelslip.server.load_balancer_connection import LoadBalancerConnection
-from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
+from nickelslip.server.load_balancer_listener import LoadBalancerListener
 from nickelslip.server.server import Phase, Server
 
 READ = TrafficClass("read", 1.0, 1000.0, 3000.0, RetrySafety.IDEMPOTENT, makes_calls=True, degraded_value_fraction=0.5)
@@ -673,7 +674,7 @@
         return next(
             (
                 each
-                for each in self.node.listeners[0]._connections
+                for each in self.node.listeners[0].table.connections
                 if not each.stream.ending and each.stream._sock.getpeername() == peer.name
             ),
             None,
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -23,7 +23,7 @@
 
 def rested(place: Place, peer: Peer, ago_ms: float) -> None:
     """Have its connection be one that was last used so long ago."""
-    place.connection_of(peer).used -= ago_ms
+    place.connection_of(peer).last_used_at_ms -= ago_ms
 
 
 async def resting(place: Place) -> Peer:
@@ -31,7 +31,7 @@
     peer = Peer(place.port)
     peer.send(STATUS)
     await until(
-        lambda: (side := place.connection_of(peer)) is not None and side.has_sent_complete_message and side.idle
+        lambda: (side := place.connection_of(peer)) is not None and side.has_sent_complete_message and side.is_idle
     )
     return peer
 
@@ -64,7 +64,7 @@
         peer.send(asking(A))  # the end has been sent and not been read
         got = await peer.to_the_end()  # and not a reset, which would take the first answer along
         assert b"healthy" in got and b"closing" in got and not place.pool.told("spawn", A)
-        await until(lambda: not front._connections)
+        await until(lambda: not front.table.connections)
 
 
 async def test_where_places_run_short_one_with_something_unread_is_not_the_one_to_go():
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_first_transaction_that_crosses_the_end_of_patience_is_answered_or_ends_plainly(order, monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 100.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 100.0)
     peers = []
     fill = Stream.fill
 
@@ -121,7 +121,7 @@
         if order == "after":
             assert await peer.to_the_end() == b"" and not place.pool.told("spawn", A)
         else:
-            await until(lambda: place.node.listeners[0]._connections)
+            await until(lambda: place.node.listeners[0].table.connections)
             with anyio.move_on_after(0.05):
                 await anyio.sleep(1)
             peer.send(asking(A))
@@ -135,11 +135,11 @@
         await place.up()
         front, peer, whole = place.node.listeners[0], await resting(place), asking(A)
         peer.send(whole[:20])
-        await until(lambda: any(each.stream.data is not None for each in front._connections))
+        await until(lambda: any(each.stream.data is not None for each in front.table.connections))
         rested(place, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
-        assert not front._make_room()
+        assert not front.table.make_room()
         peer.send(whole[20:])
         await until(lambda: place.pool.told("spawn", A))
         await place.pool.finish(A)
@@ -150,13 +150,13 @@
     async with Place() as place:
         await place.up()
         front, peer = place.node.listeners[0], await resting(place)
-        (connection,) = front._connections
+        (connection,) = front.table.connections
         connection.stream._keep(memoryview(b"rest of an answer"))
         rested(place, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
-        connection.cut_off(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
-        assert not front._make_room() and connection.parted is None
+        connection.begin_close(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
+        assert not front.table.make_room() and connection.close_began_at_ms is None
 
 
 # Those that linger
@@ -170,7 +170,8 @@
         second, third = await connected(place, first), Peer(place.port)
         third.send(STATUS)
         front._accept()
-        assert place.connection_of(first).parted and place.connection_of(third) is None  # it waits at the door
+        # the third waits at the door
+        assert place.connection_of(first).close_began_at_ms and place.connection_of(third) is None
         second.send(STATUS)
         assert b"healthy" in await second.until(b"healthy")
         assert b"healthy" in await third.until(b"healthy") and b"healthy" in await first.to_the_end()
@@ -180,7 +181,7 @@
     """A newcomer that is taken at once, for which another one has to go."""
     peer = Peer(place.port)
     place.node.listeners[0]._accept()
-    assert place.connection_of(peer) and place.connection_of(other).parted
+    assert place.connection_of(peer) and place.connection_of(other).close_began_at_ms
     return peer
 
 
@@ -192,7 +193,7 @@
         last = Peer(place.port)
         last.send(asking(A))
         await until(lambda: place.pool.told("spawn", A), 1.0)
-        assert len(place.node.listeners[0]._connections) <= 10
+        assert len(place.node.listeners[0].table.connections) <= 10
         await place.pool.finish(A)
         assert b"result" in await last.until(b"result")
         for each in crowd[:30]:
@@ -200,17 +201,17 @@
 
 
 async def test_those_whose_patience_ran_out_and_who_linger_are_not_taken_for_a_full_table(monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 50.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
     async with Place() as place:
         await place.up()
         place.share_out(balancers=10, lingering=10)
         front, rests = place.node.listeners[0], await resting(place)
         silent = [Peer(place.port) for _ in range(9)]  # more than are looked at for one that may go
-        await until(lambda: len(front._parting) == 9)  # they heard, and stay
+        await until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
         asks = Peer(place.port)
         asks.send(asking(A))
         await until(lambda: place.pool.told("spawn", A), 1.0)
-        assert place.connection_of(rests).parted is None  # who has asked before is not the one to go
+        assert place.connection_of(rests).close_began_at_ms is None  # who has asked before is not the one to go
         await place.pool.finish(A)
         assert b"result" in await asks.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -140,7 +140,7 @@
                     assert (await caller.answer(1.0))[:2] == (number, "done")
                 tasks.cancel_scope.cancel()
         assert place.clean is None and not place.node.requests
-        await until(lambda: len(place.node.listeners[0]._connections) == 1, 4.0)
+        await until(lambda: len(place.node.listeners[0].table.connections) == 1, 4.0)
 
 
 async def test_hundreds_withdrawn_at_once_leave_nothing_behind():
@@ -158,4 +158,4 @@
         await until(lambda: not place.node.requests)
         for peer in peers:
             peer.sock.close()
-        await until(lambda: not place.node.listeners[0]._connections)
+        await until(lambda: not place.node.listeners[0].table.connections)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,7 +18,7 @@
 import pytest
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.server import load_balancer_connection, resp, worker_pool_link
+from nickelslip.server import load_balancer_connection, resp, tagged_requests, worker_pool_link
 from nickelslip.server.close_reasons import CloseReason
 from nickelslip.server.server import Phase
 from nickelslip.server.streams import BUFFER_BYTES
@@ -303,7 +303,7 @@
             other = await place.caller()
             await other.send("STATUS", "1", "")
             assert (await other.answer())[1] == "healthy"
-            await until(lambda: len(place.node.listeners[0]._connections) == 1)
+            await until(lambda: len(place.node.listeners[0].table.connections) == 1)
         assert place.node.buffers._left > 900
 
 
@@ -323,8 +323,8 @@
 
 @pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
 async def test_a_first_message_and_the_rest_of_one_are_waited_for_only_so_long(begun, monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 150.0)
-    monkeypatch.setattr(load_balancer_connection, "SLOW_MESSAGE_MS", 75.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
+    monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
     async with Place() as place:
         await place.up()
         vars(place.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
@@ -345,7 +345,7 @@
 
 
 async def test_what_came_while_the_server_stood_still_is_not_late(monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_MS", 0.0)
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
     async with Place() as place:
         await place.up()
         with socket.create_connection(("127.0.0.1", place.port)) as there:
@@ -375,9 +375,9 @@
 async def test_nothing_but_faults_ends_the_connection():
     async with Place() as place:
         caller = await (await place.up()).caller()
-        for _ in range(load_balancer_connection.FAULTS_MOST + 1):
+        for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
             await caller.ask("bad")
-        for tag in range(1, load_balancer_connection.FAULTS_MOST + 2):
+        for tag in range(1, load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 2):
             assert (await caller.answer())[:2] == (tag, "error")
         assert await caller.ended()
 
@@ -925,7 +925,7 @@
         caller, other = await place.caller(), await place.caller()
         await place.running(caller, A)
         await place.running(other, B)
-        monkeypatch.setattr(load_balancer_connection, "decode_request", lambda *values: 1 / 0)
+        monkeypatch.setattr(tagged_requests, "decode_request", lambda *values: 1 / 0)
         await caller.ask(C)
         assert (await caller.answer())[:2] == (2, "error")
         for ident, each in ((A, caller), (B, other)):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -26,7 +26,9 @@
     peer = Peer(place.port)
     peer.send(STATUS)
     await until(
-        lambda: any(each.has_sent_complete_message and each.idle for each in place.node.listeners[0]._connections)
+        lambda: any(
+            each.has_sent_complete_message and each.is_idle for each in place.node.listeners[0].table.connections
+        )
     )
     return peer
 
@@ -108,7 +110,7 @@
     async with Place() as place:
         await place.up()
         rests, silent = await ready(place), Peer(place.port)
-        await until(lambda: len(place.node.listeners[0]._connections) == 2)
+        await until(lambda: len(place.node.listeners[0].table.connections) == 2)
         began = time.monotonic()
         place.node.begin_shutdown()
         got = await rests.to_the_end()  # a plain end, with all that it was told
@@ -122,7 +124,7 @@
     async with Place() as place:
         await place.up()
         peer, front = await ready(place), place.node.listeners[0]
-        (connection,) = front._connections
+        (connection,) = front.table.connections
         shut_down = connection.stream.shut_down
 
         def crossing(ending):
@@ -132,7 +134,7 @@
             if order == "before":
                 shut_down(ending)
 
-        part = connection.part
+        part = connection.close_if_idle
 
         def parting(ending):
             if order == "before" and not place.pool.seen_late:
@@ -141,7 +143,7 @@
             return part(ending)
 
         place.pool.seen_late = False
-        monkeypatch.setattr(connection, "part", parting)
+        monkeypatch.setattr(connection, "close_if_idle", parting)
         if order == "after":
             monkeypatch.setattr(connection.stream, "shut_down", crossing)
         place.node.begin_shutdown()
@@ -183,7 +185,7 @@
 async def test_an_answer_that_its_caller_is_slow_to_read_is_not_cut_off_while_there_is_time():
     async with Place(cpus=32, **{"memory-kb": 1e6}) as place:
         caller = await (await place.up()).caller()
-        (connection,) = place.node.listeners[0]._connections
+        (connection,) = place.node.listeners[0].table.connections
         sock = caller.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
         connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
@@ -192,7 +194,7 @@
             await place.running(caller, ident)
         for ident in idents:
             await place.pool.finish(ident, body=bytes(4096))
-        await until(lambda: not connection.stream.all_sent and not connection._open)
+        await until(lambda: not connection.stream.all_sent and not connection.requests)
         place.node.begin_shutdown()
         await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
         with anyio.move_on_after(0.2):
@@ -248,7 +250,7 @@
     async with Place() as place:
         await place.up()
         await ready(place)
-        monkeypatch.setattr(load_balancer_listener, "CROSSING_MS", 1e6)
+        monkeypatch.setattr(load_balancer_listener, "CLOSE_CROSSING_MS", 1e6)
         place.node.begin_shutdown()
         await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
         place.node.task_group.cancel_scope.cancel()
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -10,12 +10,12 @@
 import pytest
 
 from nickelslip.server import load_balancer_connection, resp
-from nickelslip.server.load_balancer_connection import SLOW_MESSAGE_MS
+from nickelslip.server.load_balancer_connection import MESSAGE_TIMEOUT_MS
 from tests.helpers import A, B, Peer, Place, asking, until
 
 pytestmark = pytest.mark.anyio
 STATUS = resp.message(b"STATUS", b"1")
-NEARLY_MS = SLOW_MESSAGE_MS - 100.0
+NEARLY_MS = MESSAGE_TIMEOUT_MS - 100.0
 
 
 @pytest.fixture
@@ -79,7 +79,7 @@
         other = await resting(place)
         other.send(clock.asking(B))  # keeps a server that leaves from ending before
         await until(lambda: place.pool.told("spawn", B))
-        clock.advance(SLOW_MESSAGE_MS + 500.0)
+        clock.advance(MESSAGE_TIMEOUT_MS + 500.0)
         if leaving:
             place.node.begin_shutdown()
         await send_in_pieces(place, peer, clock.asking(A), size)
@@ -114,13 +114,13 @@
         peer.send(first[20:] + second[:20])
         await served(place, peer, A)
         clock.advance(NEARLY_MS)
-        assert not place.node.listeners[0].slow_writers
+        assert not place.node.listeners[0].table.slow_writers
         peer.send(second[20:])
         await served(place, peer, B)
 
 
 async def test_one_that_stands_still_half_way_is_ended_by_the_longest_that_callers_wait(monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "SLOW_MESSAGE_MS", 50.0)
+    monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with Place(cpus=32) as place:
         await place.up()
         vars(place.node.generation)["longest_timeout_ms"] = 400.0
@@ -128,46 +128,48 @@
         begun = time.monotonic()
         peer.send(asking(A) + asking(B, tag=3)[:30])
         await until(lambda: place.pool.told("spawn", A))
-        await until(lambda: place.connection_of(peer) in place.node.listeners[0].slow_writers)
+        await until(lambda: place.connection_of(peer) in place.node.listeners[0].table.slow_writers)
         await anyio.sleep(0.5)
         assert (side := place.connection_of(peer)) is not None and side.stream.shut is None  # an answer is still owed
         await place.pool.finish(A)
         assert b"result" in await peer.to_the_end()
         assert time.monotonic() - begun >= 0.4
-        await until(lambda: not place.node.listeners[0].slow_writers and not place.node.listeners[0]._connections)
+        await until(
+            lambda: not place.node.listeners[0].table.slow_writers and not place.node.listeners[0].table.connections
+        )
 
 
 async def test_slow_messages_take_a_part_of_the_places_and_no_more(monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "SLOW_MESSAGE_MS", 50.0)
+    monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with Place(cpus=32) as place:
         await place.up()
         place.share_out(balancers=8)
         front, slow = place.node.listeners[0], [await resting(place) for _ in range(2)]
         for peer in slow:
             peer.send(STATUS[:10])
-        await until(lambda: len(front.slow_writers) == 2)
+        await until(lambda: len(front.table.slow_writers) == 2)
         beyond = await resting(place)
         beyond.send(STATUS[:10])
         assert await beyond.to_the_end(1.0) == b""
         slow[0].send(STATUS[10:])
         assert b"healthy" in await slow[0].until(b"healthy")
-        assert len(front.slow_writers) == 1
+        assert len(front.table.slow_writers) == 1
         late = await resting(place)
         late.send(STATUS[:10])
-        await until(lambda: place.connection_of(late) in front.slow_writers)
+        await until(lambda: place.connection_of(late) in front.table.slow_writers)
         for peer in (slow[1], late):
             peer.send(STATUS[10:])
             assert b"healthy" in await peer.until(b"healthy")
-        assert not front.slow_writers
+        assert not front.table.slow_writers
 
 
 async def test_a_connection_that_ends_half_way_is_no_slow_writer_any_more(monkeypatch):
-    monkeypatch.setattr(load_balancer_connection, "SLOW_MESSAGE_MS", 50.0)
+    monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with Place() as place:
         await place.up()
         front, peer = place.node.listeners[0], await resting(place)
         peer.send(STATUS[:10])
-        await until(lambda: front.slow_writers)
+        await until(lambda: front.table.slow_writers)
         with suppress(OSError):
             peer.sock.close()
-        await until(lambda: not front.slow_writers and not front._connections)
+        await until(lambda: not front.table.slow_writers and not front.table.connections)
