--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -129,7 +129,7 @@
         that senders who never finish theirs leave the rest to others.
         """
         place_count = self._context.generation.descriptor_shares.balancers
-        max_slow_writers = min(place_count, self._context.buffers.most) // SLOW_WRITER_DIVISOR
+        max_slow_writers = min(place_count, self._context.buffers.max_count) // SLOW_WRITER_DIVISOR
         if connection in self.slow_writers or len(self.slow_writers) >= max(1, max_slow_writers):
             return False
         self.slow_writers.add(connection)
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -12,8 +12,8 @@
 from anyio.abc import TaskGroup
 
 from nickelslip.configuration.generations import Generation
+from nickelslip.server.buffer_pool import BufferPool
 from nickelslip.server.requests import Request
-from nickelslip.server.streams import BufferPool
 from nickelslip.startup.slow_start import SlowStart
 
 
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -15,6 +15,7 @@
 
 from nickelslip.admission.interface import Outcome
 from nickelslip.configuration.config import Address
+from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.close_reasons import (
     CALL_OUTCOMES,
     NO_DESCRIPTOR_OUTCOME,
@@ -22,8 +23,9 @@
     CloseReason,
     ConnectionClosedError,
 )
+from nickelslip.server.connector import connect
 from nickelslip.server.requests import CallReturned, Request
-from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
+from nickelslip.server.streams import Stream
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
     from nickelslip.server.interfaces import ServerContext
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -33,11 +33,11 @@
 from nickelslip.configuration.config import Config, with_new_peer_addresses
 from nickelslip.configuration.generations import RESULTS_PART, Generation
 from nickelslip.configuration.request_metrics import RequestMetrics
+from nickelslip.server.buffer_pool import BUFFER_BYTES, BufferPool
 from nickelslip.server.directory_reporter import DirectoryReporter
 from nickelslip.server.idempotency_table import IdempotencyTable
 from nickelslip.server.records_client import RecordsClient
 from nickelslip.server.requests import FINAL_STATES, Answer, Request, run_request_lifecycle
-from nickelslip.server.streams import BUFFER_BYTES, BufferPool
 from nickelslip.server.worker_pool_link import WorkerPoolLink
 from nickelslip.settings import MalformedSettingsError
 from nickelslip.startup.slow_start import SlowStart, SlowStartPhase
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -1,235 +1,266 @@
-"""Sockets as this server uses them: non-blocking streams over a pool of buffers of one size.
+"""Non-blocking streams over sockets, which read into and write from a pool of buffers.
 
-Owns reading into a pooled buffer, writing at once with what does not fit kept in pooled buffers, and the end of a
-stream. A write never waits, so that what was decided leaves before anything else is. It must never know a
-protocol, and never hold more than the pool's bound.
+A write never waits, so that what was decided is sent before anything else is.
 """
 
 from __future__ import annotations
 
-import os
 import socket
-from collections import deque
 from collections.abc import Awaitable, Callable
 from math import inf
 
 import anyio
 from anyio.abc import TaskGroup
 
+from nickelslip.server.buffer_pool import BUFFER_BYTES, BufferPool
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.send_backlog import SendBacklog
 
-BUFFER_BYTES = 16 * 1024
-CONNECT_S = 1.0
-KEPT_PART = 4  # of the buffers, one in so many is kept for this server's own peers
-LINGER_S, LINGER_PAUSE_S = 0.5, 0.005
-PASSED_OVER = bytearray(4 * BUFFER_BYTES)  # where what nobody reads is put
+LINGER_TIMEOUT_S = 0.5
+LINGER_READ_PAUSE_S = 0.005
+DISCARDED = bytearray(4 * BUFFER_BYTES)  # receives what is read to be discarded
 
 
-class BufferPool:
-    """The pool: buffers are made on demand up to the bound, and used again. A part is kept for this server's own
-    peers, so that those who come in, however many, cannot take the worker pool or the records along."""
-
-    def __init__(self, most: int) -> None:
-        self._free: list[bytearray] = []
-        self.most = self._left = most
-        self._kept = most // KEPT_PART
-
-    def take(self, own: bool) -> bytearray:
-        if not own and len(self._free) + self._left <= self._kept:
-            raise ConnectionClosedError(CloseReason.SHED, "no buffer is left")
-        if self._free:
-            return self._free.pop()
-        if not self._left:
-            raise ConnectionClosedError(CloseReason.SHED, "no buffer is left")
-        self._left -= 1
-        return bytearray(BUFFER_BYTES)
-
-    def give(self, buffer: bytearray) -> None:
-        self._free.append(buffer)
+class Stream:
+    """One connected socket.
 
+    Args:
+        sock: The socket, which the stream closes.
+        buffers: The pool of buffers.
+        task_group: Where the task runs that sends the backlog.
+        stall_timeout_ms: How long the other side may pause in the middle of a message, or not read.
+        max_backlog_bytes: Unsent bytes over which `room` waits.
+        may_use_reserve: Whether the reserved buffers of the pool may be taken.
 
-class Stream:
-    """One connected socket. data[start:end] is what was read and not yet taken."""
+    Attributes:
+        data: A buffer in which `data[start:end]` was read and not yet taken, or None if there is nothing.
+        shut_down_reason: Why nothing more is sent, while the other side may still send; None before.
+        ending: Why the stream has ended; None before.
+    """
 
     def __init__(
         self,
         sock: socket.socket,
         buffers: BufferPool,
-        tasks: TaskGroup,
-        stall_ms: float,
-        backlog_most: int,
-        own: bool = False,
+        task_group: TaskGroup,
+        stall_timeout_ms: float,
+        max_backlog_bytes: int,
+        may_use_reserve: bool = False,
     ) -> None:
         sock.setblocking(False)
         if sock.family in (socket.AF_INET, socket.AF_INET6):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._sock, self._buffers, self._tasks = sock, buffers, tasks
-        self._stall_s, self._backlog_most, self._own = stall_ms / 1000, backlog_most, own
+        self._sock = sock
+        self._buffers = buffers
+        self._task_group = task_group
+        self._stall_timeout_ms = stall_timeout_ms
+        self._max_backlog_bytes = max_backlog_bytes
+        self._may_use_reserve = may_use_reserve
         self.data: bytearray | None = None
-        self.start = self.end = 0
-        self._out: deque[tuple[bytearray, int]] = deque()  # full ones but the last, and how much each holds
-        self._out_from = 0
-        self._room = anyio.Event()
-        self.shut: CloseReason | None = None  # why nothing more is sent, while the other side may still send
+        self.start = 0
+        self.end = 0
+        self._backlog = SendBacklog(buffers, may_use_reserve)
+        self._backlog_shrunk = anyio.Event()
+        self.shut_down_reason: CloseReason | None = None
         self.ending: CloseReason | None = None
 
     # Reading
 
     async def fill(self, wait_ms: float = inf) -> None:
-        """Wait until more was read; a buffer is held only while something in it is unfinished. What comes once nothing
-        more is sent is not read here: it could not be answered."""
-        if over := self.shut or self.ending:
-            raise ConnectionClosedError(over)
+        """Wait until more was read.
+
+        A buffer is held only while something in it is not taken. The wait may also end with nothing read.
+
+        Raises:
+            ConnectionClosedError: The other side closed or broke the connection, nothing came in time, the message is
+                too large, no buffer is left, or this side has ended the stream. What comes after `shut_down` is not
+                read here, as it could not be answered.
+        """
+        self._raise_if_over()
         if self.data is not None:
-            wait_ms = min(wait_ms, self._stall_s * 1000)
-        late = None
-        if wait_ms == inf:
-            await self._until(anyio.wait_readable)
-        else:
-            with anyio.move_on_after(max(0.0, wait_ms / 1000)) as wait:
-                await self._until(anyio.wait_readable)
-            if wait.cancelled_caught:  # unless this server stood still itself, and it has long been there
-                late = CloseReason.UNRESPONSIVE if self.data is None else CloseReason.STALLED
-        if over := self.shut or self.ending:
-            raise ConnectionClosedError(over)
-        if self.data is None:
-            self.data, self.start, self.end = self._buffers.take(self._own), 0, 0
-        elif self.start:
-            left = self.end - self.start
-            self.data[:left] = self.data[self.start : self.end]
-            self.start, self.end = 0, left
-        if self.end == BUFFER_BYTES:
-            raise ConnectionClosedError(CloseReason.MALFORMED, "a message over the size of a buffer")
-        try:
-            count = self._sock.recv_into(memoryview(self.data)[self.end :])
-        except (BlockingIOError, InterruptedError):
-            if late:
-                raise ConnectionClosedError(late) from None
-            count = -1
-        except OSError as error:
-            raise ConnectionClosedError(CloseReason.RESET, error.strerror or "") from None
-        if not count:
-            raise ConnectionClosedError(CloseReason.CLOSED)
-        self.end += max(count, 0)
-        self.take(0)
+            wait_ms = min(wait_ms, self._stall_timeout_ms)
+        timeout_reason = await self._wait_until_readable(wait_ms)
+        self._raise_if_over()
+        data = self._buffer_with_space()
+        self.end += self._receive(data, timeout_reason)
+        self._release_if_empty()
 
     def take(self, upto: int) -> None:
-        """All before `upto` has been understood."""
+        """Mark all before the index `upto` as understood."""
         self.start = max(self.start, upto)
-        if self.data is not None and self.start == self.end:
-            self._buffers.give(self.data)
-            self.data, self.start, self.end = None, 0, 0
+        self._release_if_empty()
 
     async def room(self) -> None:
         """Wait until the other side has read most of what it was sent."""
-        while len(self._out) * BUFFER_BYTES > self._backlog_most and not self.ending:
-            self._room = anyio.Event()
-            await self._room.wait()
+        while self._backlog.allocated_bytes > self._max_backlog_bytes and not self.ending:
+            self._backlog_shrunk = anyio.Event()
+            await self._backlog_shrunk.wait()
 
     async def linger(self) -> None:
-        """The rest of a lingering close: nothing more is sent, and what still comes is passed over until the other side
-        closes, for a moment; closed with something unread, the connection would take answers along that are on their
-        way. Whoever sends without end is read no faster than a little at a time, and not for long."""
+        """Finish a lingering close: discard what still comes until the other side closes, for LINGER_TIMEOUT_S at most.
+
+        A socket closed with something unread is reset, and answers on their way would be lost. The pauses bound the
+        work that a peer which sends without end can cause.
+        """
         self.shut_down(CloseReason.SHUTDOWN)
-        with anyio.move_on_after(LINGER_S):
+        with anyio.move_on_after(LINGER_TIMEOUT_S):
             try:
                 while not self.ending:
                     self.take(self.end)
-                    await self._until(anyio.wait_readable)
-                    if not self._sock.recv_into(PASSED_OVER):
+                    await self._wait_for(anyio.wait_readable)
+                    if not self._sock.recv_into(DISCARDED):
                         return
-                    await anyio.sleep(LINGER_PAUSE_S)
+                    await anyio.sleep(LINGER_READ_PAUSE_S)
             except (ConnectionClosedError, OSError):
                 return
 
-    async def _until(self, ready: Callable[[socket.socket], Awaitable[None]]) -> None:
+    @property
+    def quiet(self) -> bool:
+        """Whether the stream is open with nothing to be read, neither bytes nor its end."""
+        if self.shut_down_reason or self.ending or self.data is not None:
+            return False
+        try:
+            self._sock.recv(1, socket.MSG_PEEK)
+        except (BlockingIOError, InterruptedError):
+            return True
+        except OSError:
+            pass
+        return False
+
+    def _raise_if_over(self) -> None:
+        reason = self.shut_down_reason or self.ending
+        if reason is not None:
+            raise ConnectionClosedError(reason)
+
+    async def _wait_until_readable(self, wait_ms: float) -> CloseReason | None:
+        """Wait for something to read; return None, or the reason to close if the time is up."""
+        if wait_ms == inf:
+            await self._wait_for(anyio.wait_readable)
+            return None
+        with anyio.move_on_after(max(0.0, wait_ms / 1000)) as scope:
+            await self._wait_for(anyio.wait_readable)
+        if not scope.cancelled_caught:
+            return None
+        return CloseReason.UNRESPONSIVE if self.data is None else CloseReason.STALLED
+
+    async def _wait_for(self, ready: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
             await ready(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise ConnectionClosedError(self.shut or self.ending or CloseReason.RESET) from None
+            raise ConnectionClosedError(self.shut_down_reason or self.ending or CloseReason.RESET) from None
+
+    def _buffer_with_space(self) -> bytearray:
+        """Return the buffer to read into, with what is not taken moved to its front."""
+        if self.data is None:
+            self.data = self._buffers.take(self._may_use_reserve)
+            self.start = 0
+            self.end = 0
+        elif self.start:
+            remaining_bytes = self.end - self.start
+            self.data[:remaining_bytes] = self.data[self.start : self.end]
+            self.start = 0
+            self.end = remaining_bytes
+        if self.end == BUFFER_BYTES:
+            raise ConnectionClosedError(CloseReason.MALFORMED, "a message over the size of a buffer")
+        return self.data
+
+    def _receive(self, data: bytearray, timeout_reason: CloseReason | None) -> int:
+        """Read into the buffer and return the number of bytes; 0 where there was nothing to read after all.
+
+        The socket is read even when the time is up: if this server itself stood still, the bytes came in time.
+        """
+        try:
+            count = self._sock.recv_into(memoryview(data)[self.end :])
+        except (BlockingIOError, InterruptedError):
+            if timeout_reason is not None:
+                raise ConnectionClosedError(timeout_reason) from None
+            return 0
+        except OSError as error:
+            raise ConnectionClosedError(CloseReason.RESET, error.strerror or "") from None
+        if count == 0:
+            raise ConnectionClosedError(CloseReason.CLOSED)
+        return count
+
+    def _release_if_empty(self) -> None:
+        if self.start == self.end:
+            self._release()
+
+    def _release(self) -> None:
+        if self.data is None:
+            return
+        self._buffers.give(self.data)
+        self.data = None
+        self.start = 0
+        self.end = 0
 
     # Writing
 
+    @property
+    def all_sent(self) -> bool:
+        """Whether nothing is left to be sent."""
+        return self._backlog.is_empty
+
     def write(self, data: bytes) -> bool:
-        """Send at once what the socket takes; the rest follows from the backlog. Of an end the reader hears. False
-        proves that nothing of it has left."""
-        if self.shut or self.ending:
+        """Send at once what the socket takes; the rest follows from the backlog.
+
+        An error is not raised here: it ends the stream, and `fill` raises it. False proves that nothing was sent.
+        """
+        if self.shut_down_reason or self.ending:
             return False
-        sent = 0
-        if not self._out:
+        sent_bytes = 0
+        if self._backlog.is_empty:
             try:
-                sent = self._sock.send(data)
+                sent_bytes = self._sock.send(data)
             except (BlockingIOError, InterruptedError):
-                sent = 0
+                sent_bytes = 0
             except OSError:
                 self.end_with(CloseReason.RESET)
                 return False
-        if sent < len(data):
-            if not self._out:
-                self._tasks.start_soon(self._flush)
-            self._keep(memoryview(data)[sent:])
+        if sent_bytes < len(data):
+            self._enqueue(memoryview(data)[sent_bytes:])
         return True
 
-    def _keep(self, rest: memoryview) -> None:
-        while rest:
-            if not self._out or self._out[-1][1] == BUFFER_BYTES:
-                try:
-                    self._out.append((self._buffers.take(self._own), 0))
-                except ConnectionClosedError as ended:
-                    self.end_with(ended.reason)
-                    return
-            buffer, held = self._out[-1]
-            count = min(len(rest), BUFFER_BYTES - held)
-            buffer[held : held + count] = rest[:count]
-            self._out[-1] = buffer, held + count
-            rest = rest[count:]
+    def _enqueue(self, data: memoryview) -> None:
+        if self._backlog.is_empty:
+            self._task_group.start_soon(self._flush)
+        try:
+            self._backlog.append(data)
+        except ConnectionClosedError as closed:
+            self.end_with(closed.reason)
 
     async def _flush(self) -> None:
+        """Send the backlog until it is empty or the stream ends."""
+        timeout_s = None if self._stall_timeout_ms == inf else self._stall_timeout_ms / 1000
         try:
-            while self._out and not self.ending:
-                with anyio.fail_after(self._stall_s if self._stall_s < inf else None):
-                    await self._until(anyio.wait_writable)
+            while not self._backlog.is_empty and not self.ending:
+                with anyio.fail_after(timeout_s):
+                    await self._wait_for(anyio.wait_writable)
                 if self.ending:
                     return
-                buffer, held = self._out[0]
-                try:
-                    self._out_from += self._sock.send(memoryview(buffer)[self._out_from : held])
-                except (BlockingIOError, InterruptedError):
-                    continue
-                if self._out_from == held:
-                    self._buffers.give(self._out.popleft()[0])
-                    self._out_from = 0
-                    self._room.set()
+                self._send_backlog()
         except TimeoutError:
             self.end_with(CloseReason.STALLED)
         except (ConnectionClosedError, OSError):
             self.end_with(CloseReason.RESET)
 
-    @property
-    def quiet(self) -> bool:
-        """Whether it stands, with nothing to be read: neither bytes nor its end."""
-        if self.shut or self.ending or self.data is not None:
-            return False
+    def _send_backlog(self) -> None:
         try:
-            self._sock.recv(1, socket.MSG_PEEK)
+            sent_bytes = self._sock.send(self._backlog.next_data())
         except (BlockingIOError, InterruptedError):
-            return True
-        except OSError:
-            pass
-        return False
+            return
+        if self._backlog.mark_sent(sent_bytes):
+            self._backlog_shrunk.set()
 
-    @property
-    def all_sent(self) -> bool:
-        return not self._out
+    # Closing
 
-    # The end
+    def shut_down(self, reason: CloseReason) -> None:
+        """Begin a lingering close, in which nothing more is sent; to be called when all is sent.
 
-    def shut_down(self, ending: CloseReason) -> None:
-        """Begin a lingering close: say that nothing more is sent. Whoever reads the stream hears of the ending, and
-        goes on with linger(). To be called when all is sent; only the first one counts."""
-        if self.shut or self.ending:
+        `fill` raises the reason, and its caller goes on with `linger`. Only the first call counts.
+        """
+        if self.shut_down_reason or self.ending:
             return
-        self.shut = ending
+        self.shut_down_reason = reason
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -237,45 +268,13 @@
             return
         anyio.notify_closing(self._sock)
 
-    def end_with(self, ending: CloseReason) -> None:
-        """End the stream; whoever reads it hears of the ending. Only the first one counts."""
+    def end_with(self, reason: CloseReason) -> None:
+        """Close the socket at once and give all buffers back; `fill` raises the reason. Only the first call counts."""
         if self.ending:
             return
-        self.ending = ending
+        self.ending = reason
         anyio.notify_closing(self._sock)
         self._sock.close()
-        for buffer, _ in self._out:
-            self._buffers.give(buffer)
-        self._out.clear()
-        self._room.set()
-        if self.data is not None:
-            self._buffers.give(self.data)
-            self.data, self.start, self.end = None, 0, 0
-
-
-async def connect(
-    address: tuple[str, int], buffers: BufferPool, tasks: TaskGroup, backlog_most: int, stall_ms: float = inf
-) -> Stream:
-    """A stream to the address, which may stand still for so long half way through what it reads."""
-    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    try:
-        sock = socket.socket(family, socket.SOCK_STREAM)
-    except OSError as error:  # no descriptor is left
-        raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
-    try:
-        sock.setblocking(False)
-        try:
-            sock.connect(address)
-        except BlockingIOError:
-            with anyio.fail_after(CONNECT_S):
-                await anyio.wait_writable(sock)
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code:
-                raise OSError(code, os.strerror(code)) from None
-    except (OSError, TimeoutError) as error:
-        sock.close()
-        raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
-    except BaseException:
-        sock.close()
-        raise
-    return Stream(sock, buffers, tasks, stall_ms, backlog_most, own=True)
+        self._backlog.clear()
+        self._backlog_shrunk.set()
+        self._release()
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -21,6 +21,7 @@
 
 from nickelslip.admission.interface import Gauges, Outcome, Preemption, RequestState, RetrySafety
 from nickelslip.configuration.config import Address
+from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.close_reasons import (
     MALFORMED_RESULT_OUTCOME,
     RUN_OUTCOMES,
@@ -28,8 +29,9 @@
     CloseReason,
     ConnectionClosedError,
 )
+from nickelslip.server.connector import connect
 from nickelslip.server.requests import FINAL_STATES, CallRequested, Request, RunFinished
-from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
+from nickelslip.server.streams import Stream
 from nickelslip.startup.backoff import Backoff
 
 if TYPE_CHECKING:  # types only: a start is spared what it does not need
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -10,10 +10,10 @@
 import pytest
 
 from nickelslip.admission.interface import Outcome
-from nickelslip.server import requests, streams
+from nickelslip.server import connector, requests
+from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.records_client import PooledConnection
 from nickelslip.server.requests import CallReturned, RunFinished
-from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -141,7 +141,7 @@
         for each in knocked:
             each.setblocking(False)
             each.connect_ex(full.getsockname())
-        monkeypatch.setattr(streams, "CONNECT_S", 30.0)
+        monkeypatch.setattr(connector, "CONNECT_TIMEOUT_S", 30.0)
         async with Place(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as place:
             place.config["records"] = f"127.0.0.1:{full.getsockname()[1]}"
             place.renew()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -151,7 +151,7 @@
         await place.up()
         front, peer = place.node.listeners[0], await resting(place)
         (connection,) = front.table.connections
-        connection.stream._keep(memoryview(b"rest of an answer"))
+        connection.stream._backlog.append(memoryview(b"rest of an answer"))
         rested(place, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -19,9 +19,9 @@
 
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.server import load_balancer_connection, resp, tagged_requests, worker_pool_link
+from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.close_reasons import CloseReason
 from nickelslip.server.server import Phase
-from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, C, Failing, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -304,7 +304,7 @@
             await other.send("STATUS", "1", "")
             assert (await other.answer())[1] == "healthy"
             await until(lambda: len(place.node.listeners[0].table.connections) == 1)
-        assert place.node.buffers._left > 900
+        assert place.node.buffers._unallocated_count > 900
 
 
 async def test_a_flood_of_the_silent_does_not_crowd_out_one_that_has_just_asked():
@@ -667,7 +667,7 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A)
-        place.node.buffers._left = place.node.buffers._kept - len(place.node.buffers._free)
+        place.node.buffers._unallocated_count = place.node.buffers._reserved_count - len(place.node.buffers._free)
         other = await place.caller()
         await other.send("STATUS", "1", "")
         assert await other.ended()
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -130,7 +130,8 @@
         await until(lambda: place.pool.told("spawn", A))
         await until(lambda: place.connection_of(peer) in place.node.listeners[0].table.slow_writers)
         await anyio.sleep(0.5)
-        assert (side := place.connection_of(peer)) is not None and side.stream.shut is None  # an answer is still owed
+        side = place.connection_of(peer)
+        assert side is not None and side.stream.shut_down_reason is None  # an answer is still owed
         await place.pool.finish(A)
         assert b"result" in await peer.to_the_end()
         assert time.monotonic() - begun >= 0.4
