--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -16,6 +16,7 @@
 from nickelslip.configuration.generations import RESULTS_PART, Generation
 from nickelslip.configuration.request_metrics import RequestMetrics
 from nickelslip.server.advertised_state import AdvertisedState
+from nickelslip.server.buffer_pool import BUFFER_BYTES, BufferPool
 from nickelslip.server.call_limit import CallLimit, dependency_share_of
 from nickelslip.server.control_timer import ControlTimer, WakeSchedule
 from nickelslip.server.decision_executor import DecisionExecutor
@@ -30,7 +31,6 @@
 from nickelslip.server.request_reports import RequestReports
 from nickelslip.server.requests import Request, fail_requests
 from nickelslip.server.signals import SignalHandler
-from nickelslip.server.streams import BUFFER_BYTES, BufferPool
 from nickelslip.server.worker_pool_link import WorkerPoolLink
 from nickelslip.startup.slow_start import SlowStart
 
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -20,7 +20,8 @@
 from click.testing import CliRunner
 
 from benchmarks.watched import Witness, watch
-from nickelslip.admission.controller import AdmissionController, ClassStatistics
+from nickelslip.admission.class_statistics import ClassStatistics
+from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import control_client, history, loading, store
 from nickelslip.configuration.change_lifecycle import Denial, Denied, start_of
