--- a/nickelslip/configuration/history.py
+++ b/nickelslip/configuration/history.py
@@ -11,7 +11,7 @@
 
 import struct
 from collections.abc import Iterable
-from dataclasses import asdict, dataclass, fields
+from dataclasses import dataclass, replace
 from enum import Enum
 from typing import Any
 
@@ -33,6 +33,16 @@
     STARTED = "started"  # a start with a file that the history did not know: confirmed by being started with
 
 
+# The words and names of the file stay when a name in the code changes, and so does their order, which is the order
+# in which they are written.
+STORED_EVENTS = {
+    Event.APPLIED: "applied",
+    Event.CONFIRMED: "confirmed",
+    Event.ROLLED_BACK: "rolled back",
+    Event.REFUSED: "refused",
+    Event.STARTED: "started",
+}
+EVENTS_BY_STORED = {stored: event for event, stored in STORED_EVENTS.items()}
 IN_FORCE = (Event.CONFIRMED, Event.STARTED)
 
 
@@ -51,11 +61,46 @@
     base: str = ""  # the digest of the file's document at the start: another file wins over the history
 
 
+def _stored_from(record: Record) -> dict[str, Any]:
+    """Return a record as the object that is stored."""
+    return {
+        "at": record.at,
+        "event": STORED_EVENTS[record.event],
+        "generation": record.generation,
+        "digest": record.digest,
+        "origin": record.origin,
+        "since_ms": record.since_ms,
+        "reason": record.reason,
+        "document": record.document,
+        "base": record.base,
+    }
+
+
+def _record_from(stored: dict[str, Any]) -> Record:
+    """Return the record of a stored object; names that this version does not know are passed over.
+
+    Raises:
+        KeyError: a name is missing, or the event is not known.
+        TypeError: it is no object.
+    """
+    return Record(
+        at=stored["at"],
+        event=EVENTS_BY_STORED[stored["event"]],
+        generation=stored["generation"],
+        digest=stored["digest"],
+        origin=stored["origin"],
+        since_ms=stored["since_ms"],
+        reason=stored.get("reason", ""),
+        document=stored.get("document"),
+        base=stored.get("base", ""),
+    )
+
+
 def encoded(record: Record) -> bytes:
     """One record as it stands in the file."""
     import xxhash
 
-    body = orjson.dumps({**asdict(record), "event": record.event.value})
+    body = orjson.dumps(_stored_from(record))
     if len(body) > RECORD_MOST:
         raise ValueError(f"a record over {RECORD_MOST} bytes")
     return HEAD.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
@@ -75,7 +120,6 @@
         return [], 0
     records: list[Record] = []
     upto = len(MAGIC)
-    known = {each.name for each in fields(Record)}
     while upto + HEAD.size <= len(data):
         length, checksum = HEAD.unpack_from(data, upto)
         end = upto + HEAD.size + length
@@ -83,10 +127,7 @@
         if length > RECORD_MOST or end > len(data) or xxhash.xxh3_64_intdigest(body) != checksum:
             break
         try:
-            told = orjson.loads(body)
-            record = Record(
-                **{name: value for name, value in told.items() if name in known} | {"event": Event(told["event"])}
-            )
+            record = _record_from(orjson.loads(body))
         except (ValueError, TypeError, KeyError):
             break
         if records and record.at <= records[-1].at:
@@ -110,7 +151,5 @@
     out: list[Record] = []
     for each in sorted([*kept, *records[-KEPT_MOST:]], key=lambda record: record.at):
         bare = each in (force, earlier) or each.document is None
-        out.append(
-            each if bare else Record(**{**{f.name: getattr(each, f.name) for f in fields(Record)}, "document": None})
-        )
+        out.append(each if bare else replace(each, document=None))
     return out
--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,92 @@
+"""What an earlier version stored: this one reads it, and writes the same bytes (tests/data/README.md)."""
+
+import json
+from pathlib import Path
+
+import orjson
+import structlog
+import xxhash
+
+from nickelslip.configuration.generations import digest_of
+from nickelslip.configuration.history import HEAD, MAGIC, Event, Record, compacted, scanned, whole_file
+from nickelslip.configuration.store import Store
+from nickelslip.startup.crash_loop import Starts
+from nickelslip.startup.crash_loop_file import CrashFile
+
+DATA = Path(__file__).parent / "data"
+HISTORY = (DATA / "history").read_bytes()
+DOCUMENT = json.loads((DATA / "document.json").read_text())
+DIGEST = (DATA / "document.digest").read_text()
+CHANGED = {**DOCUMENT, "machine": {**DOCUMENT["machine"], "cores": 3}}
+CHANGED_DIGEST = "fe1b7b8c40edf69fc50d35992048f46d"
+RECORDS = [
+    Record(1, Event.STARTED, 1, DIGEST, "file", 1764720000000.0, "", DOCUMENT, DIGEST),
+    Record(2, Event.APPLIED, 2, CHANGED_DIGEST, "control socket", 1764720001000.25, "", CHANGED, DIGEST),
+    Record(
+        3,
+        Event.CONFIRMED,
+        2,
+        CHANGED_DIGEST,
+        "control socket",
+        1764720031000.5,
+        "confirmed by an operator",
+        CHANGED,
+        DIGEST,
+    ),
+    Record(4, Event.APPLIED, 3, DIGEST, "Müller", 1764720041000.125, "", DOCUMENT, DIGEST),
+    Record(5, Event.ROLLED_BACK, 3, DIGEST, "Müller", 1764720042000.0, "half of “payout” is lost", None, DIGEST),
+    Record(6, Event.REFUSED, 4, CHANGED_DIGEST, "SIGHUP", 1764720050000.0, "the server leaves", None, DIGEST),
+    Record(7, Event.REFUSED, 5, CHANGED_DIGEST, "SIGHUP", 1764720051000.0),
+]
+
+
+def file_of(*bodies):
+    """A history file of these bodies, as they stand."""
+    return MAGIC + b"".join(HEAD.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body for body in bodies)
+
+
+def test_a_stored_history_is_read_whole_and_written_with_the_same_bytes():
+    records, reached = scanned(HISTORY)
+    assert records == RECORDS and reached == len(HISTORY)
+    assert {record.event for record in records} == set(Event)
+    assert whole_file(records) == whole_file(RECORDS) == HISTORY
+
+
+def test_a_store_goes_on_with_a_stored_history_and_appends_the_same_bytes(tmp_path):
+    ends = [len(whole_file(RECORDS[:count])) for count in range(len(RECORDS) + 1)]
+    for count, end in enumerate(ends):
+        folder = tmp_path / str(count)
+        folder.mkdir()
+        (folder / "history").write_bytes(HISTORY[:end])
+        store = Store(str(folder), 256.0)
+        assert store.records == RECORDS[:count]
+        for record in RECORDS[count:]:
+            store.append(record)
+        store.close()
+        assert (folder / "history").read_bytes() == HISTORY
+
+
+def test_a_stored_history_is_compacted_to_the_same_bytes():
+    assert whole_file(compacted(scanned(HISTORY)[0])) == (DATA / "history.compacted").read_bytes()
+
+
+def test_names_that_are_not_known_are_passed_over_and_a_word_that_is_not_known_ends_the_reading():
+    stored = {"at": 7, "event": "refused", "generation": 5, "digest": "d", "origin": "o", "since_ms": 1.0}
+    known = Record(7, Event.REFUSED, 5, "d", "o", 1.0)
+    assert scanned(file_of(orjson.dumps({**stored, "later": 1})))[0] == [known]
+    assert scanned(file_of(orjson.dumps({**stored, "event": "REFUSED"}))) == ([], len(MAGIC))
+    for name in stored:
+        assert scanned(file_of(orjson.dumps({k: v for k, v in stored.items() if k != name}))) == ([], len(MAGIC))
+
+
+def test_the_digest_of_a_document_is_the_stored_one():
+    assert digest_of(DOCUMENT) == DIGEST == "96833e68fbbf41db6bc43383a9a1622e"
+    assert digest_of(CHANGED) == CHANGED_DIGEST
+
+
+def test_a_stored_starts_file_is_read_and_written_with_the_same_bytes(tmp_path):
+    log = structlog.get_logger()
+    starts = CrashFile(str(DATA), log).read()
+    assert starts == Starts(2, 1764720000123.5, True)
+    CrashFile(str(tmp_path), log).write(starts)
+    assert (tmp_path / "starts.json").read_bytes() == (DATA / "starts.json").read_bytes()
