--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.texts import encoded, own_document, tenant
 from nickelslip.admission.controller import AdmissionController, SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
-from nickelslip.configuration.change_lifecycle import RECORDS_MOST, Changes
+from nickelslip.configuration.change_lifecycle import MAX_RECORDS_IN_MEMORY, ChangeManager
 from nickelslip.configuration.document import Checker, Document, checked, config_from
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.json5_reader import Read, read_text
@@ -28,7 +28,7 @@
 
 SEED = 7
 KEPT_CHANGES = 1  # over which the memory of one more change is told
-FULL_CHANGES = RECORDS_MOST // 2 + 4  # each leaves two records, so that the history in memory is full by then
+FULL_CHANGES = MAX_RECORDS_IN_MEMORY // 2 + 4  # each leaves two records, so that the history in memory is full by then
 WORK_MS = 40.0  # of a run on a core
 LONG_MS = 600_000.0  # a quoted time so long that nothing held falls due within a measurement
 RING_BUCKETS = 16
@@ -59,7 +59,7 @@
 
     def __init__(self, whole: Document) -> None:
         generation = Generation(1, config_from(whole))
-        self.changes = Changes(generation, whole, [], digest_of(whole), 0.0)
+        self.changes = ChangeManager(generation, whole, [], digest_of(whole))
         self.control = AdmissionController(generation.settings, SEED, 0.0)
         self.now = 0.0
 
@@ -73,10 +73,10 @@
             Generation(0, change.config).settings, 0, 0.0
         )  # made for nothing, as the server proves a change
         self.changes.stage(self.now, change)
-        begun, _ = self.changes.begin(self.now)
+        begun, _ = self.changes.begin_applying(self.now)
         assert begun.generation is not None
         self.control.settings_changed(self.now, begun.generation.settings)
-        if self.changes.applied(self.now) is None:  # on probation
+        if self.changes.mark_applied(self.now) is None:  # on probation
             self.changes.confirm(self.now, "benchmark")
 
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -11,7 +11,7 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import FEW_TENANTS, Measured, Series
-from nickelslip.configuration.control_protocol import FRAME_MOST
+from nickelslip.configuration.control_protocol import MAX_FRAME_BYTES
 from nickelslip.configuration.schema import NAMED_MOST
 from nickelslip.configuration.validation import BYTES_MOST
 
@@ -239,7 +239,7 @@
             "tenants_text_bytes",
             tenants,
             "bytes",
-            FRAME_MOST,
+            MAX_FRAME_BYTES,
             how="a bound of the control protocol",
             kind=BOUND,
         ),
--- a/nickelslip/configuration/change_lifecycle.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -1,429 +1,534 @@
-"""Changes: every change of configuration as a transaction of its own, from its draft to its confirmation or undoing.
+"""The lifecycle of configuration changes: from a draft to its confirmation or rollback.
 
-Owns the named steps of a change and the one function that moves it along them, the one place in which a change may be
-staged, which generation is in force and which one would be gone back to, and what the history is told. It has no
-clock, does no I/O and applies nothing itself: the shell asks it, carries out, and reports back.
+At most one change is staged, and at most one is being applied or in its canary period. A change is planned against the
+generation in force; if another one comes into force first, the change is superseded and rejected, never merged.
 
-At most one change is staged and at most one is being applied or on probation. A change is planned against the
-generation in force; if another has come into force meanwhile it is overtaken and refused, never merged.
+This module has no clock, does no I/O and applies nothing itself: its user carries out what it returns and reports back.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
 from enum import Enum
-from typing import Any
 
 from nickelslip.configuration.canary_analysis import Standing, Verdict
 from nickelslip.configuration.config import ChangeRules, Config
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation, digest_of
-from nickelslip.configuration.history import Event, Record, in_force
+from nickelslip.configuration.history import HistoryEvent, HistoryRecord
 from nickelslip.configuration.plan import Plan, plan_of
 
-RECORDS_MOST = 256  # kept in memory
-UNDONE_MOST = 64  # documents that are remembered as undone, the oldest forgotten first
-GONE_BACK_MOST = 8  # confirmed generations to which an operator can go back
+MAX_RECORDS_IN_MEMORY = 256
+MAX_ROLLED_BACK_DIGESTS = 64  # above it the oldest is forgotten
+MAX_EARLIER_GENERATIONS = 8  # confirmed ones to which an operator can go back
+MAX_DIFFERENCES_IN_MESSAGE = 5
 
 
-class Step(Enum):
-    """The steps of a change."""
+class ChangeState(Enum):
+    """The states of a change."""
 
-    DRAFTED = "read, and not looked at yet"
-    CHECKED = "good in itself, and planned against what is in force"
-    STAGED = "waits to be applied"
-    APPLYING = "is being put in force"
-    ON_PROBATION = "in force, and watched"
+    DRAFTED = "read, not validated yet"
+    VALIDATED = "valid, and planned against the generation in force"
+    STAGED = "waiting to be applied"
+    APPLYING = "being applied"
+    CANARY = "in force, in its canary period"
     CONFIRMED = "in force for good"
     ROLLED_BACK = "undone"
-    REFUSED = "never in force"
-
-
-ORDER: dict[Step, tuple[Step, ...]] = {
-    Step.DRAFTED: (Step.CHECKED, Step.REFUSED),
-    Step.CHECKED: (Step.STAGED, Step.REFUSED),
-    Step.STAGED: (Step.APPLYING, Step.REFUSED),
-    Step.APPLYING: (Step.ON_PROBATION, Step.CONFIRMED, Step.ROLLED_BACK),
-    Step.ON_PROBATION: (Step.CONFIRMED, Step.ROLLED_BACK),
-    Step.CONFIRMED: (),
-    Step.ROLLED_BACK: (),
-    Step.REFUSED: (),
+    REJECTED = "never in force"
+
+
+TRANSITIONS: Mapping[ChangeState, tuple[ChangeState, ...]] = {
+    ChangeState.DRAFTED: (ChangeState.VALIDATED, ChangeState.REJECTED),
+    ChangeState.VALIDATED: (ChangeState.STAGED, ChangeState.REJECTED),
+    ChangeState.STAGED: (ChangeState.APPLYING, ChangeState.REJECTED),
+    ChangeState.APPLYING: (ChangeState.CANARY, ChangeState.CONFIRMED, ChangeState.ROLLED_BACK),
+    ChangeState.CANARY: (ChangeState.CONFIRMED, ChangeState.ROLLED_BACK),
+    ChangeState.CONFIRMED: (),
+    ChangeState.ROLLED_BACK: (),
+    ChangeState.REJECTED: (),
+}
+
+# The words of the control socket, of `--json` and (in capitals) of the log: they stay when a name in the code changes.
+STATE_WORDS: Mapping[ChangeState, str] = {
+    ChangeState.DRAFTED: "drafted",
+    ChangeState.VALIDATED: "checked",
+    ChangeState.STAGED: "staged",
+    ChangeState.APPLYING: "applying",
+    ChangeState.CANARY: "on_probation",
+    ChangeState.CONFIRMED: "confirmed",
+    ChangeState.ROLLED_BACK: "rolled_back",
+    ChangeState.REJECTED: "refused",
 }
 
 
-class Denial(Enum):
-    """Why something was denied: stable words for machines."""
+class RejectionReason(Enum):
+    """Why something that was asked for is not done; the value is the text that is shown."""
 
-    NOTHING = "nothing differs from what is in force"
-    RESTART = "some of it needs a restart"
-    UNDONE = "this document was undone not long ago"
+    NO_DIFFERENCE = "nothing differs from what is in force"
+    NEEDS_RESTART = "some of it needs a restart"
+    RECENTLY_ROLLED_BACK = "this document was undone not long ago"
     BUSY = "another change is staged, being applied or on probation"
-    OVERTAKEN = "another generation has come into force since it was staged"
-    NONE = "there is no such change"
-    LEAVING = "the server leaves"
-    FAULTY = "the document is faulty"
-    UNPROVEN = "the module does not take it"
-    HISTORY = "the history cannot be written"
-    LATE = "its sender does not wait for it any more"
+    SUPERSEDED = "another generation has come into force since it was staged"
+    NOT_FOUND = "there is no such change"
+    SHUTTING_DOWN = "the server leaves"
+    INVALID_DOCUMENT = "the document is faulty"
+    CONTROLLER_ERROR = "the module does not take it"
+    HISTORY_UNAVAILABLE = "the history cannot be written"
+    EXPIRED = "its sender does not wait for it any more"
+
 
+class ChangeRejectedError(Exception):
+    """What was asked for is not done.
 
-class Denied(Exception):
-    """What was asked for is not done."""
+    Args:
+        reason: Why not.
+        detail: Figures or names that belong to the reason.
+    """
 
-    def __init__(self, denial: Denial, detail: str = "") -> None:
-        super().__init__(f"{denial.value}{': ' if detail else ''}{detail}")
-        self.denial, self.detail = denial, detail
+    def __init__(self, reason: RejectionReason, detail: str = "") -> None:
+        super().__init__(f"{reason.value}: {detail}" if detail else reason.value)
+        self.reason = reason
+        self.detail = detail
 
 
 @dataclass(eq=False)
-class Change:
-    """One transaction of configuration."""
+class ConfigurationChange:
+    """One change of the configuration.
+
+    Attributes:
+        number: Counts from 1 up in this process.
+        config: The configuration it leads to.
+        document: The whole document it leads to.
+        digest: The digest of the document.
+        origin: Where the change came from.
+        base_generation: The generation it was planned against.
+        plan: What differs from the base generation.
+        forced: Whether a recent rollback of the same document is disregarded.
+        state: Its state.
+        state_entered_at_ms: When it entered the state; moved on by time that does not count for the canary period.
+        reason: Why it entered the state.
+        generation: The generation made of it, once it is being applied.
+    """
 
     number: int
     config: Config
     document: Document
     digest: str
     origin: str
-    base: Generation  # against which it was planned
+    base_generation: Generation
     plan: Plan
-    drafted_ms: float
     forced: bool = False
-    step: Step = Step.DRAFTED
-    since_ms: float = 0.0  # in this step
+    state: ChangeState = ChangeState.DRAFTED
+    state_entered_at_ms: float = 0.0
     reason: str = ""
     generation: Generation | None = None
-    steps: list[tuple[Step, float]] = field(default_factory=list)
-
-    def as_dict(self) -> dict[str, Any]:
-        """For machines; the keys are stable."""
-        return {
-            "number": self.number,
-            "step": self.step.name.lower(),
-            "since_ms": self.since_ms,
-            "digest": self.digest,
-            "origin": self.origin,
-            "base": self.base.number,
-            "reason": self.reason,
-            "generation": self.generation.number if self.generation else None,
-            "plan": self.plan.as_dict(),
-            "forced": self.forced,
-        }
+
+    @property
+    def needs_canary_period(self) -> bool:
+        """Whether it has to be observed; changes of peer addresses or of the rules for changes alone do not."""
+        return not (self.plan.changes_peers_only or self.plan.changes_rules_only)
 
 
 @dataclass(frozen=True)
-class Held:
-    """A generation that was confirmed, with the document that made it."""
+class GenerationSnapshot:
+    """A generation with the document that it was made of."""
 
     generation: Generation
     document: Document
     digest: str
 
 
-class Changes:
-    """All changes of one server."""
+@dataclass(frozen=True)
+class ChangeStatus:
+    """What is in force, in progress and staged.
+
+    Attributes:
+        in_force: The generation in force.
+        confirmed_generation: Number of the last confirmed generation.
+        current: The change being applied or in its canary period.
+        staged: The staged change.
+        rolled_back_for_ms: How much longer each recently rolled back document is rejected, by its digest.
+    """
+
+    in_force: GenerationSnapshot
+    confirmed_generation: int
+    current: ConfigurationChange | None
+    staged: ConfigurationChange | None
+    rolled_back_for_ms: dict[str, float]
+
+
+class ChangeManager:
+    """All changes of one server, and the generations they lead to.
+
+    Args:
+        generation: The generation that the server starts with.
+        document: The document of that generation.
+        records: The records of the history.
+        file_digest: The digest of the document in the configuration files.
+        on_transition: Called with each change that has entered a state.
+
+    Attributes:
+        in_force: The generation in force.
+        staged: The staged change.
+        current: The change being applied or in its canary period.
+        file_digest: The digest of the document in the configuration files, stored with each record.
+        records: The latest records of the history.
+    """
 
     def __init__(
         self,
         generation: Generation,
         document: Document,
-        records: list[Record],
-        base: str,
-        now: float,
-        tell: Callable[[Change], None] = lambda change: None,
+        records: list[HistoryRecord],
+        file_digest: str,
+        on_transition: Callable[[ConfigurationChange], None] = lambda change: None,
     ) -> None:
-        self._confirmed: deque[Held] = deque([Held(generation, document, digest_of(document))], GONE_BACK_MOST)
-        self.in_force = self._confirmed[-1]
-        self.staged: Change | None = None
-        self.current: Change | None = None  # being applied, or on probation
-        self.base = base  # the digest of the file that the server was started with
-        self.records: deque[Record] = deque(records, RECORDS_MOST)
-        self._undone: dict[str, float] = {}
-        self._tell = tell
-        self._at = records[-1].at if records else 0
-        self._generations = max([generation.number, *(each.generation for each in records)])
-        self._changes = 0
+        first = GenerationSnapshot(generation, document, digest_of(document))
+        self._confirmed: deque[GenerationSnapshot] = deque([first], MAX_EARLIER_GENERATIONS)
+        self.in_force = first
+        self.staged: ConfigurationChange | None = None
+        self.current: ConfigurationChange | None = None
+        self.file_digest = file_digest
+        self.records: deque[HistoryRecord] = deque(records, MAX_RECORDS_IN_MEMORY)
+        self._rolled_back_until_ms: dict[str, float] = {}
+        self._on_transition = on_transition
+        self._last_sequence_number = records[-1].sequence_number if records else 0
+        self._last_generation_number = max([generation.number, *(record.generation for record in records)])
+        self._last_change_number = 0
         for record in records:
-            if record.event is Event.ROLLED_BACK:
-                self._remember_undone(record.digest, record.since_ms + self.rules.held_off_ms)
+            if record.event is HistoryEvent.ROLLED_BACK:
+                self._hold_off(record.digest, record.recorded_at_ms + self.rules.held_off_ms)
 
     @property
     def rules(self) -> ChangeRules:
         """The rules for changes that are in force."""
         return self.in_force.generation.config.changes
 
-    # Steps
-
-    def _enter(self, change: Change, step: Step, now: float, reason: str = "") -> None:
-        """The one place where a change goes from step to step."""
-        if step not in ORDER[change.step]:
-            raise RuntimeError(f"a change cannot go from {change.step.name} to {step.name}")
-        change.step, change.since_ms, change.reason = step, now, reason
-        change.steps.append((step, now))
-        self._tell(change)
-
-    def _record(self, event: Event, change: Change, now: float, reason: str = "") -> Record:
-        self._at += 1
-        held, document = self.in_force, None
-        if event is Event.APPLIED:
-            document = change.document
-        elif event is Event.CONFIRMED:
-            document = held.document  # peers may have moved since it was applied
-        record = Record(
-            self._at,
-            event,
-            change.generation.number if change.generation else 0,
-            change.digest,
-            change.origin,
-            now,
-            reason,
-            document,
-            self.base,
-        )
-        self.records.append(record)
-        return record
-
-    def _remember_undone(self, digest: str, until: float) -> None:
-        self._undone.pop(digest, None)
-        self._undone[digest] = until
-        while len(self._undone) > UNDONE_MOST:
-            del self._undone[next(iter(self._undone))]
-
-    def draft(self, now: float, config: Config, document: Document, origin: str, forced: bool = False) -> Change:
-        """A change to this document, checked and planned. Raises Denied, with the change refused."""
-        self._changes += 1
-        change = Change(
-            self._changes,
-            config,
-            document,
-            digest_of(document),
-            origin,
-            self.in_force.generation,
-            plan_of(self.in_force.document, document),
-            now,
-            forced,
+    # Drafting and staging
+
+    def draft(
+        self, now_ms: float, config: Config, document: Document, origin: str, forced: bool = False
+    ) -> ConfigurationChange:
+        """Return a validated change to this document.
+
+        Raises:
+            ChangeRejectedError: It changes nothing, needs a restart, or was rolled back recently.
+        """
+        self._last_change_number += 1
+        change = ConfigurationChange(
+            number=self._last_change_number,
+            config=config,
+            document=document,
+            digest=digest_of(document),
+            origin=origin,
+            base_generation=self.in_force.generation,
+            plan=plan_of(self.in_force.document, document),
+            forced=forced,
         )
-        if change.plan.empty:
-            raise self._refuse(change, now, Denied(Denial.NOTHING))
-        if change.plan.restart:
-            raise self._refuse(change, now, Denied(Denial.RESTART, "; ".join(map(str, change.plan.restart[:5]))))
-        until = self._undone.get(change.digest, now)
-        if until > now and not forced:
-            raise self._refuse(
-                change, now, Denied(Denial.UNDONE, f"refused for {(until - now) / 1000:.0f} s more unless forced")
-            )
-        self._enter(change, Step.CHECKED, now)
+        error = self._draft_error(change, now_ms)
+        if error is not None:
+            self._enter(change, ChangeState.REJECTED, now_ms, str(error))
+            raise error
+        self._enter(change, ChangeState.VALIDATED, now_ms)
         return change
 
-    def _refuse(self, change: Change, now: float, denied: Denied) -> Denied:
-        self._enter(change, Step.REFUSED, now, str(denied))
-        return denied
+    def _draft_error(self, change: ConfigurationChange, now_ms: float) -> ChangeRejectedError | None:
+        """Return why a draft is rejected, or None."""
+        if change.plan.is_empty:
+            return ChangeRejectedError(RejectionReason.NO_DIFFERENCE)
+        if change.plan.needing_restart:
+            named = change.plan.needing_restart[:MAX_DIFFERENCES_IN_MESSAGE]
+            return ChangeRejectedError(RejectionReason.NEEDS_RESTART, "; ".join(map(str, named)))
+        remaining_ms = self._rolled_back_until_ms.get(change.digest, now_ms) - now_ms
+        if remaining_ms > 0 and not change.forced:
+            detail = f"refused for {remaining_ms / 1000:.0f} s more unless forced"
+            return ChangeRejectedError(RejectionReason.RECENTLY_ROLLED_BACK, detail)
+        return None
 
-    def refuse(self, now: float, change: Change, denied: Denied) -> None:
-        """A change that was checked, or staged, is not to come into force."""
+    def reject(self, now_ms: float, change: ConfigurationChange, error: ChangeRejectedError) -> None:
+        """Reject a change that is validated or staged."""
         if self.staged is change:
             self.staged = None
-        self._enter(change, Step.REFUSED, now, str(denied))
+        self._enter(change, ChangeState.REJECTED, now_ms, str(error))
+
+    def stage(self, now_ms: float, change: ConfigurationChange) -> None:
+        """Stage a validated change.
 
-    def stage(self, now: float, change: Change) -> None:
-        """Put it into the one place where changes wait. Raises Denied where that is taken."""
+        Raises:
+            ChangeRejectedError: Another one is staged; this one is rejected.
+        """
         if self.staged is not None:
-            denied = Denied(Denial.BUSY, f"change {self.staged.number} is staged")
-            self.refuse(now, change, denied)
-            raise denied
+            error = ChangeRejectedError(RejectionReason.BUSY, f"change {self.staged.number} is staged")
+            self.reject(now_ms, change, error)
+            raise error
         self.staged = change
-        self._enter(change, Step.STAGED, now)
+        self._enter(change, ChangeState.STAGED, now_ms)
 
-    def drop(self, now: float) -> Change:
-        """Take the staged change out. Raises Denied where there is none."""
+    def discard_staged(self, now_ms: float) -> ConfigurationChange:
+        """Reject the staged change, and return it.
+
+        Raises:
+            ChangeRejectedError: None is staged.
+        """
         change = self.staged
         if change is None:
-            raise Denied(Denial.NONE, "nothing is staged")
-        self.refuse(now, change, Denied(Denial.NONE, "taken out by an operator"))
+            raise ChangeRejectedError(RejectionReason.NOT_FOUND, "nothing is staged")
+        self.reject(now_ms, change, ChangeRejectedError(RejectionReason.NOT_FOUND, "taken out by an operator"))
         return change
 
-    def begin(self, now: float, number: int | None = None) -> tuple[Change, Record]:
-        """Begin to apply the staged change: the record is to be written first, then the generation adopted, then
-        `applied` called. Raises Denied; a change that was overtaken is refused for good."""
-        change = self.staged
-        if change is None or number not in (None, change.number):
-            raise Denied(Denial.NONE, "nothing is staged" if change is None else f"change {change.number} is staged")
-        if self.current is not None:
-            raise Denied(Denial.BUSY, f"change {self.current.number} is {self.current.step.name.lower()}")
-        if change.base is not self.in_force.generation:
-            denied = Denied(Denial.OVERTAKEN)
-            self.refuse(now, change, denied)
-            raise denied
-        self.staged, self.current = None, change
-        self._generations += 1
-        change.generation = Generation(self._generations, change.config, change.origin, now)
-        self._enter(change, Step.APPLYING, now)
-        return change, self._record(Event.APPLIED, change, now)
+    # Applying
 
-    @property
-    def needs_probation(self) -> bool:
-        """Whether the current change has to be watched: peers' addresses and the rules for changes need not be."""
-        change = self.current
-        return change is not None and not (change.plan.links_only or change.plan.of_rules_only)
-
-    def applied(self, now: float) -> Record | None:
-        """The node has adopted the current change's generation. The record of its confirmation, where it needs no
-        probation."""
-        change = self._current(Step.APPLYING)
-        watched = self.needs_probation
+    def begin_applying(self, now_ms: float, number: int | None = None) -> tuple[ConfigurationChange, HistoryRecord]:
+        """Begin to apply the staged change, or the one of this number.
+
+        The caller writes the record, then adopts the change's generation, then calls `mark_applied`; or it calls
+        `mark_failed`.
+
+        Raises:
+            ChangeRejectedError: It is not staged, another one is in progress, or it was superseded and is rejected.
+        """
+        change = self._staged_change(number)
+        if self.current is not None:
+            detail = f"change {self.current.number} is {STATE_WORDS[self.current.state]}"
+            raise ChangeRejectedError(RejectionReason.BUSY, detail)
+        if change.base_generation is not self.in_force.generation:
+            error = ChangeRejectedError(RejectionReason.SUPERSEDED)
+            self.reject(now_ms, change, error)
+            raise error
+        self.staged = None
+        self.current = change
+        change.generation = self._next_generation(change.config, change.origin, now_ms)
+        self._enter(change, ChangeState.APPLYING, now_ms)
+        return change, self._record_change(HistoryEvent.APPLIED, change, now_ms, document=change.document)
+
+    def _staged_change(self, number: int | None) -> ConfigurationChange:
+        if self.staged is None:
+            raise ChangeRejectedError(RejectionReason.NOT_FOUND, "nothing is staged")
+        if number not in (None, self.staged.number):
+            raise ChangeRejectedError(RejectionReason.NOT_FOUND, f"change {self.staged.number} is staged")
+        return self.staged
+
+    def mark_applied(self, now_ms: float) -> HistoryRecord | None:
+        """Note that the generation of the current change has been adopted.
+
+        Returns:
+            The record of its confirmation where it needs no canary period, else None.
+        """
+        change = self._require_current(ChangeState.APPLYING)
         assert change.generation is not None
-        self.in_force = Held(change.generation, change.document, change.digest)
-        if watched:
-            self._enter(change, Step.ON_PROBATION, now)
+        self.in_force = GenerationSnapshot(change.generation, change.document, change.digest)
+        if change.needs_canary_period:
+            self._enter(change, ChangeState.CANARY, now_ms)
             return None
-        return self._confirm(change, now, "needs no probation")
+        return self._confirm(change, now_ms, "needs no probation")
 
-    def failed(self, now: float, reason: str) -> Record:
-        """The node could not adopt it, or the history could not take it: what was in force stays."""
-        change = self._current(Step.APPLYING)
+    def mark_failed(self, now_ms: float, reason: str) -> HistoryRecord:
+        """Note that the current change could not be applied; the generation in force stays."""
+        change = self._require_current(ChangeState.APPLYING)
         self.current = None
-        self._enter(change, Step.ROLLED_BACK, now, reason)
-        return self._record(Event.REFUSED, change, now, reason)
+        self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
+        return self._record_change(HistoryEvent.REJECTED, change, now_ms, reason)
 
-    def _current(self, *steps: Step) -> Change:
-        if self.current is None or self.current.step not in steps:
-            raise Denied(Denial.NONE, "no change is " + " or ".join(step.name.lower() for step in steps))
-        return self.current
+    # The canary period
 
-    # Probation
+    @property
+    def is_in_canary_period(self) -> bool:
+        """Whether the current change is in its canary period."""
+        return self.current is not None and self.current.state is ChangeState.CANARY
+
+    def next_state(self, now_ms: float, verdict: Verdict) -> ChangeState | None:
+        """Return the state that the current change is to enter after a look at it, or None if it is to stay.
 
-    def judged(self, now: float, verdict: Verdict) -> Step | None:
-        """What follows from a look at the change on probation: CONFIRMED or ROLLED_BACK is to be carried out, by
-        `confirm` or `roll_back`; None: it goes on."""
-        if self.current is None or self.current.step is not Step.ON_PROBATION:
+        The caller carries it out with `confirm` or `roll_back`. At the end of the longest canary period a change
+        against which nothing speaks is confirmed, even if little data speaks for it.
+        """
+        if self.current is None or self.current.state is not ChangeState.CANARY:
             return None
-        spent = now - self.current.since_ms
+        elapsed_ms = now_ms - self.current.state_entered_at_ms
         if verdict.standing is Standing.HARM:
-            return Step.ROLLED_BACK
-        if spent >= self.rules.probation_most_ms and verdict.standing is not Standing.SUSPECTED:
-            return Step.CONFIRMED  # nothing speaks against it, though little may speak for it
-        if spent >= self.rules.probation_ms and verdict.standing is Standing.NO_HARM:
-            return Step.CONFIRMED
+            return ChangeState.ROLLED_BACK
+        if elapsed_ms >= self.rules.probation_most_ms and verdict.standing is not Standing.SUSPECTED:
+            return ChangeState.CONFIRMED
+        if elapsed_ms >= self.rules.probation_ms and verdict.standing is Standing.NO_HARM:
+            return ChangeState.CONFIRMED
         return None
 
-    def unseen(self, span_ms: float) -> None:
-        """In this time nothing could be told of the change on probation: it lasts so much longer."""
-        if self.current is not None and self.current.step is Step.ON_PROBATION:
-            self.current.since_ms += span_ms
+    def extend_canary_period(self, span_ms: float) -> None:
+        """Extend the canary period by a time in which nothing could be observed."""
+        if self.current is not None and self.current.state is ChangeState.CANARY:
+            self.current.state_entered_at_ms += span_ms
+
+    def confirm(self, now_ms: float, reason: str) -> HistoryRecord:
+        """Confirm the change in its canary period; return the record to write.
 
-    def confirm(self, now: float, reason: str) -> Record:
-        """It stays in force; the record is to be written before anybody is told so. Raises Denied."""
-        return self._confirm(self._current(Step.ON_PROBATION), now, reason)
+        Raises:
+            ChangeRejectedError: No change is in its canary period.
+        """
+        return self._confirm(self._require_current(ChangeState.CANARY), now_ms, reason)
 
-    def _confirm(self, change: Change, now: float, reason: str) -> Record:
+    def _confirm(self, change: ConfigurationChange, now_ms: float, reason: str) -> HistoryRecord:
         self.current = None
         self._confirmed.append(self.in_force)
-        self._enter(change, Step.CONFIRMED, now, reason)
-        return self._record(Event.CONFIRMED, change, now, reason)
+        self._enter(change, ChangeState.CONFIRMED, now_ms, reason)
+        # not the change's own document: peers may have moved since it was applied
+        return self._record_change(HistoryEvent.CONFIRMED, change, now_ms, reason, self.in_force.document)
 
-    def roll_back(self, now: float, reason: str) -> tuple[Generation, Record]:
-        """The generation that was in force before comes back, the same value; it is to be adopted at once, and the
-        record written after. The document is refused for a time. Raises Denied where nothing is on probation."""
-        change = self._current(Step.ON_PROBATION)
+    def roll_back(self, now_ms: float, reason: str) -> tuple[Generation, HistoryRecord]:
+        """Roll the change in its canary period back; its document is rejected for a time.
+
+        Returns:
+            The generation to adopt at once (the very value that was in force before), and the record to write then.
+
+        Raises:
+            ChangeRejectedError: No change is in its canary period.
+        """
+        change = self._require_current(ChangeState.CANARY)
         self.current = None
         self.in_force = self._confirmed[-1]
-        self._remember_undone(change.digest, now + self.rules.held_off_ms)
-        self._enter(change, Step.ROLLED_BACK, now, reason)
-        return self.in_force.generation, self._record(Event.ROLLED_BACK, change, now, reason)
-
-    # Going back, and peers that move
-
-    def earlier(self, generation: int | None = None) -> Held:
-        """The confirmed generation of this number, or the one before that in force. Raises Denied."""
-        for held in reversed(self._confirmed):
-            if held is not self.in_force and generation in (None, held.generation.number):
-                return held
-        raise Denied(
-            Denial.NONE,
-            "no earlier generation is kept" if generation is None else f"generation {generation} is not kept",
-        )
-
-    def moved(self, now: float, config: Config, document: Document, origin: str) -> tuple[Generation, Record]:
-        """Peers' addresses that the platform has moved: in force at once, whatever is staged or on probation. What is
-        on probation stays so, with the new addresses, and what would be gone back to gets them, too."""
-        self._generations += 1
-        generation = Generation(self._generations, config, origin, now)
-        self.in_force = Held(generation, document, digest_of(document))
-        peers = {name: getattr(config, name) for name in ("pool", "records", "directory")}
+        self._hold_off(change.digest, now_ms + self.rules.held_off_ms)
+        self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
+        return self.in_force.generation, self._record_change(HistoryEvent.ROLLED_BACK, change, now_ms, reason)
+
+    # Earlier generations, and peers that move
+
+    def earlier_snapshot(self, generation: int | None = None) -> GenerationSnapshot:
+        """Return the confirmed generation of this number, or the one before that in force.
+
+        Raises:
+            ChangeRejectedError: It is not kept.
+        """
+        for snapshot in reversed(self._confirmed):
+            if snapshot is not self.in_force and generation in (None, snapshot.generation.number):
+                return snapshot
+        detail = "no earlier generation is kept" if generation is None else f"generation {generation} is not kept"
+        raise ChangeRejectedError(RejectionReason.NOT_FOUND, detail)
+
+    def move_peers(
+        self, now_ms: float, config: Config, document: Document, origin: str
+    ) -> tuple[Generation, HistoryRecord]:
+        """Put a configuration in force that differs in peer addresses alone, whatever is staged or in progress.
+
+        A change in its canary period stays there, with the new addresses; so does the generation to which it would be
+        rolled back.
+
+        Returns:
+            The generation to adopt at once, and the record to write then.
+        """
+        generation = self._next_generation(config, origin, now_ms)
+        self.in_force = GenerationSnapshot(generation, document, digest_of(document))
         if self.current is None:
             self._confirmed.append(self.in_force)
         else:
-            old = self._confirmed.pop()
-            back = {**old.document, "peers": document["peers"]}
-            self._confirmed.append(
-                Held(
-                    Generation(
-                        old.generation.number,
-                        replace(old.generation.config, **peers),
-                        old.generation.origin,
-                        old.generation.since_ms,
-                    ),
-                    back,
-                    digest_of(back),
-                )
-            )
-        last = self._confirmed[-1]
-        self._at += 1
-        record = Record(
-            self._at,
-            Event.CONFIRMED,
-            last.generation.number,
-            last.digest,
-            origin,
-            now,
-            "peers moved",
-            last.document,
-            self.base,
+            self._confirmed.append(_with_peers_of(self._confirmed.pop(), self.in_force))
+        confirmed = self._confirmed[-1]
+        record = self._add_record(
+            HistoryEvent.CONFIRMED,
+            generation=confirmed.generation.number,
+            digest=confirmed.digest,
+            origin=origin,
+            now_ms=now_ms,
+            reason="peers moved",
+            document=confirmed.document,
         )
-        self.records.append(record)
         return generation, record
 
-    # What is shown
+    # Status
+
+    def status(self, now_ms: float) -> ChangeStatus:
+        """Return what is in force, in progress and staged."""
+        return ChangeStatus(
+            in_force=self.in_force,
+            confirmed_generation=self._confirmed[-1].generation.number,
+            current=self.current,
+            staged=self.staged,
+            rolled_back_for_ms={
+                digest: until_ms - now_ms
+                for digest, until_ms in self._rolled_back_until_ms.items()
+                if until_ms > now_ms
+            },
+        )
 
-    def status(self, now: float) -> dict[str, Any]:
-        """For machines; the keys are stable."""
-        held = self.in_force
-        return {
-            "generation": held.generation.number,
-            "digest": held.digest,
-            "origin": held.generation.origin,
-            "since_ms": held.generation.since_ms,
-            "confirmed": self._confirmed[-1].generation.number,
-            "step": self.current.step.name.lower() if self.current else "confirmed",
-            "current": self.current.as_dict() if self.current else None,
-            "staged": self.staged.as_dict() if self.staged else None,
-            "undone": {digest: until - now for digest, until in self._undone.items() if until > now},
-        }
+    # Shared steps
+
+    def _enter(self, change: ConfigurationChange, state: ChangeState, now_ms: float, reason: str = "") -> None:
+        """Move a change to a state: the only place where its state is set."""
+        if state not in TRANSITIONS[change.state]:
+            raise RuntimeError(f"a change cannot go from {change.state.name} to {state.name}")
+        change.state = state
+        change.state_entered_at_ms = now_ms
+        change.reason = reason
+        self._on_transition(change)
+
+    def _require_current(self, state: ChangeState) -> ConfigurationChange:
+        """Return the current change if it is in this state, or raise ChangeRejectedError."""
+        if self.current is None or self.current.state is not state:
+            raise ChangeRejectedError(RejectionReason.NOT_FOUND, f"no change is {STATE_WORDS[state]}")
+        return self.current
 
+    def _next_generation(self, config: Config, origin: str, now_ms: float) -> Generation:
+        self._last_generation_number += 1
+        return Generation(self._last_generation_number, config, origin, now_ms)
 
-@dataclass(frozen=True)
-class Start:
-    """With what a server starts: the document, the generation's number and origin, and what the history is told."""
+    def _record_change(
+        self,
+        event: HistoryEvent,
+        change: ConfigurationChange,
+        now_ms: float,
+        reason: str = "",
+        document: Document | None = None,
+    ) -> HistoryRecord:
+        return self._add_record(
+            event,
+            generation=change.generation.number if change.generation else 0,
+            digest=change.digest,
+            origin=change.origin,
+            now_ms=now_ms,
+            reason=reason,
+            document=document,
+        )
 
-    document: Document
-    number: int
-    origin: str
-    record: Record | None
-
-
-def start_of(records: list[Record], file_document: Document, now: float) -> Start:
-    """What is in force at a start. The last confirmed generation of the history, as long as the file is the one it
-    was made over; another file is an operator's later word, and wins. What was applied and not confirmed, or undone,
-    is not in force any more, not even where the file says it by now."""
-    base = digest_of(file_document)
-    last = in_force(records)
-    tried = next((each.event for each in reversed(records) if each.digest == base), None)
-    distrusted = tried in (Event.APPLIED, Event.ROLLED_BACK, Event.REFUSED)
-    if last is not None and last.document is not None and (last.base == base or distrusted):
-        return Start(last.document, last.generation, f"history, {last.event.value}", None)
-    number = max((each.generation for each in records), default=0) + 1
-    at = records[-1].at + 1 if records else 1
-    return Start(
-        file_document, number, "file", Record(at, Event.STARTED, number, base, "file", now, "", file_document, base)
-    )
+    def _add_record(
+        self,
+        event: HistoryEvent,
+        *,
+        generation: int,
+        digest: str,
+        origin: str,
+        now_ms: float,
+        reason: str,
+        document: Document | None,
+    ) -> HistoryRecord:
+        """Append a record to those in memory, and return it to be written."""
+        self._last_sequence_number += 1
+        record = HistoryRecord(
+            sequence_number=self._last_sequence_number,
+            event=event,
+            generation=generation,
+            digest=digest,
+            origin=origin,
+            recorded_at_ms=now_ms,
+            reason=reason,
+            document=document,
+            file_digest=self.file_digest,
+        )
+        self.records.append(record)
+        return record
+
+    def _hold_off(self, digest: str, until_ms: float) -> None:
+        """Reject a document until a time, unless it is forced."""
+        self._rolled_back_until_ms.pop(digest, None)
+        self._rolled_back_until_ms[digest] = until_ms
+        while len(self._rolled_back_until_ms) > MAX_ROLLED_BACK_DIGESTS:
+            del self._rolled_back_until_ms[next(iter(self._rolled_back_until_ms))]
+
+
+def _with_peers_of(snapshot: GenerationSnapshot, other: GenerationSnapshot) -> GenerationSnapshot:
+    """Return a generation with the peer addresses of another one."""
+    old = snapshot.generation
+    new_config = other.generation.config
+    document = {**snapshot.document, "peers": other.document["peers"]}
+    config = replace(old.config, pool=new_config.pool, records=new_config.records, directory=new_config.directory)
+    generation = Generation(old.number, config, old.origin, old.created_at_ms)
+    return GenerationSnapshot(generation, document, digest_of(document))
--- a/nickelslip/configuration/control_client.py
+++ b/nickelslip/configuration/control_client.py
@@ -1,7 +1,7 @@
-"""The caller's side of the control protocol: one connection to one server's control socket.
+"""Client side of the control protocol: one connection to one server's control socket.
 
-Owns connecting, the choice of a version, and the bound on every wait. It must never wait without one, nor ask again by
-itself: whether a command that got no answer was carried out is for the caller to find out.
+Every wait is bounded. The client never repeats a command by itself: whether a command that got no reply was carried
+out is for the caller to find out.
 """
 
 from __future__ import annotations
@@ -13,40 +13,50 @@
 import anyio
 from anyio.abc import SocketStream
 
-from nickelslip.configuration.control_protocol import ControlProtocolError, Frames, framed, version_for
+from nickelslip.configuration.control_protocol import (
+    ControlProtocolError,
+    FrameDecoder,
+    encode_frame,
+    negotiate_version,
+)
 
-READ_SIZE = 64 * 1024
+READ_SIZE_BYTES = 64 * 1024
+DEFAULT_TIMEOUT_MS = 5000.0
 
 
 class ServerUnreachableError(Exception):
-    """No connection, no answer in time, or an answer that is none."""
+    """There is no connection, no reply in time, or something that is no reply."""
 
 
 class ControlClient:
-    """One server's control socket. Use as an asynchronous context."""
-
-    def __init__(self, path: str, wait_ms: float = 5000.0) -> None:
-        self._path, self._wait_s = path, wait_ms / 1000
-        self._frames, self._messages = Frames(), list[dict[str, Any]]()
-        self._numbers = count(1)
+    """A connection to one server's control socket, open inside an asynchronous context.
+
+    Args:
+        path: The control socket.
+        wait_ms: The timeout of connecting and of each message.
+
+    Attributes:
+        name: The server's name, known once connected.
+    """
+
+    def __init__(self, path: str, wait_ms: float = DEFAULT_TIMEOUT_MS) -> None:
+        self._path = path
+        self._timeout_s = wait_ms / 1000
+        self._decoder = FrameDecoder()
+        self._messages: list[dict[str, Any]] = []
+        self._request_ids = count(1)
         self._version = 0
         self.name = ""
 
     async def __aenter__(self) -> ControlClient:
-        self._stream: SocketStream
-        try:
-            with anyio.fail_after(self._wait_s):
-                self._stream = await anyio.connect_unix(self._path)
-        except (OSError, TimeoutError) as error:
-            raise ServerUnreachableError(
-                f"{self._path}: {getattr(error, 'strerror', None) or 'no answer in time'}"
-            ) from None
+        self._stream: SocketStream = await self._connect()
         try:
-            first = await self._next()
-            self._version, self.name = version_for(first), str(first.get("nickelslip", ""))
-        except ControlProtocolError as improper:
+            greeting = await self._receive()
+            self._version = negotiate_version(greeting)
+            self.name = str(greeting.get("nickelslip", ""))
+        except ControlProtocolError as error:
             await self._stream.aclose()
-            raise ServerUnreachableError(f"{self._path}: {improper}") from None
+            raise ServerUnreachableError(f"{self._path}: {error}") from None
         except ServerUnreachableError:
             await self._stream.aclose()
             raise
@@ -57,11 +67,20 @@
     ) -> None:
         await self._stream.aclose()
 
-    async def _next(self) -> dict[str, Any]:
+    async def _connect(self) -> SocketStream:
+        try:
+            with anyio.fail_after(self._timeout_s):
+                return await anyio.connect_unix(self._path)
+        except (OSError, TimeoutError) as error:
+            reason = getattr(error, "strerror", None) or "no answer in time"
+            raise ServerUnreachableError(f"{self._path}: {reason}") from None
+
+    async def _receive(self) -> dict[str, Any]:
+        """Return the next message of the server."""
         try:
-            with anyio.fail_after(self._wait_s):
+            with anyio.fail_after(self._timeout_s):
                 while not self._messages:
-                    self._messages += self._frames.feed(await self._stream.receive(READ_SIZE))
+                    self._messages += self._decoder.feed(await self._stream.receive(READ_SIZE_BYTES))
         except TimeoutError:
             raise ServerUnreachableError(f"{self._path}: no answer in time") from None
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -69,21 +88,31 @@
         return self._messages.pop(0)
 
     async def ask(self, do: str, **fields: Any) -> dict[str, Any]:
-        """The reply to one command. Raises Unreachable; then it may or may not have been carried out."""
-        ident = next(self._numbers)
+        """Return the reply to one command.
+
+        Raises:
+            ServerUnreachableError: No reply came; the command may or may not have been carried out.
+        """
+        request_id = next(self._request_ids)
+        request = {**fields, "protocol": self._version, "id": request_id, "do": do}
         try:
-            with anyio.fail_after(self._wait_s):
-                await self._stream.send(framed({**fields, "protocol": self._version, "id": ident, "do": do}))
-            while (reply := await self._next()).get("id") not in (ident, None):
-                pass
-        except ControlProtocolError as improper:
-            raise ServerUnreachableError(f"{self._path}: {improper}") from None
+            with anyio.fail_after(self._timeout_s):
+                await self._stream.send(encode_frame(request))
+            while True:
+                reply = await self._receive()
+                if reply.get("id") in (request_id, None):
+                    return reply
+        except ControlProtocolError as error:
+            raise ServerUnreachableError(f"{self._path}: {error}") from None
         except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             raise ServerUnreachableError(f"{self._path}: the command could not be sent") from None
-        return reply
 
 
-async def ask_once(path: str, do: str, wait_ms: float = 5000.0, **fields: Any) -> dict[str, Any]:
-    """One command on a connection of its own. Raises Unreachable."""
-    async with ControlClient(path, wait_ms) as control:
-        return await control.ask(do, **fields)
+async def ask_once(path: str, do: str, wait_ms: float = DEFAULT_TIMEOUT_MS, **fields: Any) -> dict[str, Any]:
+    """Return the reply to one command, sent on a connection of its own.
+
+    Raises:
+        ServerUnreachableError: No reply came; the command may or may not have been carried out.
+    """
+    async with ControlClient(path, wait_ms) as client:
+        return await client.ask(do, **fields)
--- a/nickelslip/configuration/control_protocol.py
+++ b/nickelslip/configuration/control_protocol.py
@@ -1,10 +1,9 @@
-"""The control protocol: frames, versions and bounds, for the daemon's socket and for whoever calls it.
+"""The control protocol: frames, versions and limits, for the control socket and for its clients.
 
-Owns the form of a message and the check of what a peer sends. It does no I/O and knows no command's meaning. A frame
-is its length (4 bytes, the most significant first) and so many bytes of JSON, one object. The server speaks first:
-`{"nickelslip": NAME, "protocol": [LEAST, MOST]}`. A request is `{"protocol": N, "id": ID, "do": COMMAND, ...}`; its
-reply has the same id and `"ok"`: true with the result, or false with `"code"` and `"text"`. Requests of one
-connection are answered in order.
+A frame is its length (4 bytes, big-endian) and so many bytes of JSON, one object. The server speaks first:
+`{"nickelslip": NAME, "protocol": [MIN, MAX]}`. A request is `{"protocol": N, "id": ID, "do": COMMAND, ...}`; its reply
+has the same id and `"ok"`: true with the result, or false with `"code"` and `"text"`. Requests of one connection are
+answered in order. This module does no I/O and does not interpret commands.
 """
 
 from __future__ import annotations
@@ -14,91 +13,119 @@
 
 import orjson
 
-LEAST, MOST = 1, 1  # versions of the protocol that this program speaks
-FRAME_MOST = 1 << 20
-HEAD = struct.Struct(">I")
-ID_MOST = 64
+MIN_VERSION, MAX_VERSION = 1, 1  # spoken by this program
+MIN_FRAME_BYTES = 2  # an empty object
+MAX_FRAME_BYTES = 1 << 20
+FRAME_HEADER = struct.Struct(">I")
+MAX_ID_LENGTH = 64
+INVALID_REQUEST_CODE = "improper"  # of a request that is malformed, whatever its command
 
 
 class ControlProtocolError(Exception):
-    """What a peer sent is no message of this protocol; the connection is of no more use."""
+    """The peer sent something that is no message of this protocol; the connection cannot be used any more."""
 
 
-class Frames:
-    """Bytes in, whole messages out; never more than one frame is kept."""
+class FrameDecoder:
+    """Splits received bytes into messages; buffers at most one incomplete frame.
 
-    def __init__(self, most: int = FRAME_MOST) -> None:
-        self._held, self._most = bytearray(), most
+    Args:
+        max_frame_bytes: The longest body that is accepted.
+    """
+
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self._buffer = bytearray()
+        self._max_frame_bytes = max_frame_bytes
 
     @property
-    def half(self) -> bool:
-        """Whether a message has begun and not ended."""
-        return bool(self._held)
+    def has_partial_frame(self) -> bool:
+        """Whether a frame has begun and not ended."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The messages that are whole now. Raises Improper."""
-        self._held += data
-        out: list[dict[str, Any]] = []
-        while len(self._held) >= HEAD.size:
-            (length,) = HEAD.unpack_from(self._held)
-            if not 2 <= length <= self._most:
-                raise ControlProtocolError(f"a frame of {length} bytes")
-            end = HEAD.size + length
-            if len(self._held) < end:
-                break
-            try:
-                message = orjson.loads(self._held[HEAD.size : end])
-            except ValueError as error:
-                raise ControlProtocolError(f"not JSON: {error}") from None
-            if not isinstance(message, dict):
-                raise ControlProtocolError("not an object")
-            del self._held[:end]
-            out.append(message)
-        return out
-
-
-def framed(message: dict[str, Any]) -> bytes:
-    """The bytes of one message. Raises Improper where it is over the bound."""
+        """Return the messages that are complete with these bytes.
+
+        Raises:
+            ControlProtocolError: A frame has a length out of bounds, or its body is no JSON object.
+        """
+        self._buffer += data
+        messages: list[dict[str, Any]] = []
+        while (message := self._next_message()) is not None:
+            messages.append(message)
+        return messages
+
+    def _next_message(self) -> dict[str, Any] | None:
+        """Remove the first message from the buffer; None if it is not complete."""
+        if len(self._buffer) < FRAME_HEADER.size:
+            return None
+        (length,) = FRAME_HEADER.unpack_from(self._buffer)
+        if not MIN_FRAME_BYTES <= length <= self._max_frame_bytes:
+            raise ControlProtocolError(f"a frame of {length} bytes")
+        end = FRAME_HEADER.size + length
+        if len(self._buffer) < end:
+            return None
+        try:
+            message = orjson.loads(self._buffer[FRAME_HEADER.size : end])
+        except ValueError as error:
+            raise ControlProtocolError(f"not JSON: {error}") from None
+        if not isinstance(message, dict):
+            raise ControlProtocolError("not an object")
+        del self._buffer[:end]
+        return message
+
+
+def encode_frame(message: dict[str, Any]) -> bytes:
+    """Return the frame of one message.
+
+    Raises:
+        ControlProtocolError: The message exceeds MAX_FRAME_BYTES.
+    """
     body = orjson.dumps(message)
-    if len(body) > FRAME_MOST:
+    if len(body) > MAX_FRAME_BYTES:
         raise ControlProtocolError(f"a message of {len(body)} bytes")
-    return HEAD.pack(len(body)) + body
+    return FRAME_HEADER.pack(len(body)) + body
+
 
+def encode_greeting(server_name: str) -> bytes:
+    """Return the frame with which the server opens a connection."""
+    return encode_frame({"nickelslip": server_name, "protocol": [MIN_VERSION, MAX_VERSION]})
 
-def hello(name: str) -> bytes:
-    """What the server says first."""
-    return framed({"nickelslip": name, "protocol": [LEAST, MOST]})
 
+def negotiate_version(greeting: dict[str, Any]) -> int:
+    """Return the newest version that the greeting's sender and this program both speak.
 
-def version_for(message: dict[str, Any]) -> int:
-    """The newest version that both sides speak, from the server's first message. Raises Improper."""
-    spoken = message.get("protocol")
-    if not isinstance(spoken, list) or len(spoken) != 2 or not all(isinstance(each, int) for each in spoken):
-        raise ControlProtocolError("no versions are told")
-    if spoken[0] > MOST or spoken[1] < LEAST:
+    Raises:
+        ControlProtocolError: There is none, or the greeting names no versions.
+    """
+    match greeting.get("protocol"):
+        case [int(server_min), int(server_max)]:
+            pass
+        case _:
+            raise ControlProtocolError("no versions are told")
+    if server_min > MAX_VERSION or server_max < MIN_VERSION:
         raise ControlProtocolError(
-            f"the server speaks versions {spoken[0]} to {spoken[1]}, this program {LEAST} to {MOST}"
+            f"the server speaks versions {server_min} to {server_max}, this program {MIN_VERSION} to {MAX_VERSION}"
         )
-    return int(min(spoken[1], MOST))
+    return int(min(server_max, MAX_VERSION))
 
 
-def request_fault(message: dict[str, Any]) -> str | None:
-    """What is wrong with a request, or None."""
-    version, ident, do = message.get("protocol"), message.get("id"), message.get("do")
-    if not isinstance(version, int) or isinstance(version, bool) or not LEAST <= version <= MOST:
-        return f"versions {LEAST} to {MOST} are spoken here"
-    if not isinstance(ident, str | int) or len(str(ident)) > ID_MOST:
+def request_error(message: dict[str, Any]) -> str | None:
+    """Return what is wrong with a request whatever its command, or None."""
+    version = message.get("protocol")
+    if not isinstance(version, int) or isinstance(version, bool) or not MIN_VERSION <= version <= MAX_VERSION:
+        return f"versions {MIN_VERSION} to {MAX_VERSION} are spoken here"
+    request_id = message.get("id")
+    if not isinstance(request_id, str | int) or len(str(request_id)) > MAX_ID_LENGTH:
         return "an id is needed"
-    if not isinstance(do, str):
+    if not isinstance(message.get("do"), str):
         return "a command is needed"
     return None
 
 
-def accepted(request: dict[str, Any], **result: Any) -> dict[str, Any]:
-    """A reply to a request that was done."""
+def success_reply(request: dict[str, Any], **result: Any) -> dict[str, Any]:
+    """Return the reply to a request that was carried out."""
     return {"id": request.get("id"), "ok": True, **result}
 
 
-def denied(request: dict[str, Any], code: str, text: str, **more: Any) -> dict[str, Any]:
-    """A reply to a request that was not done; the code is stable."""
-    return {"id": request.get("id"), "ok": False, "code": code, "text": text, **more}
+def error_reply(request: dict[str, Any], code: str, text: str, **details: Any) -> dict[str, Any]:
+    """Return the reply to a request that was not carried out; clients depend on the code."""
+    return {"id": request.get("id"), "ok": False, "code": code, "text": text, **details}
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -1,7 +1,7 @@
 """Generations: one immutable value for each configuration that was in force.
 
-Owns what a server derives from a configuration once, so that a transaction can keep the generation under which it was
-read to its end. It must never change after it was made, and holds no state of the server.
+A generation caches what a server derives from its configuration, so that a request can keep the generation under which
+it was read until its end. It holds no state of the server.
 """
 
 from __future__ import annotations
@@ -17,70 +17,82 @@
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.descriptors import CHANGES, Shares, shares_of
 
-RESULTS_PART = 1 / 4  # of this process's memory, for results that repeats may still ask for
-ENTRY_KB = 6.0  # an entry of the table in this process, with a result of the largest size
+CACHED_RESPONSES_MEMORY_FRACTION = 1 / 4  # of this process's memory, for responses that retries may still ask for
+CACHED_RESPONSE_KB = 6.0  # an idempotency record in this process, with a response of the maximum size
+KB_PER_MB = 1024
 
 
 @dataclass(frozen=True, eq=False)
 class Generation:
-    """One configuration in force: its number, where it came from, and when it was made (Unix milliseconds)."""
+    """One configuration in force.
+
+    Attributes:
+        number: Counts from 1 up over the life of the history.
+        config: The configuration.
+        origin: Where the configuration came from.
+        created_at_ms: Unix time at which the generation was made.
+    """
 
     number: int
     config: Config
     origin: str = "start"
-    since_ms: float = 0.0
+    created_at_ms: float = 0.0
 
     @cached_property
     def settings(self) -> Settings:
-        """As the module gets them: a table's entry is counted so large that its bound keeps this process's memory,
-        too."""
+        """The settings for the admission controller.
+
+        An idempotency record is counted large enough for the bound on the table to keep this process's memory, too.
+        """
         config = self.config
-        entries_most = config.memory_mb * 1024 * RESULTS_PART / ENTRY_KB
+        max_records = config.memory_mb * KB_PER_MB * CACHED_RESPONSES_MEMORY_FRACTION / CACHED_RESPONSE_KB
         return replace(
             config.settings,
-            idempotency_record_kb=max(config.settings.idempotency_record_kb, config.settings.memory_kb / entries_most),
+            idempotency_record_kb=max(config.settings.idempotency_record_kb, config.settings.memory_kb / max_records),
         )
 
     @cached_property
     def retry_safety_by_class(self) -> Mapping[str, RetrySafety]:
-        """What may happen a second time to transactions of each grade."""
-        return MappingProxyType({grade.name: grade.retry_safety for grade in self.config.settings.traffic_classes})
+        """Whether requests of a traffic class may be executed twice, by the name of the class."""
+        classes = self.config.settings.traffic_classes
+        return MappingProxyType({traffic_class.name: traffic_class.retry_safety for traffic_class in classes})
 
     @cached_property
     def tenant_names(self) -> frozenset[str]:
-        return frozenset(each.name for each in self.config.settings.tenants)
+        """The names of all tenants."""
+        return frozenset(tenant.name for tenant in self.config.settings.tenants)
 
     @cached_property
     def longest_timeout_ms(self) -> float:
-        """The longest that any caller waits."""
-        return max(grade.timeout_ms for grade in self.config.settings.traffic_classes)
+        """The longest timeout of any traffic class."""
+        return max(traffic_class.timeout_ms for traffic_class in self.config.settings.traffic_classes)
 
     @cached_property
     def descriptor_shares(self) -> Shares:
-        """Of this process's descriptors."""
-        theirs = CHANGES if self.config.changes.on else 0
-        return shares_of(self.config.descriptors - theirs, self.config.settings.dependency_concurrency_share)
+        """How this process's file descriptors are divided."""
+        reserved = CHANGES if self.config.changes.on else 0
+        return shares_of(self.config.descriptors - reserved, self.config.settings.dependency_concurrency_share)
 
     @cached_property
     def latency_objectives_ms(self) -> Mapping[str, float]:
-        return MappingProxyType(
-            {grade.name: grade.latency_objective_ms for grade in self.config.settings.traffic_classes}
-        )
+        """The latency objective of each traffic class, by its name."""
+        classes = self.config.settings.traffic_classes
+        return MappingProxyType({traffic_class.name: traffic_class.latency_objective_ms for traffic_class in classes})
 
 
-def canonical(document: Mapping[str, Any]) -> bytes:
-    """The one text of a whole document, without what is never compared."""
-    from nickelslip.configuration.schema import NEVER_COMPARED  # needed only where changes are taken
+def canonical_bytes(document: Mapping[str, Any]) -> bytes:
+    """Return the canonical text of a whole document, without the fields that are never compared."""
+    from nickelslip.configuration.schema import NEVER_COMPARED  # only needed where changes are enabled
 
-    bare = {
+    compared = {
         section: {name: value for name, value in inner.items() if (section, name) not in NEVER_COMPARED}
         for section, inner in document.items()
     }
-    return json.dumps(bare, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
+    return json.dumps(compared, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def digest_of(document: Mapping[str, Any]) -> str:
-    """By which a document is known again: 32 hex digits of XXH3 over its canonical text."""
-    import xxhash  # an extra: needed only where changes are taken
+    """Return the digest that identifies a document: 32 hex digits of XXH3-128 over its canonical text."""
+    import xxhash  # an optional dependency: only needed where changes are enabled
 
-    return str(xxhash.xxh3_128_hexdigest(canonical(document)))
+    return str(xxhash.xxh3_128_hexdigest(canonical_bytes(document)))
--- a/nickelslip/configuration/history.py
+++ b/nickelslip/configuration/history.py
@@ -1,10 +1,8 @@
-"""The history of generations as bytes: whole records, each with its checksum, or nothing.
+"""Byte format of the configuration history: its records, its file, and what a file says at the next start.
 
-Owns the form of a record and of the file, and what a file means at the next start. It does no I/O. A record that was
-cut short, or changed by a byte, ends the reading: what stands before it is whole, and nothing behind it is believed.
-
-The file begins with a magic line. Each record is its length (4 bytes), the XXH3 of its body (8 bytes) and the body,
-JSON. A body names its own number in the order of the file, so that a record from another place is no record here.
+The file begins with a magic line. Each record is a header (body length, 4 bytes, and the XXH3-64 of the body, 8 bytes,
+both big-endian) and a body in JSON. Decoding stops at the first record that is truncated, fails its checksum or does
+not follow the one before it in sequence; everything up to there is valid. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,143 +11,193 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from enum import Enum
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
 MAGIC = b"nickelslip history 1\n"
-HEAD = struct.Struct(">IQ")
-RECORD_MOST = 1 << 20
-KEPT_MOST = 64  # records that a file written anew keeps beside what is in force
+RECORD_HEADER = struct.Struct(">IQ")
+MAX_RECORD_BYTES = 1 << 20
+COMPACTED_RECORD_COUNT = 64
 
 
-class Event(Enum):
-    """What a record tells."""
+class HistoryEvent(Enum):
+    """What a record reports of its generation."""
 
-    APPLIED = "applied"  # on probation: no longer in force after a restart
+    APPLIED = "applied"  # in its canary period: not restored at a start
     CONFIRMED = "confirmed"
     ROLLED_BACK = "rolled back"
-    REFUSED = "refused"
-    STARTED = "started"  # a start with a file that the history did not know: confirmed by being started with
+    REJECTED = "refused"
+    STARTED = "started"  # a start from files that the history did not know: counts as confirmed
 
 
-# The words and names of the file stay when a name in the code changes, and so does their order, which is the order
-# in which they are written.
+# Stored words and names, and their order in the body, stay as they are when a name in the code changes.
 STORED_EVENTS = {
-    Event.APPLIED: "applied",
-    Event.CONFIRMED: "confirmed",
-    Event.ROLLED_BACK: "rolled back",
-    Event.REFUSED: "refused",
-    Event.STARTED: "started",
+    HistoryEvent.APPLIED: "applied",
+    HistoryEvent.CONFIRMED: "confirmed",
+    HistoryEvent.ROLLED_BACK: "rolled back",
+    HistoryEvent.REJECTED: "refused",
+    HistoryEvent.STARTED: "started",
 }
-EVENTS_BY_STORED = {stored: event for event, stored in STORED_EVENTS.items()}
-IN_FORCE = (Event.CONFIRMED, Event.STARTED)
+EVENTS_BY_STORED_WORD = {word: event for event, word in STORED_EVENTS.items()}
+CONFIRMING_EVENTS = (HistoryEvent.CONFIRMED, HistoryEvent.STARTED)
+
+
+class RecordTooLargeError(ValueError):
+    """The body of a record exceeds MAX_RECORD_BYTES."""
 
 
 @dataclass(frozen=True)
-class Record:
-    """One step of one generation."""
+class HistoryRecord:
+    """One event of one generation.
+
+    Attributes:
+        sequence_number: Position in the file, from 1 up; kept when the file is compacted.
+        event: What happened.
+        generation: Number of the generation; 0 where the change had none yet.
+        digest: Digest of the generation's document.
+        origin: Where the document came from.
+        recorded_at_ms: Unix time of the event.
+        reason: Why it happened.
+        document: The whole document, where the generation may be restored at a start.
+        file_digest: Digest of the document in the configuration files at the time; other files take precedence over
+            the history at a start.
+    """
 
-    at: int  # its number in the file, from 1 up, kept when the file is written anew
-    event: Event
+    sequence_number: int
+    event: HistoryEvent
     generation: int
     digest: str
     origin: str
-    since_ms: float
+    recorded_at_ms: float
     reason: str = ""
-    document: dict[str, Any] | None = None  # whole; with what may be in force at a next start
-    base: str = ""  # the digest of the file's document at the start: another file wins over the history
+    document: dict[str, Any] | None = None
+    file_digest: str = ""
+
+
+class DecodedHistory(NamedTuple):
+    """The valid records of a file, and the offset at which the next one is written."""
 
+    records: list[HistoryRecord]
+    end_offset: int
 
-def _stored_from(record: Record) -> dict[str, Any]:
-    """Return a record as the object that is stored."""
+
+class _DecodedRecord(NamedTuple):
+    """One valid record, and the offset of its end."""
+
+    record: HistoryRecord
+    end_offset: int
+
+
+def _stored_from_record(record: HistoryRecord) -> dict[str, Any]:
+    """Return the JSON object that is stored for a record."""
     return {
-        "at": record.at,
+        "at": record.sequence_number,
         "event": STORED_EVENTS[record.event],
         "generation": record.generation,
         "digest": record.digest,
         "origin": record.origin,
-        "since_ms": record.since_ms,
+        "since_ms": record.recorded_at_ms,
         "reason": record.reason,
         "document": record.document,
-        "base": record.base,
+        "base": record.file_digest,
     }
 
 
-def _record_from(stored: dict[str, Any]) -> Record:
-    """Return the record of a stored object; names that this version does not know are passed over.
+def _record_from_stored(stored: dict[str, Any]) -> HistoryRecord:
+    """Return the record of a stored JSON object, ignoring names that this version does not know.
 
     Raises:
-        KeyError: a name is missing, or the event is not known.
-        TypeError: it is no object.
+        KeyError: A required name is missing, or the event is unknown.
+        TypeError: The body is not a JSON object.
     """
-    return Record(
-        at=stored["at"],
-        event=EVENTS_BY_STORED[stored["event"]],
+    return HistoryRecord(
+        sequence_number=stored["at"],
+        event=EVENTS_BY_STORED_WORD[stored["event"]],
         generation=stored["generation"],
         digest=stored["digest"],
         origin=stored["origin"],
-        since_ms=stored["since_ms"],
+        recorded_at_ms=stored["since_ms"],
         reason=stored.get("reason", ""),
         document=stored.get("document"),
-        base=stored.get("base", ""),
+        file_digest=stored.get("base", ""),
     )
 
 
-def encoded(record: Record) -> bytes:
-    """One record as it stands in the file."""
-    import xxhash
+def encode_record(record: HistoryRecord) -> bytes:
+    """Return the bytes of one record.
 
-    body = orjson.dumps(_stored_from(record))
-    if len(body) > RECORD_MOST:
-        raise ValueError(f"a record over {RECORD_MOST} bytes")
-    return HEAD.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
+    Raises:
+        RecordTooLargeError: The body exceeds MAX_RECORD_BYTES.
+    """
+    import xxhash  # an optional dependency: only needed where changes are enabled
 
+    body = orjson.dumps(_stored_from_record(record))
+    if len(body) > MAX_RECORD_BYTES:
+        raise RecordTooLargeError(f"a history record of {len(body)} bytes exceeds {MAX_RECORD_BYTES} bytes")
+    return RECORD_HEADER.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body
 
-def whole_file(records: Iterable[Record]) -> bytes:
-    """A file with these records and no others."""
-    return MAGIC + b"".join(map(encoded, records))
 
+def encode_file(records: Iterable[HistoryRecord]) -> bytes:
+    """Return the bytes of a file with exactly these records."""
+    return MAGIC + b"".join(map(encode_record, records))
 
-def scanned(data: bytes) -> tuple[list[Record], int]:
-    """The whole records of a file, in order, and up to which byte they reach: there the next one is written. A file
-    with no magic line of this version holds none, and reaches to 0: it is begun anew."""
-    import xxhash
 
+def decode_file(data: bytes) -> DecodedHistory:
+    """Return the valid records of a file, in order.
+
+    A file without the magic line of this version has no records and an end offset of 0: it has to be written anew.
+    """
     if not data.startswith(MAGIC):
-        return [], 0
-    records: list[Record] = []
-    upto = len(MAGIC)
-    while upto + HEAD.size <= len(data):
-        length, checksum = HEAD.unpack_from(data, upto)
-        end = upto + HEAD.size + length
-        body = data[upto + HEAD.size : end]
-        if length > RECORD_MOST or end > len(data) or xxhash.xxh3_64_intdigest(body) != checksum:
-            break
-        try:
-            record = _record_from(orjson.loads(body))
-        except (ValueError, TypeError, KeyError):
+        return DecodedHistory([], 0)
+    records: list[HistoryRecord] = []
+    end_offset = len(MAGIC)
+    while (decoded := _decode_record(data, end_offset)) is not None:
+        if records and decoded.record.sequence_number <= records[-1].sequence_number:
             break
-        if records and record.at <= records[-1].at:
-            break  # not written behind the one before
-        records.append(record)
-        upto = end
-    return records, upto
-
-
-def in_force(records: list[Record]) -> Record | None:
-    """The last generation that was confirmed, or with which a server was started."""
-    return next((each for each in reversed(records) if each.event in IN_FORCE and each.document), None)
-
-
-def compacted(records: list[Record]) -> list[Record]:
-    """What a file written anew keeps: the latest records, without the documents that cannot be in force again but the
-    one to which an operator would go back; and the one in force, in any case."""
-    force = in_force(records)
-    earlier = in_force(records[: records.index(force)]) if force else None
-    kept = [each for each in (earlier, force) if each is not None and each not in records[-KEPT_MOST:]]
-    out: list[Record] = []
-    for each in sorted([*kept, *records[-KEPT_MOST:]], key=lambda record: record.at):
-        bare = each in (force, earlier) or each.document is None
-        out.append(each if bare else replace(each, document=None))
-    return out
+        records.append(decoded.record)
+        end_offset = decoded.end_offset
+    return DecodedHistory(records, end_offset)
+
+
+def _decode_record(data: bytes, offset: int) -> _DecodedRecord | None:
+    """Return the record at an offset, or None where there is no valid one."""
+    import xxhash
+
+    body_offset = offset + RECORD_HEADER.size
+    if body_offset > len(data):
+        return None
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    end_offset = body_offset + length
+    if length > MAX_RECORD_BYTES or end_offset > len(data):
+        return None
+    body = data[body_offset:end_offset]
+    if xxhash.xxh3_64_intdigest(body) != checksum:
+        return None
+    try:
+        return _DecodedRecord(_record_from_stored(orjson.loads(body)), end_offset)
+    except (ValueError, TypeError, KeyError):
+        return None
+
+
+def last_confirmed(records: list[HistoryRecord]) -> HistoryRecord | None:
+    """Return the last record that confirmed a generation and has its document."""
+    for record in reversed(records):
+        if record.event in CONFIRMING_EVENTS and record.document:
+            return record
+    return None
+
+
+def compact(records: list[HistoryRecord]) -> list[HistoryRecord]:
+    """Return the records that a compacted file keeps.
+
+    These are the latest COMPACTED_RECORD_COUNT, and in any case the last confirmed generation and the one confirmed
+    before it, to which an operator may go back. Only these two keep their documents.
+    """
+    current = last_confirmed(records)
+    previous = last_confirmed(records[: records.index(current)]) if current else None
+    restorable = [record for record in (previous, current) if record is not None]
+    latest = records[-COMPACTED_RECORD_COUNT:]
+    kept = [record for record in restorable if record not in latest] + latest
+    kept.sort(key=lambda record: record.sequence_number)
+    return [record if record in restorable else replace(record, document=None) for record in kept]
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -1,7 +1,6 @@
-"""The plan of a change: what differs between two whole documents, when each difference acts, and what forbids it.
+"""The plan of a change: how two whole documents differ, when each difference takes effect, and what needs a restart.
 
-Owns the comparison and the choice of what a running server can carry over. It must never apply anything: a dry run
-and a real change read the same plan.
+A dry run and a real change compute the same plan; computing it changes nothing.
 """
 
 from __future__ import annotations
@@ -15,74 +14,92 @@
 from nickelslip.configuration.schema import COMES_AND_GOES, NAMED, NEVER_COMPARED, Effect, word_at
 from nickelslip.configuration.validation import Path
 
-ABSENT = None
+# The words of the control protocol and of `--json`: they stay when a name in the code changes.
+EFFECT_WORDS = {
+    Effect.AT_ONCE: "at_once",
+    Effect.NEW: "new",
+    Effect.LINKS: "links",
+    Effect.RESTART: "restart",
+}
+RECORDS_SERVICE_PATH = ("peers", "records")
+DEPENDENCY_SHARE_PATH = ("calls", "share")
+RULES_SECTION = "changes"
 
 
 @dataclass(frozen=True)
 class Difference:
-    """One word, or one name of a named section, that differs."""
+    """One field, or one name of a named section, that differs.
+
+    Attributes:
+        path: Where it is in the document.
+        old: The value before; None where it was absent.
+        new: The value after; None where it is absent.
+        effect: When the difference takes effect.
+        restart_reason: Why this one needs a restart although fields of its kind do not; empty if it does not.
+    """
 
     path: Path
     old: Any
     new: Any
     effect: Effect
-    hindrance: str = ""  # why it cannot be taken while the server runs
+    restart_reason: str = ""
 
     def __str__(self) -> str:
-        what = f"{'.'.join(self.path)}: {shown(self.old)} -> {shown(self.new)} ({self.effect.value})"
-        return f"{what}; {self.hindrance}" if self.hindrance else what
+        line = f"{'.'.join(self.path)}: {shown(self.old)} -> {shown(self.new)} ({self.effect.value})"
+        return f"{line}; {self.restart_reason}" if self.restart_reason else line
 
     def as_dict(self) -> dict[str, Any]:
-        """For machines; the keys are stable."""
+        """Return it with the keys of the control protocol."""
         return {
             "path": ".".join(self.path),
             "old": self.old,
             "new": self.new,
-            "effect": self.effect.name.lower(),
-            "hindrance": self.hindrance,
+            "effect": EFFECT_WORDS[self.effect],
+            "hindrance": self.restart_reason,
         }
 
 
 @dataclass(frozen=True)
 class Plan:
-    """All that differs, in the order of the schema."""
+    """All differences, in the order of the schema."""
 
     differences: tuple[Difference, ...]
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
+        """Whether nothing differs."""
         return not self.differences
 
     @property
-    def restart(self) -> tuple[Difference, ...]:
-        """What forbids that the change is taken while the server runs."""
-        return tuple(each for each in self.differences if each.effect is Effect.RESTART or each.hindrance)
-
-    @property
-    def links_only(self) -> bool:
-        """Whether nothing but peers' addresses changes: such a change needs no probation."""
-        return bool(self.differences) and all(each.effect is Effect.LINKS for each in self.differences)
+    def needing_restart(self) -> tuple[Difference, ...]:
+        """The differences that cannot be applied to a running server."""
+        return tuple(
+            difference
+            for difference in self.differences
+            if difference.effect is Effect.RESTART or difference.restart_reason
+        )
 
     @property
-    def links(self) -> bool:
-        return any(each.effect is Effect.LINKS for each in self.differences)
+    def changes_peers_only(self) -> bool:
+        """Whether only addresses of peers differ: such a change needs no canary period."""
+        return bool(self.differences) and all(difference.effect is Effect.LINKS for difference in self.differences)
 
     @property
-    def of_rules_only(self) -> bool:
-        """Whether only the rules for changes themselves change, which no transaction feels."""
-        return bool(self.differences) and all(each.path[0] == "changes" for each in self.differences)
+    def changes_rules_only(self) -> bool:
+        """Whether only the rules for changes differ, which no request is affected by."""
+        return bool(self.differences) and all(difference.path[0] == RULES_SECTION for difference in self.differences)
 
     def as_dict(self) -> dict[str, Any]:
-        """For machines; the keys are stable."""
+        """Return it with the keys of the control protocol."""
         return {
-            "differences": [each.as_dict() for each in self.differences],
-            "restart": bool(self.restart),
-            "links_only": self.links_only,
+            "differences": [difference.as_dict() for difference in self.differences],
+            "restart": bool(self.needing_restart),
+            "links_only": self.changes_peers_only,
         }
 
 
 def shown(value: Any) -> str:
-    """A value as an operator would write it."""
+    """Return a value as an operator would write it."""
     if value is None:
         return "absent"
     if isinstance(value, bool):
@@ -97,34 +114,47 @@
 
 
 def plan_of(old: Document, new: Document) -> Plan:
-    """What leads from one whole document to another."""
-    out: list[Difference] = []
+    """Return the plan that leads from one whole document to another."""
+    return Plan((*_named_differences(old, new), *_field_differences(old, new)))
+
+
+def _named_differences(old: Document, new: Document) -> list[Difference]:
+    """Return a difference for each name that only one of the documents has in a named section."""
+    differences: list[Difference] = []
     for section in NAMED:
-        before, after = old[section], new[section]
-        for name in [*before, *(each for each in after if each not in before)]:
+        before = old[section]
+        after = new[section]
+        added = [name for name in after if name not in before]
+        for name in [*before, *added]:
             if (name in before) is not (name in after):
-                out.append(
-                    Difference(
-                        (section, name), before.get(name, ABSENT), after.get(name, ABSENT), COMES_AND_GOES[section]
-                    )
-                )
-    was, now = paths_of(old), paths_of(new)
-    for path in now:
-        word = word_at(path)
-        if path not in was or word is None or path in NEVER_COMPARED:
+                effect = COMES_AND_GOES[section]
+                differences.append(Difference((section, name), before.get(name), after.get(name), effect))
+    return differences
+
+
+def _field_differences(old: Document, new: Document) -> list[Difference]:
+    """Return a difference for each field that both documents have with different values."""
+    differences: list[Difference] = []
+    old_values = paths_of(old)
+    for path, after in paths_of(new).items():
+        field = word_at(path)
+        if path not in old_values or field is None or path in NEVER_COMPARED:
             continue
-        before, after = was[path], now[path]
-        if (tuple(before) if isinstance(before, list) else before) != (
-            tuple(after) if isinstance(after, list) else after
-        ):
-            out.append(Difference(path, before, after, word.effect, _hindrance(path, before, after)))
-    return Plan(tuple(out))
+        before = old_values[path]
+        if _comparable(before) != _comparable(after):
+            differences.append(Difference(path, before, after, field.effect, _restart_reason(path, before, after)))
+    return differences
+
+
+def _comparable(value: Any) -> Any:
+    """Return a value in a form in which a list equals a tuple of the same items."""
+    return tuple(value) if isinstance(value, list) else value
 
 
-def _hindrance(path: Path, before: Any, after: Any) -> str:
-    """What cannot be carried over although words of its kind can."""
-    if path == ("peers", "records") and (before is None) is not (after is None):
+def _restart_reason(path: Path, before: Any, after: Any) -> str:
+    """Return why this difference needs a restart although fields of its kind do not, or an empty string."""
+    if path == RECORDS_SERVICE_PATH and (before is None) is not (after is None):
         return "whether there is a records service is known at the start only"
-    if path == ("calls", "share") and (before == 0) is not (after == 0):
+    if path == DEPENDENCY_SHARE_PATH and (before == 0) is not (after == 0):
         return "calls are counted over a span that is fixed at the start"
     return ""
--- /dev/null
+++ b/nickelslip/server/canary_watcher.py
@@ -0,0 +1,89 @@
+"""Watches the change in its canary period, and has it confirmed or rolled back."""
+
+from __future__ import annotations
+
+import anyio
+
+from nickelslip.configuration.canary_analysis import Standing, Verdict
+from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeState
+from nickelslip.configuration.request_metrics import WIDTH_MS
+from nickelslip.server.canary_observation import CanaryObservation
+from nickelslip.server.change_applier import ChangeApplier
+from nickelslip.server.history_writer import HistoryWriter
+from nickelslip.server.server import Server
+
+MAX_ERROR_LENGTH = 200
+MS_PER_S = 1000
+
+
+class CanaryWatcher:
+    """Samples the server, and looks at the change in its canary period.
+
+    Args:
+        server: The server.
+        changes: Its changes.
+        applier: Confirms and rolls back changes.
+        history: Where records are written; what could not be written is tried again here.
+        observation: What is measured of the server.
+        lock: Held while a change is confirmed or rolled back.
+    """
+
+    def __init__(
+        self,
+        server: Server,
+        changes: ChangeManager,
+        applier: ChangeApplier,
+        history: HistoryWriter,
+        observation: CanaryObservation,
+        lock: anyio.Lock,
+    ) -> None:
+        self._server = server
+        self._changes = changes
+        self._applier = applier
+        self._history = history
+        self._observation = observation
+        self._lock = lock
+
+    async def run(self) -> None:
+        """Sample the server and look at the change once per bucket of the metrics, until cancelled."""
+        while True:
+            await anyio.sleep(WIDTH_MS / MS_PER_S)
+            self._observation.sample()
+            if self._history.unwritten or self._changes.current is not None:
+                async with self._lock:
+                    await self._history.flush()
+                    await self._watch()
+
+    async def _watch(self) -> None:
+        """Look at the change; where the analysis itself fails, roll back rather than leave the change unwatched."""
+        if not self._changes.is_in_canary_period:
+            return
+        try:
+            await self._look()
+        except Exception as error:
+            self._server.log.error("canary_analysis_failed", error=repr(error), exc_info=error)
+            if self._changes.is_in_canary_period:
+                await self._applier.roll_back(f"the judge failed: {error!r}"[:MAX_ERROR_LENGTH])
+
+    async def _look(self) -> None:
+        if not self._observation.is_active:
+            return
+        now_ms = self._server.clock()
+        if not self._observation.is_conclusive:
+            self._changes.extend_canary_period(WIDTH_MS)
+            self._observation.restart(now_ms)
+            return
+        verdict = self._observation.look(now_ms)
+        if verdict is None:
+            return
+        state = self._changes.next_state(now_ms, verdict)
+        if state is ChangeState.ROLLED_BACK:
+            await self._applier.roll_back(verdict.reason)
+        elif state is ChangeState.CONFIRMED:
+            await self._applier.confirm(now_ms, _confirmation_reason(verdict))
+
+
+def _confirmation_reason(verdict: Verdict) -> str:
+    if verdict.standing is Standing.NO_HARM:
+        return verdict.reason
+    return f"nothing speaks against it: {verdict.reason}"
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -1,488 +1,199 @@
-"""Changes of configuration in a running server: what operators ask for, carried out.
+"""The commands by which operators and tools change the configuration of a running server.
 
-Owns the order in which a change is written to the history, adopted by the node, watched and confirmed or undone, and
-the commands by which operators and tools ask for it. One command is carried out at a time. It must never choose what
-becomes of a change: the steps are `Changes`'s, the verdict is the judge's. Nothing here waits between the node's
-adopting a generation and the step that says so.
+One command that changes anything is carried out at a time. What becomes of a change is decided elsewhere: its
+transitions in `change_lifecycle`, the verdict on it in `canary_analysis`.
 """
 
 from __future__ import annotations
 
-import time
-from collections.abc import Awaitable, Callable, Iterator
-from dataclasses import replace
+from collections.abc import Callable
 from typing import Any
 
 import anyio
-import anyio.to_thread
 
-from nickelslip.admission.controller import AdmissionController
-from nickelslip.admission.interface import LoadSignal
-from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
-from nickelslip.configuration.change_lifecycle import Change, Changes, Denial, Denied, Start, Step, start_of
-from nickelslip.configuration.config import Config, with_new_peer_addresses
-from nickelslip.configuration.document import Checker, Document, checked, config_from, document_of
+from nickelslip.configuration.change_lifecycle import (
+    STATE_WORDS,
+    ChangeManager,
+    ChangeRejectedError,
+    ConfigurationChange,
+    RejectionReason,
+)
+from nickelslip.configuration.config import Config
+from nickelslip.configuration.document import Document, config_from
+from nickelslip.configuration.document_parts import CompleteDocument, complete_document
 from nickelslip.configuration.generations import Generation, digest_of
-from nickelslip.configuration.history import Record
-from nickelslip.configuration.json5_reader import Read
-from nickelslip.configuration.layers import merged
+from nickelslip.configuration.history import HistoryRecord
 from nickelslip.configuration.plan import plan_of
-from nickelslip.configuration.request_metrics import WIDTH_MS, MetricsBucket, RequestMetrics
-from nickelslip.configuration.schema import Effect
-from nickelslip.configuration.store import Store
-from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
-from nickelslip.server.server import Phase, Server
-from nickelslip.settings import MalformedSettingsError
-
-HISTORY_SHOWN = 50  # records that one reply brings at most
-SHOWN_MOST = 200  # letters of an operator's own words that are kept
-
-# The words of the control protocol: clients read them, so they stay when a name in the code changes.
-PHASE_WORDS = {
-    Phase.WAITING: "waiting",
-    Phase.SERVING: "serving",
-    Phase.DRAINING: "draining",
-    Phase.SHUTTING_DOWN: "leaving",
-    Phase.FAILED: "failed",
-}
-STANDING_WORDS = {
-    Standing.INSUFFICIENT_DATA: "too_soon",
-    Standing.SUSPECTED: "doubt",
-    Standing.NO_HARM: "no_harm",
-    Standing.HARM: "harm",
-}
-
-
-def whole_of(part: Document) -> Document:
-    """The whole document of a part in our own words that may come from anywhere. Raises Faulty."""
-    checker = Checker(Read(part, "document"))
-    found = checker.part()
-    if not errors_of(checker.faults):
-        whole, faults = checked(found)
-        if not errors_of(faults):
-            return whole
-        raise InvalidDocumentError(faults)
-    raise InvalidDocumentError(checker.faults)
-
-
-def begin(config: Config, store: Store | None, now: float, log: Any) -> tuple[Config, Document, Start, list[Record]]:
-    """With what this server starts: its files' configuration, or the last one confirmed over those same files; and
-    what the files say. What the history holds is checked like any document, and passed over where it does not do any
-    more."""
-    records = list(store.records) if store is not None else []
-    document = document_of(config)
-    start = start_of(records, document, now)
-    if start.record is None:
-        try:
-            kept = whole_of(start.document)
-            told = replace(config_from(kept), seed=config.seed)
-            log.info("configuration_restored", generation=start.number)
-            return told, document, replace(start, document=kept), records
-        except MalformedSettingsError as fault:
-            log.error("stored_configuration_rejected", error=str(fault))
-            start = start_of([], document, now)
-            number = max((each.generation for each in records), default=0) + 1
-            at = records[-1].at + 1 if records else 1
-            assert start.record is not None
-            start = replace(start, number=number, record=replace(start.record, at=at, generation=number))
-    if store is not None and start.record is not None:
-        store.append(start.record)
-        records.append(start.record)
-    return config, document, start, records
+from nickelslip.configuration.request_metrics import RequestMetrics
+from nickelslip.configuration.start_selection import StartSelection
+from nickelslip.configuration.store import HistoryStore
+from nickelslip.configuration.validation import Fault, InvalidDocumentError
+from nickelslip.server import control_commands as commands
+from nickelslip.server.canary_observation import CanaryObservation
+from nickelslip.server.canary_watcher import CanaryWatcher
+from nickelslip.server.change_applier import ChangeApplier
+from nickelslip.server.configuration_reloader import ConfigurationReloader
+from nickelslip.server.history_writer import HistoryWriter
+from nickelslip.server.server import Server
+
+MAX_RECORDS_IN_REPLY = 50
+MAX_ADOPTION_TIMES_IN_REPLY = 8
+MAX_ORIGIN_IN_LOG = 200
 
 
 class ConfigurationManager:
-    """The changes of one node."""
+    """Takes the configuration changes of one server.
+
+    Args:
+        server: The server; it is put on the generation of its start.
+        file_document: The document in the configuration files.
+        start: What the server starts with.
+        records: The records of the history.
+        read: Reads the configuration files again; it may block.
+        store: Where the history is written; None to keep it in memory only.
+
+    Attributes:
+        changes: The changes, and the generations they lead to.
+        history: Where records are written.
+        observation: What is measured of the server.
+    """
 
     def __init__(
         self,
-        node: Server,
-        file: Document,
-        start: Start,
-        records: list[Record],
+        server: Server,
+        file_document: Document,
+        start: StartSelection,
+        records: list[HistoryRecord],
         read: Callable[[], Config],
-        store: Store | None,
+        store: HistoryStore | None,
     ) -> None:
-        self._node, self._read_again, self._store = node, read, store
-        config = node.generation.config
-        node.generation = Generation(start.number, config, start.origin, node.clock())
-        node.reload_handler = self
-        node.request_metrics = self.request_metrics = RequestMetrics(
-            config.changes.baseline_ms, node.generation.latency_objectives_ms
-        )
-        self._file = file  # what the files said when they were last taken
-        self.changes = Changes(node.generation, start.document, records, digest_of(file), node.clock(), self._tell)
-        self._judge: Judge | None = None
-        self.verdict: Verdict | None = None
-        self.apply_us: list[float] = []  # the node's pause at the latest applies
-        self._lock = anyio.Lock()
-        self._spoilt: list[tuple[float, float]] = []  # when changes were in force that were undone
-        self._unwritten: list[Record] = []
-        self._reloads = 0
-
-    def _tell(self, change: Change) -> None:
-        self._node.log.info(
+        config = server.generation.config
+        server.generation = Generation(start.number, config, start.origin, server.clock())
+        request_metrics = RequestMetrics(config.changes.baseline_ms, server.generation.latency_objectives_ms)
+        file_digest = digest_of(file_document)
+        lock = anyio.Lock()
+        self._server = server
+        self._lock = lock
+        self.changes = ChangeManager(server.generation, start.document, records, file_digest, self._log_transition)
+        self.history = HistoryWriter(store, server.log)
+        self.observation = CanaryObservation(server, request_metrics)
+        self._applier = ChangeApplier(server, self.changes, self.history, self.observation)
+        self._watcher = CanaryWatcher(server, self.changes, self._applier, self.history, self.observation, lock)
+        server.request_metrics = request_metrics
+        server.reload_handler = ConfigurationReloader(server, self.changes, self._applier, read, file_document, lock)
+
+    def _log_transition(self, change: ConfigurationChange) -> None:
+        self._server.log.info(
             "configuration_change",
             number=change.number,
-            step=change.step.name,
+            step=STATE_WORDS[change.state].upper(),
             reason=change.reason,
-            origin=change.origin[:SHOWN_MOST],
+            origin=change.origin[:MAX_ORIGIN_IN_LOG],
             generation=change.generation.number if change.generation else None,
         )
 
-    # Watching
-
     async def run(self) -> None:
-        """Sample what the node says of itself, and look at the change on probation, four times a second."""
-        while True:
-            await anyio.sleep(WIDTH_MS / 1000)
-            self._sample()
-            if self._unwritten or self.changes.current is not None:
-                async with self._lock:
-                    await self._write_rest()
-                    await self._watch()
-
-    async def _watch(self) -> None:
-        """Look at what is on probation. A judge that fails must not take the server along, nor leave unwatched what
-        it was to watch."""
-        if self.changes.current is None or self.changes.current.step is not Step.ON_PROBATION:
-            return
-        try:
-            await self._look()
-        except Exception as error:
-            self._node.log.error("canary_analysis_failed", error=repr(error), exc_info=error)
-            if self.changes.current is not None and self.changes.current.step is Step.ON_PROBATION:
-                await self._undo(f"the judge failed: {error!r}"[:SHOWN_MOST])
-
-    def _sample(self) -> None:
-        said, as_what = self._node.advertised_weight, self._node.generation.settings.load_signal
-        weight = 1.0 if said is None else 1 - said if as_what is LoadSignal.PRIORITY_THRESHOLD else said
-        gauges = self._node.gauges
-        self.request_metrics.sample_server(
-            self._node.clock(), weight, gauges.memory_utilization, gauges.cpu_utilization
-        )
-
-    async def _look(self) -> None:
-        judge, now = self._judge, self._node.clock()
-        if judge is None:
-            return
-        if self._node.phase is not Phase.SERVING or not self._node.worker_pool.is_up:
-            self.changes.unseen(WIDTH_MS)  # what goes wrong now says nothing of the change
-            judge.begin_anew(now)
-            return
-        self.verdict = judge.look(now, self.request_metrics.between(judge.upto, now))
-        step = self.changes.judged(now, self.verdict)
-        if step is Step.ROLLED_BACK:
-            await self._undo(self.verdict.reason)
-        elif step is Step.CONFIRMED:
-            reason = (
-                self.verdict.reason
-                if self.verdict.standing is Standing.NO_HARM
-                else f"nothing speaks against it: {self.verdict.reason}"
-            )
-            record = self.changes.confirm(now, reason)
-            self._settled()
-            await self._write_or_keep(record)
-
-    def _untroubled(self, begin: float, end: float) -> Iterator[MetricsBucket]:
-        """What was counted in this time, but for the time of changes that were undone: what they spoilt is no measure
-        for the next one."""
-        self._spoilt = [span for span in self._spoilt if span[1] > begin]
-        for bucket in self.request_metrics.between(begin, end):
-            at = bucket.number * WIDTH_MS
-            if not any(since < at + WIDTH_MS and at < until for since, until in self._spoilt):
-                yield bucket
-
-    async def _undo(self, reason: str) -> None:
-        change = self.changes.current
-        if change is not None and change.generation is not None:
-            now = self._node.clock()
-            self._spoilt = [*self._spoilt[-15:], (change.generation.since_ms, now + change.config.settings.tick_ms)]
-        generation, record = self.changes.roll_back(self._node.clock(), reason)
-        self._adopt(generation)
-        self._settled()
-        await self._write_or_keep(record)
-
-    def _settled(self) -> None:
-        """Nothing is on probation any more."""
-        self._judge = None
-        self.request_metrics.set_latency_objectives(self._node.generation.latency_objectives_ms)
-
-    def _adopt(self, generation: Generation) -> None:
-        begun = time.perf_counter()
-        self._node.apply_generation(generation)
-        self.apply_us = [*self.apply_us[-63:], (time.perf_counter() - begun) * 1e6]
-
-    # The history
-
-    async def _write(self, record: Record) -> None:
-        if self._store is not None:
-            await anyio.to_thread.run_sync(self._store.append, record)
-
-    async def _write_or_keep(self, record: Record) -> None:
-        """Write what has happened already; where that fails it is tried again, in order, until it is done."""
-        self._unwritten.append(record)
-        await self._write_rest()
-
-    async def _write_rest(self) -> None:
-        while self._unwritten:
-            try:
-                await self._write(self._unwritten[0])
-            except OSError as error:
-                self._node.log.error(
-                    "history_write_failed", error=error.strerror, unwritten_records=len(self._unwritten)
-                )
-                return
-            del self._unwritten[0]
-
-    # Reading again
-
-    def reload(self) -> None:
-        """SIGHUP: read the files again, in a thread, since their reader may be slow; then take what may be taken."""
-        self._reloads += 1
-        self._node.task_group.start_soon(self._node.supervise, self._reload, self._reloads)
-
-    async def _reload(self, number: int) -> None:
-        async with self._lock:
-            if number != self._reloads:
-                return  # a later notice reads what this one would have read
-            try:
-                config = await anyio.to_thread.run_sync(self._read_again)
-            except MalformedSettingsError as fault:
-                self._node.log.error("configuration_rejected", error=str(fault))
-                return
-            document, earlier = document_of(config), self._file
-            if digest_of(document) == digest_of(earlier):
-                self._node.log.info("configuration_unchanged")
-                return
-            rest = [each for each in plan_of(earlier, document).differences if each.effect is not Effect.LINKS]
-            if not rest or not self.changes.rules.reload_all:
-                self._file, self.changes.base = document, digest_of(document)
-            peers, _ = with_new_peer_addresses(self._node.generation.config, config)
-            if peers != self._node.generation.config:
-                generation, record = self.changes.moved(
-                    self._node.clock(), peers, {**self.changes.in_force.document, "peers": document["peers"]}, "SIGHUP"
-                )
-                self._adopt(generation)
-                await self._write_or_keep(record)
-            self._node.log.info(
-                "configuration_applied",
-                pool=config.pool,
-                records=config.records,
-                directory=config.directory,
-                needs_restart=[".".join(each.path) for each in rest[:20]],
-            )
-            if rest and self.changes.rules.reload_all:
-                base = self.changes.base
-                self.changes.base = digest_of(document)
-                try:
-                    await self._push(config, document, "SIGHUP", False)
-                    self._file = document
-                except Denied as denied:  # the next notice tries it again
-                    self.changes.base = base
-                    self._node.log.error("configuration_rejected", error=str(denied))
-
-    # Commands
+        """Watch the change in its canary period, until cancelled."""
+        await self._watcher.run()
 
     async def command(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one command; the result. Raises Denied or Faulty."""
-        commands: dict[str, Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]] = {
-            "status": self._status,
-            "check": self._check,
-            "diff": self._check,
-            "stage": self._stage,
-            "apply": self._apply,
-            "confirm": self._confirm,
-            "rollback": self._rollback,
-            "drop": self._drop,
-            "history": self._history,
-        }
-        do = commands.get(request["do"])
-        if do is None:
-            raise Denied(Denial.NONE, f"no command {request['do'][:40]!r}")
-        if request["do"] in ("status", "history"):
-            return await do(request)
+        """Carry out the command of a request of the control protocol, and return the result for its reply.
+
+        Raises:
+            ChangeRejectedError: The command is not carried out.
+            InvalidDocumentError: The document that was sent is not valid.
+        """
+        if commands.is_read_only(request):
+            return await self._execute(request)
         async with self._lock:
-            return await do(request)
-
-    def _document(self, request: dict[str, Any]) -> tuple[Document, list[Fault]]:
-        """The whole document that a request asks for: laid over the one in force, or with `whole` instead of it."""
-        part = request.get("document")
-        if not isinstance(part, dict):
+            return await self._execute(request)
+
+    async def _execute(self, request: dict[str, Any]) -> dict[str, Any]:
+        command = commands.decode_command(request, self._server.clock())
+        return commands.encode_result(await self._dispatch(command))
+
+    async def _dispatch(self, command: commands.Command) -> commands.Result:
+        match command:
+            case commands.StatusCommand():
+                return self._status()
+            case commands.HistoryCommand():
+                return commands.HistoryResult(list(self.changes.records)[-MAX_RECORDS_IN_REPLY:])
+            case commands.CheckCommand():
+                return self._check(command)
+            case commands.StageCommand():
+                return self._stage(command)
+            case commands.ApplyDocumentCommand():
+                return await self._apply_document(command)
+            case commands.ApplyStagedCommand(number):
+                return commands.ChangeResult(await self._applier.apply_staged(number))
+            case commands.DiscardStagedCommand():
+                return commands.ChangeResult(self.changes.discard_staged(self._server.clock()))
+            case commands.ConfirmCommand():
+                return await self._confirm()
+            case commands.RollbackCommand():
+                return await self._roll_back(command)
+
+    def _complete(self, sent: commands.DocumentPart) -> CompleteDocument:
+        """Return the whole document that a sent one leads to."""
+        if sent.part is None:
             raise InvalidDocumentError([Fault((), "a document is needed")])
-        checker = Checker(Read(part, "document"))
-        found = checker.part()
-        if errors_of(checker.faults):
-            raise InvalidDocumentError(checker.faults)
-        base: Document = {} if request.get("whole") is True else self.changes.in_force.document
-        whole, faults = checked(merged(base, found))
-        if errors_of(faults):
-            raise InvalidDocumentError(faults)
-        return whole, checker.faults + faults
-
-    def _drafted(self, request: dict[str, Any]) -> tuple[Change, list[Fault]]:
-        whole, warnings = self._document(request)
-        origin = str(request.get("origin") or "control socket")[:SHOWN_MOST]
-        return self._draft(config_from(whole), whole, origin, request.get("force") is True), warnings
-
-    def _draft(self, config: Config, document: Document, origin: str, forced: bool) -> Change:
-        now = self._node.clock()
-        change = self.changes.draft(now, config, document, origin, forced)
-        try:  # a module made of it, for nothing: what it raises now it does not raise in service
-            AdmissionController(Generation(0, config).settings, 0, 0.0)
-        except Exception as error:
-            denied = Denied(Denial.UNPROVEN, repr(error))
-            self.changes.refuse(now, change, denied)
-            raise denied from None
-        return change
-
-    async def _check(self, request: dict[str, Any]) -> dict[str, Any]:
-        """A dry run: what would change, and when it would act. Nothing is drafted."""
-        whole, warnings = self._document(request)
-        plan = plan_of(self.changes.in_force.document, whole)
-        return {
-            "plan": plan.as_dict(),
-            "lines": [str(each) for each in plan.differences],
-            "warnings": [each.as_dict() for each in warnings],
-            "digest": digest_of(whole),
-            "against": self.changes.in_force.generation.number,
-        }
-
-    async def _stage(self, request: dict[str, Any]) -> dict[str, Any]:
-        change, warnings = self._drafted(request)
-        self.changes.stage(self._node.clock(), change)
-        return {"change": change.as_dict(), "warnings": [each.as_dict() for each in warnings]}
-
-    async def _drop(self, request: dict[str, Any]) -> dict[str, Any]:
-        return {"change": self.changes.drop(self._node.clock()).as_dict()}
-
-    async def _apply(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Apply what is staged, or with a document stage and apply that. A sender that waits only until some time
-        says so: what it has given up, and may have undone already, must not come into force after all."""
-        until = request.get("until_ms")
-        if isinstance(until, int | float) and self._node.clock() > until:
-            raise Denied(Denial.LATE)
-        if "document" in request:
-            if self.changes.current is not None:
-                raise Denied(Denial.BUSY, f"change {self.changes.current.number} is on probation")
-            change, _ = self._drafted(request)
-            return {"change": (await self._carry_out_now(change)).as_dict()}
-        number = request.get("number")
-        if number is not None and (isinstance(number, bool) or not isinstance(number, int)):
-            raise Denied(Denial.NONE, "a number is needed")
-        return {"change": (await self._carry_out(number)).as_dict()}
-
-    async def _push(self, config: Config, document: Document, origin: str, forced: bool) -> Change:
-        return await self._carry_out_now(self._draft(config, document, origin, forced))
-
-    async def _carry_out_now(self, change: Change) -> Change:
-        """Stage and apply in one; where it cannot be applied now it does not stay staged, for nobody waits for it."""
-        self.changes.stage(self._node.clock(), change)
-        try:
-            return await self._carry_out(change.number)
-        except Denied as denied:
-            if self.changes.staged is change:
-                self.changes.refuse(self._node.clock(), change, denied)
-            raise
-
-    async def _carry_out(self, number: int | None) -> Change:
-        """Write it down, adopt it, and begin to watch. A crash on the way leaves the last confirmed one in force."""
-        node, changes = self._node, self.changes
-        if node.phase not in (Phase.WAITING, Phase.SERVING):
-            raise Denied(Denial.LEAVING, PHASE_WORDS[node.phase])
-        await self._write_rest()
-        if self._unwritten:  # in order, or not at all: what stands behind a gap is not believed at the next start
-            raise Denied(Denial.HISTORY, f"{len(self._unwritten)} records behind")
-        change, record = changes.begin(node.clock(), number)
-        try:
-            await self._write(record)
-        except OSError as error:
-            await self._write_or_keep(changes.failed(node.clock(), f"{Denial.HISTORY.value}: {error.strerror}"))
-            raise Denied(Denial.HISTORY, error.strerror or "") from None
-        if node.phase not in (Phase.WAITING, Phase.SERVING):  # it was told to leave meanwhile
-            await self._write_or_keep(changes.failed(node.clock(), Denial.LEAVING.value))
-            raise Denied(Denial.LEAVING, PHASE_WORDS[node.phase])
-        generation, now = change.generation, node.clock()
-        assert generation is not None
-        before = Before(self._untroubled(now - changes.rules.baseline_ms, now))
-        was = node.generation.latency_objectives_ms
-        self._adopt(generation)
-        # an answer within either quoted time is one in time: what is asked is whether the node does worse
-        self.request_metrics.set_latency_objectives(
-            {
-                name: max(was.get(name, 0.0), quoted)
-                for name, quoted in {**was, **generation.latency_objectives_ms}.items()
-            }
-        )
-        confirmed = changes.applied(node.clock())
-        self.verdict = None
-        if confirmed is None:
-            self._judge = Judge(before, node.clock(), changes.rules.sigmas)
-        else:
-            self._settled()
-            await self._write_or_keep(confirmed)
-        return change
-
-    async def _confirm(self, request: dict[str, Any]) -> dict[str, Any]:
-        """An operator's word ends the probation."""
+        return complete_document(sent.part, {} if sent.is_whole else self.changes.in_force.document)
+
+    def _draft(self, request: commands.DraftRequest) -> tuple[ConfigurationChange, list[Fault]]:
+        document, warnings = self._complete(request.document)
+        change = self._applier.draft(config_from(document), document, request.origin, request.is_forced)
+        return change, warnings
+
+    def _check(self, command: commands.CheckCommand) -> commands.CheckResult:
+        document, warnings = self._complete(command.document)
+        in_force = self.changes.in_force
+        plan = plan_of(in_force.document, document)
+        return commands.CheckResult(plan, warnings, digest_of(document), in_force.generation.number)
+
+    def _stage(self, command: commands.StageCommand) -> commands.StageResult:
+        change, warnings = self._draft(command.request)
+        self.changes.stage(self._server.clock(), change)
+        return commands.StageResult(change, warnings)
+
+    async def _apply_document(self, command: commands.ApplyDocumentCommand) -> commands.ChangeResult:
+        if self.changes.current is not None:
+            detail = f"change {self.changes.current.number} is on probation"
+            raise ChangeRejectedError(RejectionReason.BUSY, detail)
+        change, _ = self._draft(command.request)
+        await self._applier.stage_and_apply(change)
+        return commands.ChangeResult(change)
+
+    async def _confirm(self) -> commands.ChangeResult:
+        change = self.changes.current
+        await self._applier.confirm(self._server.clock(), "confirmed by an operator")
+        return commands.ChangeResult(change)
+
+    async def _roll_back(self, command: commands.RollbackCommand) -> commands.ChangeResult:
+        """Roll the current change back; where there is none, change to an earlier generation like to any document."""
+        expected_origin = command.expected_origin
+        if expected_origin is not None and expected_origin != self.changes.in_force.generation.origin:
+            detail = "what is in force came from elsewhere than what is to be undone"
+            raise ChangeRejectedError(RejectionReason.SUPERSEDED, detail)
         current = self.changes.current
-        record = self.changes.confirm(self._node.clock(), "confirmed by an operator")
-        self._settled()
-        await self._write_or_keep(record)
-        return {"change": current.as_dict() if current else None}
-
-    async def _rollback(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Undo what is on probation; where nothing is, go back to an earlier generation, as a change like any."""
-        asked = request.get("generation")
-        if asked is not None and (isinstance(asked, bool) or not isinstance(asked, int)):
-            raise Denied(Denial.NONE, "a generation's number is needed")
-        expected = request.get("from")
-        if expected is not None and expected != self.changes.in_force.generation.origin:
-            raise Denied(Denial.OVERTAKEN, "what is in force came from elsewhere than what is to be undone")
-        if self.changes.current is not None and asked is None:
-            current = self.changes.current
-            await self._undo("undone by an operator")
-            return {"change": current.as_dict()}
-        held = self.changes.earlier(asked)
-        document = {**held.document, "peers": self.changes.in_force.document["peers"]}
-        change = await self._push(config_from(document), document, f"back to generation {held.generation.number}", True)
-        return {"change": change.as_dict()}
-
-    async def _status(self, request: dict[str, Any]) -> dict[str, Any]:
-        node = self._node
-        verdict = (
-            None
-            if self.verdict is None
-            else {
-                "standing": STANDING_WORDS[self.verdict.standing],
-                "reason": self.verdict.reason,
-                **self.verdict.figures,
-            }
+        if current is not None and command.generation is None:
+            await self._applier.roll_back("undone by an operator")
+            return commands.ChangeResult(current)
+        earlier = self.changes.earlier_snapshot(command.generation)
+        document = {**earlier.document, "peers": self.changes.in_force.document["peers"]}
+        origin = f"back to generation {earlier.generation.number}"
+        change = self._applier.draft(config_from(document), document, origin, True)
+        await self._applier.stage_and_apply(change)
+        return commands.ChangeResult(change)
+
+    def _status(self) -> commands.StatusResult:
+        server = self._server
+        return commands.StatusResult(
+            name=server.generation.config.name,
+            phase=server.phase,
+            is_healthy=server.is_healthy,
+            open_request_count=len(server.requests),
+            verdict=self.observation.verdict,
+            adoption_times_us=self._applier.adoption_times_us[-MAX_ADOPTION_TIMES_IN_REPLY:],
+            unwritten_record_count=len(self.history.unwritten),
+            changes=self.changes.status(server.clock()),
         )
-        return {
-            "name": node.generation.config.name,
-            "phase": PHASE_WORDS[node.phase],
-            "healthy": node.is_healthy,
-            "in_hand": len(node.requests),
-            "verdict": verdict,
-            "apply_us": self.apply_us[-8:],
-            "history_behind": len(self._unwritten),
-            **self.changes.status(node.clock()),
-        }
-
-    async def _history(self, request: dict[str, Any]) -> dict[str, Any]:
-        records = list(self.changes.records)[-HISTORY_SHOWN:]
-        return {
-            "records": [
-                {
-                    "at": each.at,
-                    "event": each.event.value,
-                    "generation": each.generation,
-                    "digest": each.digest,
-                    "origin": each.origin,
-                    "since_ms": each.since_ms,
-                    "reason": each.reason,
-                }
-                for each in records
-            ]
-        }
--- /dev/null
+++ b/nickelslip/server/configuration_reloader.py
@@ -0,0 +1,115 @@
+"""Reads the configuration files again on SIGHUP, and applies what may be applied.
+
+Peer addresses are adopted at once. The rest is a change like any other where the rules allow that, and else waits for
+a restart.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import anyio
+import anyio.to_thread
+
+from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeRejectedError
+from nickelslip.configuration.config import Config, with_new_peer_addresses
+from nickelslip.configuration.document import Document, document_of
+from nickelslip.configuration.generations import digest_of
+from nickelslip.configuration.plan import Difference, plan_of
+from nickelslip.configuration.schema import Effect
+from nickelslip.server.change_applier import ChangeApplier
+from nickelslip.server.server import Server
+from nickelslip.settings import MalformedSettingsError
+
+ORIGIN = "SIGHUP"
+MAX_PATHS_IN_LOG = 20
+
+
+class ConfigurationReloader:
+    """Reloads the configuration files of one server.
+
+    Args:
+        server: The server.
+        changes: Its changes.
+        applier: Applies what is to be applied.
+        read: Reads the files; it may block, and runs in a thread.
+        file_document: What the files contained at the start.
+        lock: Held while the files are read and applied.
+    """
+
+    def __init__(
+        self,
+        server: Server,
+        changes: ChangeManager,
+        applier: ChangeApplier,
+        read: Callable[[], Config],
+        file_document: Document,
+        lock: anyio.Lock,
+    ) -> None:
+        self._server = server
+        self._changes = changes
+        self._applier = applier
+        self._read = read
+        self._file_document = file_document
+        self._lock = lock
+        self._reload_count = 0
+
+    def reload(self) -> None:
+        """Begin to reload; a reload that has not begun to read yet is left to this one."""
+        self._reload_count += 1
+        self._server.task_group.start_soon(self._server.supervise, self._reload, self._reload_count)
+
+    async def _reload(self, number: int) -> None:
+        async with self._lock:
+            if number != self._reload_count:
+                return
+            try:
+                config = await anyio.to_thread.run_sync(self._read)
+            except MalformedSettingsError as error:
+                self._server.log.error("configuration_rejected", error=str(error))
+                return
+            await self._apply(config)
+
+    async def _apply(self, config: Config) -> None:
+        """Apply what the files contain now."""
+        document = document_of(config)
+        if digest_of(document) == digest_of(self._file_document):
+            self._server.log.info("configuration_unchanged")
+            return
+        differences = plan_of(self._file_document, document).differences
+        remaining = [difference for difference in differences if difference.effect is not Effect.LINKS]
+        applies_remaining = bool(remaining) and self._changes.rules.reload_all
+        if not applies_remaining:
+            self._file_document = document
+            self._changes.file_digest = digest_of(document)
+        await self._move_peers(config, document)
+        self._log_applied(config, remaining)
+        if applies_remaining:
+            await self._apply_remaining(config, document)
+
+    async def _move_peers(self, config: Config, document: Document) -> None:
+        current = self._server.generation.config
+        moved, _ = with_new_peer_addresses(current, config)
+        if moved != current:
+            moved_document = {**self._changes.in_force.document, "peers": document["peers"]}
+            await self._applier.move_peers(moved, moved_document, ORIGIN)
+
+    def _log_applied(self, config: Config, remaining: list[Difference]) -> None:
+        self._server.log.info(
+            "configuration_applied",
+            pool=config.pool,
+            records=config.records,
+            directory=config.directory,
+            needs_restart=[".".join(difference.path) for difference in remaining[:MAX_PATHS_IN_LOG]],
+        )
+
+    async def _apply_remaining(self, config: Config, document: Document) -> None:
+        """Apply the whole files as a change; if it is rejected the next reload tries it again."""
+        previous_digest = self._changes.file_digest
+        self._changes.file_digest = digest_of(document)
+        try:
+            await self._applier.stage_and_apply(self._applier.draft(config, document, ORIGIN, False))
+            self._file_document = document
+        except ChangeRejectedError as error:
+            self._changes.file_digest = previous_digest
+            self._server.log.error("configuration_rejected", error=str(error))
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -1,12 +1,12 @@
-"""The control socket: a local door for operators and tools.
+"""The control socket: a local Unix socket for operators and tools.
 
-Owns the listening Unix socket and its connections: framing, versions, how many there may be and how long a peer may
-take. It must never do what a command says; it hands it on and brings the result. Nothing that a peer sends, or leaves
-unsent, holds up the server or another peer.
+Takes connections, reads requests and writes replies; commands are carried out elsewhere. Whatever a peer sends, or
+leaves unsent, it holds up neither the server nor another peer.
 """
 
 from __future__ import annotations
 
+import errno
 import os
 import socket
 import stat
@@ -17,143 +17,177 @@
 
 import anyio
 
-from nickelslip.configuration.change_lifecycle import Denied
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError, RejectionReason
 from nickelslip.configuration.control_protocol import (
+    INVALID_REQUEST_CODE,
     ControlProtocolError,
-    Frames,
-    accepted,
-    denied,
-    framed,
-    hello,
-    request_fault,
+    FrameDecoder,
+    encode_frame,
+    encode_greeting,
+    error_reply,
+    request_error,
+    success_reply,
 )
 from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.control_words import REJECTION_CODES
 from nickelslip.server.interfaces import ServerContext
 from nickelslip.server.streams import Stream
 
-CONNECTIONS_MOST = 8
-HALF_S = 3.0  # from the begin of a message to its end, and for taking a reply
-IDLE_S = 120.0  # between two messages
-BACKLOG = 16
-BACKLOG_MOST = 64 * 1024  # unread replies over which no more is read from a peer
-ACCEPT_PAUSE_S = 0.05
+MAX_CONNECTIONS = 8
+MESSAGE_TIMEOUT_S = 3.0  # from the beginning of a message to its end, and for taking a reply
+IDLE_TIMEOUT_S = 120.0  # between two messages
+LISTEN_BACKLOG = 16
+MAX_UNREAD_REPLY_BYTES = 64 * 1024  # above it no more requests of that peer are read
+ACCEPT_RETRY_S = 0.05
+PROBE_TIMEOUT_S = 1.0
+MS_PER_S = 1000
 
+CommandHandler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
-def unused(path: str) -> None:
-    """Take a socket out of the way that a server left behind. Raises OSError where one still listens there, or where
-    something else stands there."""
+
+def remove_stale_socket(path: str) -> None:
+    """Remove a socket that a server left behind.
+
+    Raises:
+        OSError: A server still listens there, or something else than a socket is there.
+    """
     try:
-        kind = os.lstat(path).st_mode
+        mode = os.lstat(path).st_mode
     except FileNotFoundError:
         return
-    if not stat.S_ISSOCK(kind):
-        raise FileExistsError(17, "something that is no socket stands there", path)
+    if not stat.S_ISSOCK(mode):
+        raise FileExistsError(errno.EEXIST, "something that is no socket stands there", path)
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
-        probe.settimeout(1.0)
+        probe.settimeout(PROBE_TIMEOUT_S)
         try:
             probe.connect(path)
         except (ConnectionRefusedError, FileNotFoundError):
             with suppress(FileNotFoundError):
                 os.unlink(path)
             return
-    raise OSError(98, "another server listens there", path)
+    raise OSError(errno.EADDRINUSE, "another server listens there", path)
 
 
 class ControlSocket:
-    """The door of one server."""
-
-    def __init__(
-        self,
-        around: ServerContext,
-        path: str,
-        mode: int,
-        command: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]],
-    ) -> None:
-        self._around, self._path, self._mode, self._command = around, path, mode, command
-        self.open = 0
+    """The control socket of one server.
+
+    Args:
+        context: The server.
+        path: Where the socket is.
+        mode: The permissions of the socket.
+        command: Carries out a request, and returns the result for its reply.
+
+    Attributes:
+        open_connection_count: Connections that are being served.
+    """
+
+    def __init__(self, context: ServerContext, path: str, mode: int, command: CommandHandler) -> None:
+        self._context = context
+        self._path = path
+        self._mode = mode
+        self._command = command
+        self.open_connection_count = 0
 
     async def run(self) -> None:
-        """Serve until the server ends; a door that cannot be opened is said, and the server serves without it."""
-        listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        try:
-            unused(self._path)
-            listener.bind(self._path)
-            os.chmod(self._path, self._mode)  # before it listens: until then nobody gets in
-            listener.listen(BACKLOG)
-            listener.setblocking(False)
-        except OSError as error:
-            listener.close()
-            self._around.log.error("control_socket_unavailable", path=self._path, error=error.strerror)
+        """Serve until cancelled; without a socket, where it cannot be opened."""
+        listener = self._listen()
+        if listener is None:
             return
-        self._around.log.info("control_socket_listening", path=self._path, mode=oct(self._mode))
         try:
             while True:
-                await anyio.wait_readable(listener)
-                try:
-                    sock, _ = listener.accept()
-                except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-                    continue
-                except OSError:  # no descriptor: the peers of the service go first
-                    await anyio.sleep(ACCEPT_PAUSE_S)
-                    continue
-                if self.open >= CONNECTIONS_MOST:
-                    sock.close()
-                    continue
-                self.open += 1
-                self._around.task_group.start_soon(self._serve, sock)
+                await self._accept(listener)
         finally:
             listener.close()
             with suppress(OSError):
                 os.unlink(self._path)
 
-    async def _serve(self, sock: socket.socket) -> None:
-        """One peer. Whatever it does, it does to its own connection."""
-        stream = Stream(sock, self._around.buffers, self._around.task_group, HALF_S * 1000, BACKLOG_MOST)
-        ending = CloseReason.SHUTDOWN
+    def _listen(self) -> socket.socket | None:
+        """Return the listening socket, or None where it cannot be opened."""
+        listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
+            remove_stale_socket(self._path)
+            listener.bind(self._path)
+            os.chmod(self._path, self._mode)  # before it listens: until then nobody can connect
+            listener.listen(LISTEN_BACKLOG)
+            listener.setblocking(False)
+        except OSError as error:
+            listener.close()
+            self._context.log.error("control_socket_unavailable", path=self._path, error=error.strerror)
+            return None
+        self._context.log.info("control_socket_listening", path=self._path, mode=oct(self._mode))
+        return listener
+
+    async def _accept(self, listener: socket.socket) -> None:
+        """Wait for a connection, and begin to serve it."""
+        await anyio.wait_readable(listener)
+        try:
+            connection, _ = listener.accept()
+        except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            return
+        except OSError:  # no descriptor is free; connections of load balancers have precedence
+            await anyio.sleep(ACCEPT_RETRY_S)
+            return
+        if self.open_connection_count >= MAX_CONNECTIONS:
+            connection.close()
+            return
+        self.open_connection_count += 1
+        self._context.task_group.start_soon(self._serve, connection)
+
+    async def _serve(self, connection: socket.socket) -> None:
+        """Serve one peer; an error ends its connection alone."""
+        context = self._context
+        timeout_ms = MESSAGE_TIMEOUT_S * MS_PER_S
+        stream = Stream(connection, context.buffers, context.task_group, timeout_ms, MAX_UNREAD_REPLY_BYTES)
+        reason = CloseReason.SHUTDOWN
         try:
-            await self._talk(stream)
-        except ConnectionClosedError as ended:
-            ending = ended.reason
-        except ControlProtocolError as improper:
-            ending = CloseReason.MALFORMED
-            stream.write(framed(denied({}, "improper", str(improper))))
-        except Exception as error:  # this peer alone is left without its answer
-            ending = CloseReason.FAULT
-            self._around.log.error("control_connection_failed", error=repr(error), exc_info=error)
+            await self._answer_requests(stream)
+        except ConnectionClosedError as error:
+            reason = error.reason
+        except ControlProtocolError as error:
+            reason = CloseReason.MALFORMED
+            stream.write(encode_frame(error_reply({}, INVALID_REQUEST_CODE, str(error))))
+        except Exception as error:
+            reason = CloseReason.FAULT
+            context.log.error("control_connection_failed", error=repr(error), exc_info=error)
         finally:
-            stream.end_with(ending)
-            self.open -= 1
+            stream.end_with(reason)
+            self.open_connection_count -= 1
 
-    async def _talk(self, stream: Stream) -> None:
-        stream.write(hello(self._around.generation.config.name))
-        frames, began = Frames(), time.monotonic()  # the message under way, or the pause between two
+    async def _answer_requests(self, stream: Stream) -> None:
+        """Answer the requests of one connection, in order."""
+        stream.write(encode_greeting(self._context.generation.config.name))
+        decoder = FrameDecoder()
+        begun_s = time.monotonic()  # of the message in progress, or of the pause between two
         while True:
-            left = began + (HALF_S if frames.half else IDLE_S) - time.monotonic()
-            await stream.fill(left * 1000)
+            timeout_s = MESSAGE_TIMEOUT_S if decoder.has_partial_frame else IDLE_TIMEOUT_S
+            remaining_s = begun_s + timeout_s - time.monotonic()
+            await stream.fill(remaining_s * MS_PER_S)
             if stream.data is None:
                 continue
-            was_half = frames.half
-            messages = frames.feed(bytes(stream.data[stream.start : stream.end]))
+            had_partial_frame = decoder.has_partial_frame
+            messages = decoder.feed(bytes(stream.data[stream.start : stream.end]))
             stream.take(stream.end)
-            if messages or not was_half:
-                began = time.monotonic()
+            if messages or not had_partial_frame:
+                begun_s = time.monotonic()
             for message in messages:
-                stream.write(framed(await self._reply(message)))
+                stream.write(encode_frame(await self._reply(message)))
                 await stream.room()
 
     async def _reply(self, request: dict[str, Any]) -> dict[str, Any]:
-        if (fault := request_fault(request)) is not None:
-            return denied(request, "improper", fault)
+        """Return the reply to one request."""
+        error_text = request_error(request)
+        if error_text is not None:
+            return error_reply(request, INVALID_REQUEST_CODE, error_text)
         try:
-            return accepted(request, **await self._command(request))
-        except Denied as refusal:
-            return denied(request, refusal.denial.name.lower(), str(refusal))
-        except InvalidDocumentError as faulty:
-            return denied(
+            return success_reply(request, **await self._command(request))
+        except ChangeRejectedError as error:
+            return error_reply(request, REJECTION_CODES[error.reason], str(error))
+        except InvalidDocumentError as error:
+            return error_reply(
                 request,
-                "faulty",
-                str(faulty),
-                faults=[each.as_dict() for each in faulty.faults],
-                left_out=faulty.left_out,
+                REJECTION_CODES[RejectionReason.INVALID_DOCUMENT],
+                str(error),
+                faults=[fault.as_dict() for fault in error.faults],
+                left_out=error.left_out,
             )
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -130,14 +130,17 @@
     if find_spec("xxhash") is None:  # an extra, which the platform does without
         say("changes: pip install nickelslip[settings] is needed")
         sys.exit(BAD_CONFIGURATION)
-    from nickelslip.configuration.store import Store
-    from nickelslip.server.configuration_manager import ConfigurationManager, begin
+    from nickelslip.configuration.store import HistoryStore
+    from nickelslip.server.configuration_manager import ConfigurationManager
     from nickelslip.server.control_socket import ControlSocket
+    from nickelslip.server.starting_configuration import select_starting_configuration
 
     rules = config.changes
     try:
-        store = Store(rules.history, rules.history_kb) if rules.history else None
-        config, file, start, records = begin(config, store, time.time() * 1000, structlog.get_logger())
+        store = HistoryStore(rules.history, rules.history_kb) if rules.history else None
+        config, file, start, records = select_starting_configuration(
+            config, store, time.time() * 1000, structlog.get_logger()
+        )
     except OSError as error:
         say(f"changes.history: {rules.history}: {error.strerror}")
         sys.exit(FAILED)
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -31,7 +31,7 @@
     StateChange,
 )
 from nickelslip.configuration.config import Config, with_new_peer_addresses
-from nickelslip.configuration.generations import RESULTS_PART, Generation
+from nickelslip.configuration.generations import CACHED_RESPONSES_MEMORY_FRACTION, Generation
 from nickelslip.configuration.request_metrics import RequestMetrics
 from nickelslip.server.directory_reporter import DirectoryReporter
 from nickelslip.server.idempotency_table import IdempotencyTable
@@ -108,7 +108,9 @@
         self.idle_connection_timeout_ms: float | None = None
         self.buffers = BufferPool(int(config.memory_mb * 1024 * 1024 * BUFFERS_PART / BUFFER_BYTES))
         self.requests: dict[int, Request] = {}
-        self.idempotency_table = IdempotencyTable(self.clock, config.memory_mb * 1024 * 1024 * RESULTS_PART)
+        self.idempotency_table = IdempotencyTable(
+            self.clock, config.memory_mb * 1024 * 1024 * CACHED_RESPONSES_MEMORY_FRACTION
+        )
         self.worker_pool = WorkerPoolLink(self)
         self.dependency_client = RecordsClient(self)
         self.directory_reporter = DirectoryReporter(self)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -33,13 +33,14 @@
 )
 from nickelslip.configuration.config import ChangeRules, Config, config_from_platform
 from nickelslip.configuration.generations import Generation
-from nickelslip.configuration.store import Store
+from nickelslip.configuration.store import HistoryStore
 from nickelslip.server import resp
-from nickelslip.server.configuration_manager import ConfigurationManager, begin
+from nickelslip.server.configuration_manager import ConfigurationManager
 from nickelslip.server.control_socket import ControlSocket
 from nickelslip.server.load_balancer_connection import LoadBalancerConnection
 from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
 from nickelslip.server.server import Phase, Server
+from nickelslip.server.starting_configuration import select_starting_configuration
 
 READ = TrafficClass("read", 1.0, 1000.0, 3000.0, RetrySafety.IDEMPOTENT, makes_calls=True, degraded_value_fraction=0.5)
 PAY = TrafficClass("pay", 3.0, 500.0, 1500.0, RetrySafety.NON_IDEMPOTENT, makes_calls=True)
@@ -593,8 +594,10 @@
         return config if self._rules is None else replace(config, changes=self._rules)
 
     def _take_changes(self, rules: ChangeRules) -> None:
-        store = Store(rules.history, rules.history_kb) if rules.history else None
-        config, file, start, records = begin(self.read(), store, self.node.clock(), self.node.log)
+        store = HistoryStore(rules.history, rules.history_kb) if rules.history else None
+        config, file, start, records = select_starting_configuration(
+            self.read(), store, self.node.clock(), self.node.log
+        )
         self.node = Server(config, self.read)
         self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
         self.changing = ConfigurationManager(self.node, file, start, records, self.read, store)
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -23,15 +23,16 @@
 from nickelslip.admission.controller import AdmissionController, ClassStatistics
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import control_client, history, loading, store
-from nickelslip.configuration.change_lifecycle import Denial, Denied, start_of
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError, RejectionReason
 from nickelslip.configuration.commands import config as config_command
 from nickelslip.configuration.commands import roll_out
 from nickelslip.configuration.config import ChangeRules
-from nickelslip.configuration.control_protocol import Frames, framed
+from nickelslip.configuration.control_protocol import FrameDecoder, encode_frame
 from nickelslip.configuration.request_metrics import RequestMetrics
 from nickelslip.configuration.rollout import Course, Rollout, Terms
 from nickelslip.configuration.rollout import Place as Place_
-from nickelslip.configuration.store import Store
+from nickelslip.configuration.start_selection import select_start
+from nickelslip.configuration.store import HistoryStore
 from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server import control_socket
 from nickelslip.server.server import Phase, Server
@@ -130,9 +131,9 @@
         await place.up()
         for at in range(10):
             await place.push({"machine": {"cores": 3 + at}})
-            with pytest.raises(Denied) as caught:
+            with pytest.raises(ChangeRejectedError) as caught:
                 await place.push({"machine": {"cores": 50}})
-            assert caught.value.denial is Denial.BUSY
+            assert caught.value.reason is RejectionReason.BUSY
             await place.changing.command({"do": "confirm"})
         assert place.node.generation.number == 11 and place.node.generation.settings.core_count == 12
         reply = await place.changing.command({"do": "rollback", "generation": 9})
@@ -143,16 +144,16 @@
     rules = replace(RULES, history=str(tmp_path))
     async with Place(rules=rules) as place:
         await place.up()
-        ends, slow = [], Store.append
+        ends, slow = [], HistoryStore.append
 
         def slowly(self, record):  # the disk takes its time
             time.sleep(0.05)
             slow(self, record)
 
-        monkeypatch.setattr(Store, "append", slowly)
+        monkeypatch.setattr(HistoryStore, "append", slowly)
 
         async def ask(**request):
-            with suppress(Denied):
+            with suppress(ChangeRejectedError):
                 await place.changing.command(request)
                 ends.append(request)
 
@@ -195,9 +196,9 @@
         await place.pool.finish(A)
         assert (await caller.answer())[:2] == (1, "done")
         place.node.begin_shutdown()
-        with pytest.raises(Denied) as caught:
+        with pytest.raises(ChangeRejectedError) as caught:
             await place.push({"machine": {"cores": 9}})
-        assert caught.value.denial is Denial.LEAVING
+        assert caught.value.reason is RejectionReason.SHUTTING_DOWN
 
 
 async def test_harm_is_undone_by_itself_and_a_change_that_does_none_is_confirmed():
@@ -205,11 +206,11 @@
         await place.up()
         chance, begin = random.Random(3), place.node.clock() - 14_500
         quoted = {"payout": 100.0, "balance": 100.0}
-        place.changing.request_metrics = place.node.request_metrics = RequestMetrics(16_000.0, quoted)
-        fill(place.changing.request_metrics, chance, begin, place.node.clock(), lambda pair: 0.97)
+        place.changing.observation.request_metrics = place.node.request_metrics = RequestMetrics(16_000.0, quoted)
+        fill(place.changing.observation.request_metrics, chance, begin, place.node.clock(), lambda pair: 0.97)
         await place.push({"machine": {"cores": 6}})
         number = place.node.generation.number
-        meter = place.changing.request_metrics
+        meter = place.changing.observation.request_metrics
 
         async def go_on(kept, over):
             at = place.node.clock()
@@ -228,10 +229,10 @@
         await go_on(lambda pair: 0.1, lambda: place.changing.changes.current is None)
         assert place.node.generation.settings.core_count == 6
         last = place.changing.changes.records[-1]
-        assert last.event is history.Event.ROLLED_BACK and "quoted time" in last.reason
-        with pytest.raises(Denied) as caught:
+        assert last.event is history.HistoryEvent.ROLLED_BACK and "quoted time" in last.reason
+        with pytest.raises(ChangeRejectedError) as caught:
             await place.push({"machine": {"cores": 1}})
-        assert caught.value.denial is Denial.UNDONE
+        assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
 
 
 async def test_sighup_moves_peers_at_once_takes_the_rest_as_a_change_and_leaves_what_did_not_change():
@@ -296,9 +297,9 @@
     made = 0
     for step in range(200):
         folder = tmp_path / str(step)
-        begun = Store(str(folder), 6.0)  # so small that it is written anew on the way
+        begun = HistoryStore(str(folder), 6.0)  # so small that it is written anew on the way
         confirmed, count, done = 0, 0, False
-        first = start_of([], document, 0.0)
+        first = select_start([], document, 0.0)
         begun.append(first.record)
         confirmed = first.number
 
@@ -320,10 +321,10 @@
                 patch.setattr(store.os, name, dies(name))
             with suppress(Killed):
                 for number in range(2, 7):
-                    for event in (history.Event.APPLIED, history.Event.CONFIRMED):
+                    for event in (history.HistoryEvent.APPLIED, history.HistoryEvent.CONFIRMED):
                         begun.append(
-                            history.Record(
-                                2 * number + (event is history.Event.CONFIRMED),
+                            history.HistoryRecord(
+                                2 * number + (event is history.HistoryEvent.CONFIRMED),
                                 event,
                                 number,
                                 "d",
@@ -331,18 +332,18 @@
                                 0.0,
                                 "",
                                 document,
-                                first.record.base,
+                                first.record.file_digest,
                             )
                         )
                     confirmed = number
                 done = True
         begun.close()
-        again = Store(str(folder), 6.0)
-        kept = history.in_force(again.records)
+        again = HistoryStore(str(folder), 6.0)
+        kept = history.last_confirmed(again.records)
         # the record that was being written may be whole already, or not be there; nothing in between
         assert kept is not None and kept.generation in (confirmed, confirmed + 1), (step, confirmed)
-        assert start_of(again.records, document, 1.0).document == json.loads(json.dumps(document))
-        again.append(history.Record(999, history.Event.REFUSED, 9, "d", "test", 0.0))
+        assert select_start(again.records, document, 1.0).document == json.loads(json.dumps(document))
+        again.append(history.HistoryRecord(999, history.HistoryEvent.REJECTED, 9, "d", "test", 0.0))
         again.close()
         made = max(made, count)
         if done:
@@ -353,26 +354,29 @@
 async def test_a_history_that_cannot_be_written_refuses_a_change_and_keeps_the_order_of_what_happened(tmp_path):
     async with Place(rules=replace(RULES, history=str(tmp_path))) as place:
         await place.up()
-        real = place.changing._store.append
+        real = place.changing.history.store.append
 
         def full(record):
             raise OSError(errno.ENOSPC, "no space")
 
-        place.changing._store.append = full
-        with pytest.raises(Denied) as caught:
+        place.changing.history.store.append = full
+        with pytest.raises(ChangeRejectedError) as caught:
             await place.push({"machine": {"cores": 3}})
-        assert caught.value.denial is Denial.HISTORY and place.node.generation.settings.core_count == 2
-        place.changing._store.append = real
+        assert (
+            caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE
+            and place.node.generation.settings.core_count == 2
+        )
+        place.changing.history.store.append = real
         await place.push({"machine": {"cores": 4}})
-        place.changing._store.append = full
+        place.changing.history.store.append = full
         await place.changing.command({"do": "confirm"})
         assert (await place.changing.command({"do": "status"}))["history_behind"] >= 1
-        place.changing._store.append = real
-        await until(lambda: not place.changing._unwritten)
-        assert history.in_force(place.changing._store.records).generation == place.node.generation.number
+        place.changing.history.store.append = real
+        await until(lambda: not place.changing.history.unwritten)
+        assert history.last_confirmed(place.changing.history.store.records).generation == place.node.generation.number
         with pytest.raises(OSError):  # one server at a time
-            Store(str(tmp_path), 64.0)
-        place.changing._store.close()
+            HistoryStore(str(tmp_path), 64.0)
+        place.changing.history.store.close()
 
 
 # The control socket
@@ -391,24 +395,24 @@
 async def test_a_message_in_pieces_from_a_peer_that_rested_is_answered(tmp_path, monkeypatch):
     shifted, pieces = ShiftedTime(), []
 
-    class Watched(Frames):
+    class Watched(FrameDecoder):
         def feed(self, data):
             pieces.append(data)
             return super().feed(data)
 
     monkeypatch.setattr(control_socket, "time", shifted)
-    monkeypatch.setattr(control_socket, "Frames", Watched)
+    monkeypatch.setattr(control_socket, "FrameDecoder", Watched)
     path = str(tmp_path / "control")
     async with Place(rules=replace(RULES, socket=path)) as place:
         await place.up()
         await until(lambda: os.path.exists(path))
-        message = framed({"protocol": 1, "id": 1, "do": "status"})
+        message = encode_frame({"protocol": 1, "id": 1, "do": "status"})
         async with await anyio.connect_unix(path) as stream:
-            frames, told = Frames(), []
+            frames, told = FrameDecoder(), []
             with anyio.fail_after(2):
                 while not told:  # the greeting
                     told += frames.feed(await stream.receive())
-                shifted.ahead_s += control_socket.HALF_S + 1.0
+                shifted.ahead_s += control_socket.MESSAGE_TIMEOUT_S + 1.0
                 for at in range(len(message)):
                     await stream.send(message[at : at + 1])
                     await until(lambda at=at: len(pieces) == at + 1)  # each is read before the next one is sent
@@ -418,13 +422,13 @@
 
 
 async def test_peers_that_send_half_or_nonsense_or_too_many_hold_up_nobody(tmp_path, monkeypatch):
-    monkeypatch.setattr(control_socket, "HALF_S", 0.3)
+    monkeypatch.setattr(control_socket, "MESSAGE_TIMEOUT_S", 0.3)
     path = str(tmp_path / "control")
     async with Place(rules=replace(RULES, socket=path)) as place:
         await place.up()
         await until(lambda: os.path.exists(path) and os.stat(path).st_mode & 0o777 == 0o600)
         half = await anyio.connect_unix(path)  # of which one message begins and never ends
-        await half.send(framed({"protocol": 1, "id": 1, "do": "status"})[:9])
+        await half.send(encode_frame({"protocol": 1, "id": 1, "do": "status"})[:9])
         for junk in (
             struct.pack(">I", 1 << 30),
             b"GET / HTTP/1.0\r\n\r\n",
@@ -444,8 +448,8 @@
         assert (await asked(path, "sing"))["code"] == "none"
         assert (await asked(path, "apply", document={"machine": {"cores": 9}}, until_ms=1))["code"] == "late"
         async with await anyio.connect_unix(path) as stream:
-            frames, told = Frames(), []
-            await stream.send(framed({"protocol": 99, "id": 5, "do": "status"}) + framed({"do": 4}))
+            frames, told = FrameDecoder(), []
+            await stream.send(encode_frame({"protocol": 99, "id": 5, "do": "status"}) + encode_frame({"do": 4}))
             with anyio.fail_after(2):
                 while len(told) < 3:
                     told += frames.feed(await stream.receive())
@@ -453,17 +457,17 @@
         with anyio.fail_after(2), suppress(anyio.BrokenResourceError), pytest.raises(anyio.EndOfStream):
             while True:
                 await half.receive()  # its first words, and then its end
-        crowd = [await anyio.connect_unix(path) for _ in range(control_socket.CONNECTIONS_MOST)]
+        crowd = [await anyio.connect_unix(path) for _ in range(control_socket.MAX_CONNECTIONS)]
         for each in crowd:
             await each.receive()
         with pytest.raises(control_client.ServerUnreachableError):
             await asked(path, "status", 500.0)
         for each in crowd:
             await each.aclose()
-        await until(lambda: not place.node.background_tasks[-1].__self__.open)
+        await until(lambda: not place.node.background_tasks[-1].__self__.open_connection_count)
         assert (await asked(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
-            control_socket.unused(path)
+            control_socket.remove_stale_socket(path)
 
 
 # The whole program
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,17 +11,18 @@
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import history, json5_reader
 from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
-from nickelslip.configuration.change_lifecycle import Changes, Denial, Denied, Step, start_of
+from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeRejectedError, ChangeState, RejectionReason
 from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import config_from, document_of
 from nickelslip.configuration.generations import Generation, digest_of
-from nickelslip.configuration.history import Event, Record
+from nickelslip.configuration.history import HistoryEvent, HistoryRecord
 from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.layers import layered, merged
 from nickelslip.configuration.plan import plan_of
 from nickelslip.configuration.request_metrics import WIDTH_MS, RequestMetrics
 from nickelslip.configuration.rollout import Course, Do, Place, Rollout, Terms
 from nickelslip.configuration.schema import Effect
+from nickelslip.configuration.start_selection import select_start
 from nickelslip.configuration.validation import InvalidDocumentError
 from tests.test_config import GOOD
 
@@ -142,8 +143,8 @@
         "machine.cold_ms": Effect.RESTART,
         "grades.payout.credit": Effect.NEW,
     }
-    assert [each.path[1] for each in plan_of(old, new).restart] == ["cold_ms"]
-    assert plan_of(old, old).empty and plan_of(old, ours("{node: {seed: 'ff'}}").document).empty
+    assert [each.path[1] for each in plan_of(old, new).needing_restart] == ["cold_ms"]
+    assert plan_of(old, old).is_empty and plan_of(old, ours("{node: {seed: 'ff'}}").document).is_empty
 
 
 # Steps, history, crash and restart
@@ -156,33 +157,34 @@
 
 def begun():
     told = ours()
-    first = start_of([], told.document, 0.0)
-    return Changes(Generation(1, told.config), told.document, [first.record], digest_of(told.document), 0.0), first
+    first = select_start([], told.document, 0.0)
+    changes = ChangeManager(Generation(1, told.config), told.document, [first.record], digest_of(told.document))
+    return changes, first
 
 
 def test_one_is_staged_one_on_probation_and_an_overtaken_one_is_refused_and_never_merged():
     changes, _ = begun()
     changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
-    with pytest.raises(Denied, match="another change"):
+    with pytest.raises(ChangeRejectedError, match="another change"):
         changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 4}}"))
-    changes.begin(2.0)
-    changes.applied(2.0)
+    changes.begin_applying(2.0)
+    changes.mark_applied(2.0)
     changes.stage(3.0, a_change(changes, 3.0, "{machine: {cores: 5}}"))
-    with pytest.raises(Denied, match="on_probation"):
-        changes.begin(3.0)
+    with pytest.raises(ChangeRejectedError, match="on_probation"):
+        changes.begin_applying(3.0)
     generation, _ = changes.roll_back(4.0, "harm")
     assert generation.number == 1 and changes.in_force.generation is generation
-    with pytest.raises(Denied) as caught:
-        changes.begin(5.0)
-    assert caught.value.denial is Denial.OVERTAKEN and changes.staged is None
-    with pytest.raises(Denied) as caught:
+    with pytest.raises(ChangeRejectedError) as caught:
+        changes.begin_applying(5.0)
+    assert caught.value.reason is RejectionReason.SUPERSEDED and changes.staged is None
+    with pytest.raises(ChangeRejectedError) as caught:
         a_change(changes, 5.0, "{machine: {cores: 3}}")
-    assert caught.value.denial is Denial.UNDONE
-    assert a_change(changes, 5.0, "{machine: {cores: 3}}", forced=True).step is Step.CHECKED
-    assert a_change(changes, 5.0 + 600_001, "{machine: {cores: 3}}").step is Step.CHECKED
-    with pytest.raises(Denied) as caught:
+    assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
+    assert a_change(changes, 5.0, "{machine: {cores: 3}}", forced=True).state is ChangeState.VALIDATED
+    assert a_change(changes, 5.0 + 600_001, "{machine: {cores: 3}}").state is ChangeState.VALIDATED
+    with pytest.raises(ChangeRejectedError) as caught:
         a_change(changes, 6.0, "{machine: {cold_ms: 7.0}}")
-    assert caught.value.denial is Denial.RESTART
+    assert caught.value.reason is RejectionReason.NEEDS_RESTART
 
 
 def test_a_file_whose_change_was_undone_or_never_confirmed_is_not_taken_at_the_next_start():
@@ -190,30 +192,30 @@
         changes, first = begun()
         change = a_change(changes, 1.0, "{machine: {cores: 3}}")
         changes.stage(1.0, change)
-        changes.base = change.digest  # as after SIGHUP with that file
-        changes.begin(2.0)
-        changes.applied(2.0)
+        changes.file_digest = change.digest  # as after SIGHUP with that file
+        changes.begin_applying(2.0)
+        changes.mark_applied(2.0)
         if undo:
             changes.roll_back(3.0, "harm")
-        again = start_of([*changes.records], change.document, 4.0)
+        again = select_start([*changes.records], change.document, 4.0)
         assert again.document["machine"]["cores"] == 2 and again.record is None
         other = {**change.document, "machine": {**change.document["machine"], "cores": 7}}
-        assert start_of([*changes.records], other, 4.0).document["machine"]["cores"] == 7
+        assert select_start([*changes.records], other, 4.0).document["machine"]["cores"] == 7
 
 
 def test_peers_that_move_during_a_probation_stay_moved_when_it_is_undone_or_confirmed():
     for undo in (True, False):
         changes, first = begun()
         changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
-        changes.begin(2.0)
-        changes.applied(2.0)
+        changes.begin_applying(2.0)
+        changes.mark_applied(2.0)
         now = changes.in_force
         document = {**now.document, "peers": {**now.document["peers"], "pool": "127.0.0.1:99"}}
-        changes.moved(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
+        changes.move_peers(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
         record = changes.roll_back(4.0, "harm")[1] if undo else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
         assert changes.in_force.generation.config.settings.core_count == (2 if undo else 3)
-        again = start_of([*changes.records], ours().document, 5.0)
+        again = select_start([*changes.records], ours().document, 5.0)
         assert record in changes.records and again.document["peers"]["pool"] == "127.0.0.1:99"
         assert again.document["machine"]["cores"] == (2 if undo else 3)
 
@@ -234,21 +236,21 @@
 @settings(derandomize=True, max_examples=120, deadline=None)
 def test_any_course_ends_in_a_generation_that_was_whole_and_confirmed_or_the_first(course):
     file = ours().document
-    disk = history.whole_file([])
+    disk = history.encode_file([])
     confirmed = {digest_of(file)}
     changes, now = None, 0.0
 
     def start():
         nonlocal disk
-        records, upto = history.scanned(disk)
-        disk = disk[:upto] or history.whole_file([])
-        first = start_of(records, file, now)
+        records, upto = history.decode_file(disk)
+        disk = disk[:upto] or history.encode_file([])
+        first = select_start(records, file, now)
         assert digest_of(first.document) in confirmed, "what is in force at a start was whole and confirmed"
         if first.record is not None:
-            disk += history.encoded(first.record)
+            disk += history.encode_record(first.record)
             records.append(first.record)
-        return Changes(
-            Generation(first.number, config_from(first.document)), first.document, records, digest_of(file), now
+        return ChangeManager(
+            Generation(first.number, config_from(first.document)), first.document, records, digest_of(file)
         )
 
     changes = start()
@@ -258,67 +260,69 @@
             if command == "stage":
                 changes.stage(now, a_change(changes, now, f"{{machine: {{cores: {which + 1}}}}}"))
             elif command == "begin":
-                disk += history.encoded(changes.begin(now)[1])
+                disk += history.encode_record(changes.begin_applying(now)[1])
             elif command == "applied":
-                if (record := changes.applied(now)) is not None:
-                    disk += history.encoded(record)
+                if (record := changes.mark_applied(now)) is not None:
+                    disk += history.encode_record(record)
             elif command == "confirm":
                 record = changes.confirm(now, "")
-                disk += history.encoded(record)
+                disk += history.encode_record(record)
                 confirmed.add(record.digest)
             elif command == "roll_back":
                 generation, record = changes.roll_back(now, "")
                 assert digest_of(document_of(generation.config)) in confirmed
-                disk += history.encoded(record)
+                disk += history.encode_record(record)
             elif command == "drop":
-                changes.drop(now)
+                changes.discard_staged(now)
             elif command == "moved" and changes.current is None:
                 held = changes.in_force
                 pool = f"127.0.0.1:{which + 1}"
-                _, record = changes.moved(
+                _, record = changes.move_peers(
                     now,
                     replace(held.generation.config, pool=("127.0.0.1", which + 1)),
                     {**held.document, "peers": {**held.document["peers"], "pool": pool}},
                     "",
                 )
-                disk += history.encoded(record)
+                disk += history.encode_record(record)
                 confirmed.add(record.digest)
             elif command in ("crash", "restart"):
                 changes = start()
             elif command == "torn":  # killed while it wrote: anything of the last record may be missing
-                last = history.whole_file(history.scanned(disk)[0][:-1])
+                last = history.encode_file(history.decode_file(disk)[0][:-1])
                 disk = disk[: max(len(last), len(disk) - cut)]
-                kept = history.in_force(history.scanned(disk)[0])
+                kept = history.last_confirmed(history.decode_file(disk)[0])
                 confirmed.add(kept.digest if kept else digest_of(file))
                 changes = start()
-        except Denied:
+        except ChangeRejectedError:
             pass
         assert changes.in_force.digest in confirmed or (
-            changes.current is not None and changes.current.step is Step.ON_PROBATION
+            changes.current is not None and changes.current.state is ChangeState.CANARY
         )
 
 
 def test_a_history_cut_or_changed_at_any_byte_gives_whole_records_and_no_others():
     document = ours().document
     records = [
-        Record(at, event, at, f"{at:032x}", "test", float(at), "", document if at % 2 else None)
-        for at, event in enumerate((Event.STARTED, Event.APPLIED, Event.CONFIRMED, Event.ROLLED_BACK), 1)
+        HistoryRecord(at, event, at, f"{at:032x}", "test", float(at), "", document if at % 2 else None)
+        for at, event in enumerate(
+            (HistoryEvent.STARTED, HistoryEvent.APPLIED, HistoryEvent.CONFIRMED, HistoryEvent.ROLLED_BACK), 1
+        )
     ]
-    whole = history.whole_file(records)
-    ends = [len(history.whole_file(records[:count])) for count in range(len(records) + 1)]
+    whole = history.encode_file(records)
+    ends = [len(history.encode_file(records[:count])) for count in range(len(records) + 1)]
     for cut in range(len(whole) + 1):
-        found, upto = history.scanned(whole[:cut])
+        found, upto = history.decode_file(whole[:cut])
         assert len(found) == max(sum(end <= cut for end in ends) - 1, 0) and upto <= cut
-        assert [each.at for each in found] == [each.at for each in records[: len(found)]]
+        assert [each.sequence_number for each in found] == [each.sequence_number for each in records[: len(found)]]
     chance = random.Random(5)
     for _ in range(300):
         at = chance.randrange(len(whole))
         torn = bytearray(whole)
         torn[at] ^= 1 << chance.randrange(8)
-        found, _ = history.scanned(bytes(torn))
+        found, _ = history.decode_file(bytes(torn))
         assert len(found) < 4 and [each.digest for each in found] == [each.digest for each in records[: len(found)]]
-    kept = history.compacted(records)
-    assert history.in_force(kept).generation == 3 and [each.at for each in kept] == [1, 2, 3, 4]
+    kept = history.compact(records)
+    assert history.last_confirmed(kept).generation == 3 and [each.sequence_number for each in kept] == [1, 2, 3, 4]
 
 
 # The judge
@@ -419,12 +423,15 @@
     )
     changes, _ = begun()
     changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
-    changes.begin(2.0)
-    changes.applied(2.0)
+    changes.begin_applying(2.0)
+    changes.mark_applied(2.0)
     soon = Verdict(Standing.INSUFFICIENT_DATA, "")
-    assert changes.judged(2.0 + 10_000, soon) is None and changes.judged(2.0 + 60_000, soon) is Step.CONFIRMED
-    assert changes.judged(2.0 + 9_999, Verdict(Standing.NO_HARM, "")) is None
-    assert changes.judged(2.1, Verdict(Standing.HARM, "")) is Step.ROLLED_BACK
+    assert (
+        changes.next_state(2.0 + 10_000, soon) is None
+        and changes.next_state(2.0 + 60_000, soon) is ChangeState.CONFIRMED
+    )
+    assert changes.next_state(2.0 + 9_999, Verdict(Standing.NO_HARM, "")) is None
+    assert changes.next_state(2.1, Verdict(Standing.HARM, "")) is ChangeState.ROLLED_BACK
 
 
 # Roll-out
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,8 +8,16 @@
 import xxhash
 
 from nickelslip.configuration.generations import digest_of
-from nickelslip.configuration.history import HEAD, MAGIC, Event, Record, compacted, scanned, whole_file
-from nickelslip.configuration.store import Store
+from nickelslip.configuration.history import (
+    MAGIC,
+    RECORD_HEADER,
+    HistoryEvent,
+    HistoryRecord,
+    compact,
+    decode_file,
+    encode_file,
+)
+from nickelslip.configuration.store import HistoryStore
 from nickelslip.startup.crash_loop import Starts
 from nickelslip.startup.crash_loop_file import CrashFile
 
@@ -20,11 +28,11 @@
 CHANGED = {**DOCUMENT, "machine": {**DOCUMENT["machine"], "cores": 3}}
 CHANGED_DIGEST = "fe1b7b8c40edf69fc50d35992048f46d"
 RECORDS = [
-    Record(1, Event.STARTED, 1, DIGEST, "file", 1764720000000.0, "", DOCUMENT, DIGEST),
-    Record(2, Event.APPLIED, 2, CHANGED_DIGEST, "control socket", 1764720001000.25, "", CHANGED, DIGEST),
-    Record(
+    HistoryRecord(1, HistoryEvent.STARTED, 1, DIGEST, "file", 1764720000000.0, "", DOCUMENT, DIGEST),
+    HistoryRecord(2, HistoryEvent.APPLIED, 2, CHANGED_DIGEST, "control socket", 1764720001000.25, "", CHANGED, DIGEST),
+    HistoryRecord(
         3,
-        Event.CONFIRMED,
+        HistoryEvent.CONFIRMED,
         2,
         CHANGED_DIGEST,
         "control socket",
@@ -33,32 +41,36 @@
         CHANGED,
         DIGEST,
     ),
-    Record(4, Event.APPLIED, 3, DIGEST, "Müller", 1764720041000.125, "", DOCUMENT, DIGEST),
-    Record(5, Event.ROLLED_BACK, 3, DIGEST, "Müller", 1764720042000.0, "half of “payout” is lost", None, DIGEST),
-    Record(6, Event.REFUSED, 4, CHANGED_DIGEST, "SIGHUP", 1764720050000.0, "the server leaves", None, DIGEST),
-    Record(7, Event.REFUSED, 5, CHANGED_DIGEST, "SIGHUP", 1764720051000.0),
+    HistoryRecord(4, HistoryEvent.APPLIED, 3, DIGEST, "Müller", 1764720041000.125, "", DOCUMENT, DIGEST),
+    HistoryRecord(
+        5, HistoryEvent.ROLLED_BACK, 3, DIGEST, "Müller", 1764720042000.0, "half of “payout” is lost", None, DIGEST
+    ),
+    HistoryRecord(
+        6, HistoryEvent.REJECTED, 4, CHANGED_DIGEST, "SIGHUP", 1764720050000.0, "the server leaves", None, DIGEST
+    ),
+    HistoryRecord(7, HistoryEvent.REJECTED, 5, CHANGED_DIGEST, "SIGHUP", 1764720051000.0),
 ]
 
 
 def file_of(*bodies):
     """A history file of these bodies, as they stand."""
-    return MAGIC + b"".join(HEAD.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body for body in bodies)
+    return MAGIC + b"".join(RECORD_HEADER.pack(len(body), xxhash.xxh3_64_intdigest(body)) + body for body in bodies)
 
 
 def test_a_stored_history_is_read_whole_and_written_with_the_same_bytes():
-    records, reached = scanned(HISTORY)
+    records, reached = decode_file(HISTORY)
     assert records == RECORDS and reached == len(HISTORY)
-    assert {record.event for record in records} == set(Event)
-    assert whole_file(records) == whole_file(RECORDS) == HISTORY
+    assert {record.event for record in records} == set(HistoryEvent)
+    assert encode_file(records) == encode_file(RECORDS) == HISTORY
 
 
 def test_a_store_goes_on_with_a_stored_history_and_appends_the_same_bytes(tmp_path):
-    ends = [len(whole_file(RECORDS[:count])) for count in range(len(RECORDS) + 1)]
+    ends = [len(encode_file(RECORDS[:count])) for count in range(len(RECORDS) + 1)]
     for count, end in enumerate(ends):
         folder = tmp_path / str(count)
         folder.mkdir()
         (folder / "history").write_bytes(HISTORY[:end])
-        store = Store(str(folder), 256.0)
+        store = HistoryStore(str(folder), 256.0)
         assert store.records == RECORDS[:count]
         for record in RECORDS[count:]:
             store.append(record)
@@ -67,16 +79,16 @@
 
 
 def test_a_stored_history_is_compacted_to_the_same_bytes():
-    assert whole_file(compacted(scanned(HISTORY)[0])) == (DATA / "history.compacted").read_bytes()
+    assert encode_file(compact(decode_file(HISTORY)[0])) == (DATA / "history.compacted").read_bytes()
 
 
 def test_names_that_are_not_known_are_passed_over_and_a_word_that_is_not_known_ends_the_reading():
     stored = {"at": 7, "event": "refused", "generation": 5, "digest": "d", "origin": "o", "since_ms": 1.0}
-    known = Record(7, Event.REFUSED, 5, "d", "o", 1.0)
-    assert scanned(file_of(orjson.dumps({**stored, "later": 1})))[0] == [known]
-    assert scanned(file_of(orjson.dumps({**stored, "event": "REFUSED"}))) == ([], len(MAGIC))
+    known = HistoryRecord(7, HistoryEvent.REJECTED, 5, "d", "o", 1.0)
+    assert decode_file(file_of(orjson.dumps({**stored, "later": 1})))[0] == [known]
+    assert decode_file(file_of(orjson.dumps({**stored, "event": "REFUSED"}))) == ([], len(MAGIC))
     for name in stored:
-        assert scanned(file_of(orjson.dumps({k: v for k, v in stored.items() if k != name}))) == ([], len(MAGIC))
+        assert decode_file(file_of(orjson.dumps({k: v for k, v in stored.items() if k != name}))) == ([], len(MAGIC))
 
 
 def test_the_digest_of_a_document_is_the_stored_one():
