--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -27,7 +27,7 @@
 from nickelslip.settings import MalformedSettingsError
 
 if TYPE_CHECKING:  # imported when a configuration asks for them
-    from nickelslip.configuration.store import Store
+    from nickelslip.configuration.store import HistoryStore
     from nickelslip.server.crash_loop_guard import CrashLoopGuard
 
 EXIT_SUCCESS = 0
@@ -95,13 +95,16 @@
 def _create_managed_server(config: Config, read_config: Callable[[], Config]) -> Server:
     """Return a server with a configuration manager; print an error and exit if there cannot be one."""
     _require_settings_extra()
-    from nickelslip.server.configuration_manager import ConfigurationManager, begin
+    from nickelslip.server.configuration_manager import ConfigurationManager
     from nickelslip.server.control_socket import ControlSocket
+    from nickelslip.server.starting_configuration import select_starting_configuration
 
     rules = config.changes
     try:
         store = _open_history(config)
-        config, file, start, records = begin(config, store, time.time() * 1000, structlog.get_logger())
+        config, file, start, records = select_starting_configuration(
+            config, store, time.time() * 1000, structlog.get_logger()
+        )
     except OSError as error:
         _print_error(f"changes.history: {rules.history}: {error.strerror}")
         sys.exit(EXIT_FAILED)
@@ -124,12 +127,12 @@
     sys.exit(EXIT_BAD_CONFIGURATION)
 
 
-def _open_history(config: Config) -> Store | None:
+def _open_history(config: Config) -> HistoryStore | None:
     """Return the history of configurations, if one is kept; raises OSError."""
-    from nickelslip.configuration.store import Store
+    from nickelslip.configuration.store import HistoryStore
 
     rules = config.changes
-    return Store(rules.history, rules.history_kb) if rules.history else None
+    return HistoryStore(rules.history, rules.history_kb) if rules.history else None
 
 
 def _enable_garbage_collection() -> None:
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -11,9 +11,11 @@
 from anyio.abc import TaskGroup
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.admission.interface import Gauges
+from nickelslip.admission.interface import (
+    Gauges,
+)
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.generations import RESULTS_PART, Generation
+from nickelslip.configuration.generations import CACHED_RESPONSES_MEMORY_FRACTION, Generation
 from nickelslip.configuration.request_metrics import RequestMetrics
 from nickelslip.server.advertised_state import AdvertisedState
 from nickelslip.server.buffer_pool import BUFFER_BYTES, BufferPool
@@ -99,7 +101,7 @@
             settings.warm_up_ms,
         )
         self.buffers = BufferPool(int(memory_bytes * BUFFER_MEMORY_FRACTION / BUFFER_BYTES))
-        self.idempotency_table = IdempotencyTable(self.clock, memory_bytes * RESULTS_PART)
+        self.idempotency_table = IdempotencyTable(self.clock, memory_bytes * CACHED_RESPONSES_MEMORY_FRACTION)
         self.worker_pool = WorkerPoolLink(self)
         self.dependency_client = RecordsClient(self)
         self.directory_reporter = DirectoryReporter(self)
