--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -21,7 +21,7 @@
 from math import inf, sqrt
 from statistics import median
 
-from nickelslip.configuration.request_metrics import WIDTH_MS, Counts, MetricsBucket, Pair
+from nickelslip.configuration.request_metrics import BUCKET_MS, Counts, MetricsBucket, Pair
 
 BATCH = 2  # buckets to a batch, over which counts are taken as one draw
 BURST = 4  # buckets, in which so much more than usual is a burst
@@ -42,7 +42,7 @@
 LOW_OF = 10  # one in so many looks before the change heard a weight as low, or lower
 
 
-class Standing(Enum):
+class CanaryStatus(Enum):
     """What can be said of a change."""
 
     INSUFFICIENT_DATA = "too little has been seen"
@@ -52,10 +52,10 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class CanaryVerdict:
     """What was found, and the figures that it rests on."""
 
-    standing: Standing
+    status: CanaryStatus
     reason: str
     figures: dict[str, float] = field(default_factory=dict)
 
@@ -85,7 +85,7 @@
 
     @property
     def ms(self) -> float:
-        return self.count * WIDTH_MS
+        return self.count * BUCKET_MS
 
     @property
     def busy(self) -> float:
@@ -114,7 +114,7 @@
         return total
 
 
-class Before(Stretch):
+class Baseline(Stretch):
     """The time before a change, whose buckets are looked at one by one: how even it was, and how low a weight was said
     in it. A burst that was over by then is left out, since what it spoilt says nothing of the time after it."""
 
@@ -158,12 +158,12 @@
         return max(1.0, variance / mean) * (1 + lag) / (1 - lag), variance * (1 + both) / (1 - both)
 
 
-class Judge:
+class CanaryAnalysis:
     """One change on probation, before which `before` was."""
 
-    def __init__(self, before: Before, since_ms: float, sigmas: float) -> None:
+    def __init__(self, before: Baseline, since_ms: float, sigmas: float) -> None:
         self._before, self._sigmas = before, sigmas
-        self.begin_anew(since_ms)
+        self.restart(since_ms)
         self._groups = before.groups()
         self._uneven = {name: before.unevenness(pairs) for name, pairs in self._groups.items()}
         self._work = {pair: self._mean_work(pair) for pair in before.pairs}
@@ -176,18 +176,18 @@
         of_grade = self._before.sum(each for each in self._before.pairs if each[0] == pair[0])
         return of_grade.work_ms / of_grade.in_time if of_grade.in_time and of_grade.work_ms else 1.0
 
-    def begin_anew(self, now: float) -> None:
+    def restart(self, now: float) -> None:
         """What happened up to now says nothing of the change."""
-        self.upto = now + SETTLE_MS  # up to here it has looked
-        self._since, self._lately = Stretch(), deque[MetricsBucket](maxlen=int(LATELY_MS / WIDTH_MS))
+        self.evaluated_until_ms = now + SETTLE_MS  # up to here it has looked
+        self._since, self._lately = Stretch(), deque[MetricsBucket](maxlen=int(LATELY_MS / BUCKET_MS))
         self._shown: tuple[str, int] = ("", 0)  # which harm the last looks have shown, and how many
 
-    def look(self, now: float, buckets: Iterable[MetricsBucket]) -> Verdict:
+    def evaluate(self, now: float, buckets: Iterable[MetricsBucket]) -> CanaryVerdict:
         """The verdict, with the whole buckets from `upto` to now, the oldest first: each is looked at once."""
         for bucket in buckets:
             self._since.add(bucket)
             self._lately.append(bucket)
-            self.upto = (bucket.number + 1) * WIDTH_MS
+            self.evaluated_until_ms = (bucket.number + 1) * BUCKET_MS
         since = self._since
         harm = self._harm(since)
         if harm is None and since.count > len(self._lately):
@@ -197,7 +197,7 @@
             return self._unharmed(since)
         kind = harm.reason.split(":")[0]
         self._shown = (kind, self._shown[1] + 1 if self._shown[0] == kind else 1)
-        return harm if self._shown[1] >= LOOKS else Verdict(Standing.SUSPECTED, harm.reason, harm.figures)
+        return harm if self._shown[1] >= LOOKS else CanaryVerdict(CanaryStatus.SUSPECTED, harm.reason, harm.figures)
 
     def _load(self, since: Stretch) -> float:
         """How many times the work of before is asked for."""
@@ -206,7 +206,7 @@
         before, now = self._before.sum(self._before.pairs).reads, since.sum(since.pairs).reads
         return now / since.ms / (before / self._before.ms) if before else 1.0
 
-    def _unharmed(self, since: Stretch) -> Verdict:
+    def _unharmed(self, since: Stretch) -> CanaryVerdict:
         load = self._load(since)
         in_time = self._before.sum(self._before.pairs).in_time
         expected = in_time * since.ms / self._before.ms if self._before.ms else 0.0
@@ -216,17 +216,19 @@
             "in_time": float(since.sum(since.pairs).in_time),
         }
         if expected < ENOUGH or since.sum(since.pairs).in_time < ENOUGH / 4:
-            return Verdict(Standing.INSUFFICIENT_DATA, "too few transactions to tell", figures)
+            return CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "too few transactions to tell", figures)
         if load > LOAD_CALM:
-            return Verdict(Standing.INSUFFICIENT_DATA, "the load has risen too far to tell", figures)
-        return Verdict(Standing.NO_HARM, "no harm that could be told from chance", figures)
+            return CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "the load has risen too far to tell", figures)
+        return CanaryVerdict(CanaryStatus.NO_HARM, "no harm that could be told from chance", figures)
 
-    def _harm(self, since: Stretch) -> Verdict | None:
+    def _harm(self, since: Stretch) -> CanaryVerdict | None:
         """The first harm found, if any. Reasons begin with the kind, up to a colon."""
         if not since.ms or not self._before.ms:
             return None
         if since.memory > MEMORY_MOST and self._before.memory < MEMORY_BEFORE:
-            return Verdict(Standing.HARM, f"memory: {since.memory:.2f} of it in use, {self._before.memory:.2f} before")
+            return CanaryVerdict(
+                CanaryStatus.HARM, f"memory: {since.memory:.2f} of it in use, {self._before.memory:.2f} before"
+            )
         more = {pair: self._more_work(pair, since) for pair in {*self._before.pairs, *since.pairs}}
         every = sum(more.values())
         reading = READING_PART * self._mean * max(0.0, since.sum(since.pairs).reads / since.ms - self._reads)
@@ -243,7 +245,7 @@
         more = (now.reads / since.ms if now else 0.0) - (was.reads / self._before.ms if was else 0.0)
         return more * self._work.get(pair, self._mean)
 
-    def _starved(self, name: str, pairs: set[Pair], since: Stretch, excused_ms: float) -> Verdict | None:
+    def _starved(self, name: str, pairs: set[Pair], since: Stretch, excused_ms: float) -> CanaryVerdict | None:
         """Fewer of a group in time than the old settings would at least have had under this load, of whose work so
         much a millisecond is excused."""
         before = self._before
@@ -267,8 +269,8 @@
             sigmas = max(sigmas, self._of_the_read(pairs, since, self._uneven[name][1]))
         if sigmas < self._sigmas:
             return None
-        return Verdict(
-            Standing.HARM,
+        return CanaryVerdict(
+            CanaryStatus.HARM,
             f"{name}: {seen:.0f} answered in their quoted time where {expected:.0f} were due",
             {
                 "expected": round(expected, 1),
@@ -288,7 +290,7 @@
         chance = max(variance * since.count / BATCH, part * (1 - part) * now.reads, 1.0)
         return (expected - now.in_time) / sqrt(chance * (1 + now.reads / was.reads))
 
-    def _failing(self, since: Stretch) -> Verdict | None:
+    def _failing(self, since: Stretch) -> CanaryVerdict | None:
         """More forfeited, or more calls that go badly, than before."""
         before, load = self._before, self._load(since)
         was, now = before.sum(before.pairs), since.sum(since.pairs)
@@ -309,8 +311,8 @@
             part = (bad_was + bad + 1) / (all_was + every + 2)
             sigmas = (bad / every - bad_was / all_was) / sqrt(part * (1 - part) * (1 / all_was + 1 / every))
             if sigmas >= self._sigmas:
-                return Verdict(
-                    Standing.HARM,
+                return CanaryVerdict(
+                    CanaryStatus.HARM,
                     f"{name}: {bad} of {every}, before {bad_was} of {all_was}",
                     {"sigmas": round(sigmas, 2), "load": round(load, 3)},
                 )
--- a/nickelslip/configuration/change_lifecycle.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from nickelslip.configuration.canary_analysis import Standing, Verdict
+from nickelslip.configuration.canary_analysis import CanaryStatus, CanaryVerdict
 from nickelslip.configuration.config import ChangeRules, Config
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation, digest_of
@@ -338,7 +338,7 @@
         """Whether the current change is in its canary period."""
         return self.current is not None and self.current.state is ChangeState.CANARY
 
-    def next_state(self, now_ms: float, verdict: Verdict) -> ChangeState | None:
+    def next_state(self, now_ms: float, verdict: CanaryVerdict) -> ChangeState | None:
         """Return the state that the current change is to enter after a look at it, or None if it is to stay.
 
         The caller carries it out with `confirm` or `roll_back`. At the end of the longest canary period a change
@@ -347,11 +347,11 @@
         if self.current is None or self.current.state is not ChangeState.CANARY:
             return None
         elapsed_ms = now_ms - self.current.state_entered_at_ms
-        if verdict.standing is Standing.HARM:
+        if verdict.status is CanaryStatus.HARM:
             return ChangeState.ROLLED_BACK
-        if elapsed_ms >= self.rules.probation_most_ms and verdict.standing is not Standing.SUSPECTED:
+        if elapsed_ms >= self.rules.probation_most_ms and verdict.status is not CanaryStatus.SUSPECTED:
             return ChangeState.CONFIRMED
-        if elapsed_ms >= self.rules.probation_ms and verdict.standing is Standing.NO_HARM:
+        if elapsed_ms >= self.rules.probation_ms and verdict.status is CanaryStatus.NO_HARM:
             return ChangeState.CONFIRMED
         return None
 
--- a/nickelslip/configuration/request_metrics.py
+++ b/nickelslip/configuration/request_metrics.py
@@ -11,7 +11,7 @@
 
 from nickelslip.admission.interface import RequestState
 
-WIDTH_MS = 250.0
+BUCKET_MS = 250.0
 PAIRS_MOST = 256  # of grade and customer; what comes beyond counts under its grade alone
 Pair = tuple[str, str]
 
@@ -57,7 +57,7 @@
     """The counts of the last `span_ms`."""
 
     def __init__(self, span_ms: float, quoted_ms: Mapping[str, float]) -> None:
-        self._ring = [MetricsBucket(-1) for _ in range(int(span_ms / WIDTH_MS) + 2)]
+        self._ring = [MetricsBucket(-1) for _ in range(int(span_ms / BUCKET_MS) + 2)]
         self._now = self._ring[0]
         self._pairs: set[Pair] = set()
         self._quoted: Mapping[str, float] = quoted_ms
@@ -71,7 +71,7 @@
         return self._quoted
 
     def _bucket(self, now: float) -> MetricsBucket:
-        number = int(now // WIDTH_MS)
+        number = int(now // BUCKET_MS)
         if number > self._now.number:
             self._now = self._ring[number % len(self._ring)]
             self._now.clear(number)
@@ -127,7 +127,7 @@
 
     def between(self, begin: float, end: float) -> Iterator[MetricsBucket]:
         """The whole buckets of this time, the oldest first; one in which nothing happened is empty."""
-        first, past = -int(-begin // WIDTH_MS), int(end // WIDTH_MS)
+        first, past = -int(-begin // BUCKET_MS), int(end // BUCKET_MS)
         oldest = max(first, self._now.number - len(self._ring) + 2)
         for number in range(oldest, past):
             bucket = self._ring[number % len(self._ring)]
--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from nickelslip.admission.interface import LoadSignal
-from nickelslip.configuration.canary_analysis import Before, Judge, Verdict
-from nickelslip.configuration.request_metrics import WIDTH_MS, MetricsBucket, RequestMetrics
+from nickelslip.configuration.canary_analysis import Baseline, CanaryAnalysis, CanaryVerdict
+from nickelslip.configuration.request_metrics import BUCKET_MS, MetricsBucket, RequestMetrics
 from nickelslip.server.lifecycle import Phase
 from nickelslip.server.server import Server
 
@@ -35,10 +35,10 @@
 
     def __init__(self, server: Server, request_metrics: RequestMetrics) -> None:
         self._server = server
-        self._judge: Judge | None = None
+        self._judge: CanaryAnalysis | None = None
         self._excluded_spans: list[TimeSpan] = []
         self.request_metrics = request_metrics
-        self.verdict: Verdict | None = None
+        self.verdict: CanaryVerdict | None = None
 
     @property
     def is_active(self) -> bool:
@@ -66,17 +66,17 @@
             return 1 - weight
         return weight
 
-    def baseline(self, span_ms: float) -> Before:
+    def baseline(self, span_ms: float) -> Baseline:
         """Return the metrics of the latest span, without the time of changes that were rolled back."""
         now_ms = self._server.clock()
-        return Before(self._included_buckets(now_ms - span_ms, now_ms))
+        return Baseline(self._included_buckets(now_ms - span_ms, now_ms))
 
     def _included_buckets(self, begin_ms: float, end_ms: float) -> Iterator[MetricsBucket]:
         self._excluded_spans = [span for span in self._excluded_spans if span.end_ms > begin_ms]
         for bucket in self.request_metrics.between(begin_ms, end_ms):
-            bucket_ms = bucket.number * WIDTH_MS
+            bucket_ms = bucket.number * BUCKET_MS
             if not any(
-                span.begin_ms < bucket_ms + WIDTH_MS and bucket_ms < span.end_ms for span in self._excluded_spans
+                span.begin_ms < bucket_ms + BUCKET_MS and bucket_ms < span.end_ms for span in self._excluded_spans
             ):
                 yield bucket
 
@@ -92,20 +92,22 @@
         objectives_ms = {name: max(old_ms.get(name, 0.0), new) for name, new in {**old_ms, **new_ms}.items()}
         self.request_metrics.set_latency_objectives(objectives_ms)
 
-    def begin(self, baseline: Before, standard_errors: float) -> None:
+    def begin(self, baseline: Baseline, standard_errors: float) -> None:
         """Begin to analyse a change that has just been adopted."""
-        self._judge = Judge(baseline, self._server.clock(), standard_errors)
+        self._judge = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
 
     def restart(self, now_ms: float) -> None:
         """Discard what was observed of the change up to now."""
         if self._judge is not None:
-            self._judge.begin_anew(now_ms)
+            self._judge.restart(now_ms)
 
-    def look(self, now_ms: float) -> Verdict | None:
+    def look(self, now_ms: float) -> CanaryVerdict | None:
         """Return the verdict on the change with all that has been measured since, or None if there is no change."""
         if self._judge is None:
             return None
-        self.verdict = self._judge.look(now_ms, self.request_metrics.between(self._judge.upto, now_ms))
+        self.verdict = self._judge.evaluate(
+            now_ms, self.request_metrics.between(self._judge.evaluated_until_ms, now_ms)
+        )
         return self.verdict
 
     def end(self) -> None:
--- a/nickelslip/server/canary_watcher.py
+++ b/nickelslip/server/canary_watcher.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from nickelslip.configuration.canary_analysis import Standing, Verdict
+from nickelslip.configuration.canary_analysis import CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeState
-from nickelslip.configuration.request_metrics import WIDTH_MS
+from nickelslip.configuration.request_metrics import BUCKET_MS
 from nickelslip.server.canary_observation import CanaryObservation
 from nickelslip.server.change_applier import ChangeApplier
 from nickelslip.server.history_writer import HistoryWriter
@@ -47,7 +47,7 @@
     async def run(self) -> None:
         """Sample the server and look at the change once per bucket of the metrics, until cancelled."""
         while True:
-            await anyio.sleep(WIDTH_MS / MS_PER_S)
+            await anyio.sleep(BUCKET_MS / MS_PER_S)
             self._observation.sample()
             if self._history.unwritten or self._changes.current is not None:
                 async with self._lock:
@@ -70,7 +70,7 @@
             return
         now_ms = self._server.clock()
         if not self._observation.is_conclusive:
-            self._changes.extend_canary_period(WIDTH_MS)
+            self._changes.extend_canary_period(BUCKET_MS)
             self._observation.restart(now_ms)
             return
         verdict = self._observation.look(now_ms)
@@ -83,7 +83,7 @@
             await self._applier.confirm(now_ms, _confirmation_reason(verdict))
 
 
-def _confirmation_reason(verdict: Verdict) -> str:
-    if verdict.standing is Standing.NO_HARM:
+def _confirmation_reason(verdict: CanaryVerdict) -> str:
+    if verdict.status is CanaryStatus.NO_HARM:
         return verdict.reason
     return f"nothing speaks against it: {verdict.reason}"
--- a/nickelslip/server/change_applier.py
+++ b/nickelslip/server/change_applier.py
@@ -125,7 +125,7 @@
         confirmation = self._changes.mark_applied(self._server.clock())
         self._observation.verdict = None
         if confirmation is None:
-            self._observation.begin(baseline, self._changes.rules.sigmas)
+            self._observation.begin(baseline, self._changes.rules.standard_errors)
             return
         self._observation.end()
         await self._history.write_or_queue(confirmation)
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from nickelslip.configuration.canary_analysis import Verdict
+from nickelslip.configuration.canary_analysis import CanaryVerdict
 from nickelslip.configuration.change_lifecycle import (
     STATE_WORDS,
     ChangeRejectedError,
@@ -252,7 +252,7 @@
     phase: Phase
     is_healthy: bool
     open_request_count: int
-    verdict: Verdict | None
+    verdict: CanaryVerdict | None
     adoption_times_us: list[float]
     unwritten_record_count: int
     changes: ChangeStatus
@@ -329,10 +329,10 @@
     }
 
 
-def _encode_verdict(verdict: Verdict | None) -> dict[str, Any] | None:
+def _encode_verdict(verdict: CanaryVerdict | None) -> dict[str, Any] | None:
     if verdict is None:
         return None
-    return {"standing": STANDING_WORDS[verdict.standing], "reason": verdict.reason, **verdict.figures}
+    return {"standing": STANDING_WORDS[verdict.status], "reason": verdict.reason, **verdict.figures}
 
 
 def _encode_change_status(status: ChangeStatus) -> dict[str, Any]:
--- a/nickelslip/server/control_words.py
+++ b/nickelslip/server/control_words.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from nickelslip.configuration.canary_analysis import Standing
+from nickelslip.configuration.canary_analysis import CanaryStatus
 from nickelslip.configuration.change_lifecycle import RejectionReason
 from nickelslip.configuration.history import HistoryEvent
 from nickelslip.server.lifecycle import Phase
@@ -16,11 +16,11 @@
     Phase.SHUTTING_DOWN: "leaving",
     Phase.FAILED: "failed",
 }
-STANDING_WORDS: Mapping[Standing, str] = {
-    Standing.INSUFFICIENT_DATA: "too_soon",
-    Standing.SUSPECTED: "doubt",
-    Standing.NO_HARM: "no_harm",
-    Standing.HARM: "harm",
+STANDING_WORDS: Mapping[CanaryStatus, str] = {
+    CanaryStatus.INSUFFICIENT_DATA: "too_soon",
+    CanaryStatus.SUSPECTED: "doubt",
+    CanaryStatus.NO_HARM: "no_harm",
+    CanaryStatus.HARM: "harm",
 }
 EVENT_WORDS: Mapping[HistoryEvent, str] = {
     HistoryEvent.APPLIED: "applied",
