--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -1,321 +1,478 @@
-"""The judge of a change on probation: whether the node does worse than before it by more than chance.
-
-Owns the comparison of two stretches of time, the one before the change and the one since, for all that is read, for
-each service grade and for each customer. It has no clock and does no I/O. It must never blame a change for a rise of
-the load alone, nor let a good total hide one grade or one customer that is starved.
-
-What is expected of a group is what it had in time before, less in proportion where less of it came; less, too, by the
-work that came more of the others, since cores that they take it cannot have; and less by what reading all that came
-more costs; these two only where the cores are busy. That is what the old settings would at least have done under the
-new load, wherever work is done first by credit. Where this node says a lower weight, fewer come by its own doing, and
-no less is expected for it. Where cores stand idle, the part of what was read that is in time is held against the part
-before, which tells sooner, since how many came is then no chance any more.
+"""Canary analysis: whether requests fare worse since a change of the configuration than they did before it.
+
+``CanaryAnalysis.evaluate`` is called a few times a second during the canary period and compares the metrics since the
+change with a ``Baseline``. It runs the tests below in this order; the first that finds harm gives the verdict. A change
+is rolled back once ``REQUIRED_CONSECUTIVE_FINDINGS`` evaluations in a row found harm of the same kind.
+
+To find out why a change was rolled back, look up the start of the reason (in the log, the status and the history):
+
+===================================  ===========================  ==========================================
+Reason starts with                   Test                         Figures in the reason or beside it
+===================================  ===========================  ==========================================
+``memory:``                          ``check_memory``             used memory since and before
+``grade NAME:``, ``customer NAME:``  ``check_completed_in_time``  completed in time, expected, sigmas, load
+``forfeits:``                        ``check_failed_requests``    failed and answered requests, sigmas, load
+``calls:``                           ``check_failed_calls``       failed and ended calls, sigmas, load
+===================================  ===========================  ==========================================
+
+``sigmas`` is the difference in standard errors, ``load`` the received requests over those of the baseline. The words of
+reasons and the keys of figures are stored and read by clients, so they differ from the names in the code.
+
+The expectation for a traffic class or a tenant is what the old configuration would have achieved at the present load:
+a rise of the load alone is no harm, and a good total does not hide one class or tenant that is starved. The module has
+no clock and does no I/O.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 from enum import Enum
 from math import inf, sqrt
-from statistics import median
-
-from nickelslip.configuration.request_metrics import WIDTH_MS, Counts, MetricsBucket, Pair
-
-BATCH = 2  # buckets to a batch, over which counts are taken as one draw
-BURST = 4  # buckets, in which so much more than usual is a burst
-READING_PART = 0.3  # of the mean work that reading one transaction may cost, whatever is then decided
-DROP_LEAST = 0.15  # of what is expected: a smaller one is no ground to undo, however certain
-MISSING_LEAST = 5.0  # transactions, likewise
-FORFEITS_LEAST, FORFEITS_BY_LOAD = 0.03, 0.1  # of all answers, more than before; and for each time the load
-CALLS_LEAST = 0.1  # of all calls that go badly, more than before
-MEMORY_MOST, MEMORY_BEFORE = 0.95, 0.9
-LATELY_MS = 3000.0  # harm that begins late is not to be thinned by the good time before it
-SETTLE_MS = 250.0  # after the change: what was decided before it is still being answered
-LOOKS = 2  # in a row that have to show the same harm
-ENOUGH = 40.0  # transactions expected in time since the change, for its harmlessness to be told
-BUSY = 0.7  # of the cores, in the mean of a few looks; under it more work for others takes nothing from anybody
-LOAD_CALM = 1.5  # over this rise of the load too much is excused for harmlessness to be told
-LAG_MOST = 0.7
-TYPICAL, SPIKES = 1.4826, 2.0  # of a normal draw, its deviation over the median of its size; and how much more counts
-LOW_OF = 10  # one in so many looks before the change heard a weight as low, or lower
-
-
-class Standing(Enum):
-    """What can be said of a change."""
+from typing import NamedTuple
+
+from nickelslip.configuration.metrics_window import BATCH_BUCKET_COUNT, Baseline, MetricsWindow, Variability
+from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
+
+SETTLE_MS = 250.0  # after the change: requests that were decided before it are still being answered
+RECENT_MS = 3000.0  # judged by itself, so that late harm is not diluted by the good time before it
+REQUIRED_CONSECUTIVE_FINDINGS = 2
+
+# Evidence that a change does no harm
+MIN_EXPECTED_COMPLETIONS = 40.0  # requests since the change, by the rate of the baseline
+MIN_COMPLETIONS = MIN_EXPECTED_COMPLETIONS / 4
+MAX_CONCLUSIVE_LOAD_RATIO = 1.5  # beyond it the allowance for the load hides too much
+
+IDLE_CPU_FRACTION = 0.7  # under this utilization the work of one group takes nothing from another
+
+
+class CanaryStatus(Enum):
+    """What can be said of a change in its canary period."""
 
     INSUFFICIENT_DATA = "too little has been seen"
-    SUSPECTED = "one look has shown harm, and the next one will tell"
-    NO_HARM = "it does no harm that could be told from chance"
-    HARM = "the node does worse than before it"
+    SUSPECTED = "one evaluation has found harm, and the next one confirms or clears it"
+    NO_HARM = "no harm that could be told from chance"
+    HARM = "requests fare worse than before the change"
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What was found, and the figures that it rests on."""
+class CanaryVerdict:
+    """The result of one evaluation.
 
-    standing: Standing
+    Attributes:
+        status: What can be said of the change.
+        reason: The finding in words; for harm it starts with the kind of harm and a colon.
+        figures: The figures behind the finding, by the keys under which clients read them.
+    """
+
+    status: CanaryStatus
     reason: str
     figures: dict[str, float] = field(default_factory=dict)
 
 
-class Stretch:
-    """Buckets of one stretch of time, summed up by pair as they come."""
-
-    def __init__(self, buckets: Iterable[MetricsBucket] = ()) -> None:
-        self.count = 0
-        self.pairs: dict[Pair, Counts] = {}
-        self.calls = self.calls_bad = 0
-        self.memory, self._busy, self._busies, self._weight, self._weights = 0.0, 0.0, 0, 0.0, 0
-        for bucket in buckets:
-            self.add(bucket)
-
-    def add(self, bucket: MetricsBucket) -> None:
-        """The next bucket."""
-        self.count += 1
-        for pair, counts in bucket.pairs.items():
-            if (known := self.pairs.get(pair)) is None:
-                known = self.pairs[pair] = Counts()
-            known.add(counts)
-        self.calls, self.calls_bad = self.calls + bucket.calls, self.calls_bad + bucket.calls_bad
-        self.memory = max(self.memory, bucket.memory)
-        self._busy, self._busies = self._busy + bucket.busy, self._busies + bucket.busies
-        self._weight, self._weights = self._weight + bucket.weight, self._weights + bucket.weights
+def load_ratio(baseline: Baseline, window: MetricsWindow) -> float:
+    """Return the rate of received requests over that of the baseline; 1 if either is unknown."""
+    if not window.duration_ms or not baseline.duration_ms:
+        return 1.0
+    received_before = baseline.total().received
+    received = window.total().received
+    if not received_before:
+        return 1.0
+    return received / window.duration_ms / (received_before / baseline.duration_ms)
+
+
+# Memory
+
+MAX_MEMORY_FRACTION = 0.95
+MAX_BASELINE_MEMORY_FRACTION = 0.9
+
+
+def check_memory(baseline: Baseline, window: MetricsWindow) -> CanaryVerdict | None:
+    """Test whether the memory has nearly run out since the change.
+
+    Input is the largest sample of the used memory. It is harm over ``MAX_MEMORY_FRACTION``, but only if the baseline
+    stayed under ``MAX_BASELINE_MEMORY_FRACTION``: memory that was short before is not the change's doing.
+    """
+    used = window.max_memory_fraction
+    used_before = baseline.max_memory_fraction
+    if used > MAX_MEMORY_FRACTION and used_before < MAX_BASELINE_MEMORY_FRACTION:
+        return CanaryVerdict(CanaryStatus.HARM, f"memory: {used:.2f} of it in use, {used_before:.2f} before")
+    return None
+
+
+# Requests completed in time
+
+MIN_MISSING_FRACTION = 0.15  # of the expected completions; less is no reason to roll back, however certain it is
+MIN_MISSING_COUNT = 5.0  # requests
+READ_COST_FRACTION = 0.3  # of the mean work of a request, which reading one may cost whatever is decided then
+DEFAULT_WORK_MS = 1.0  # of a request, where the baseline does not tell
+MIN_WORK_MS = 1e-9  # avoids a division by zero
+ANSCOMBE_OFFSET = 0.375
+
+
+class BaselineProfile:
+    """What the expectations are derived from, calculated once for a baseline.
+
+    Args:
+        baseline: The span before the change.
+
+    Attributes:
+        baseline: The same.
+        groups: The pairs of each traffic class and each tenant, by the name of the group.
+        variability: The variability of each group.
+        work_ms: Mean work of a request of each pair. It is taken over the traffic class, since tenants of a class do
+            not differ by more than chance.
+        mean_work_ms: Mean work of a request.
+        received_per_ms: Rate of received requests.
+    """
+
+    def __init__(self, baseline: Baseline) -> None:
+        self.baseline = baseline
+        self.groups = baseline.groups()
+        self.variability = {name: baseline.variability(pairs) for name, pairs in self.groups.items()}
+        self.work_ms = {pair: self._class_work_ms(pair[0]) for pair in baseline.counts}
+        total = baseline.total()
+        self.mean_work_ms = _mean_work_ms(total)
+        self.received_per_ms = total.received / baseline.duration_ms if baseline.duration_ms else 0.0
+
+    def _class_work_ms(self, traffic_class: str) -> float:
+        return _mean_work_ms(self.baseline.sum(pair for pair in self.baseline.counts if pair[0] == traffic_class))
+
+    def additional_work(self, pair: ClassTenantPair, window: MetricsWindow) -> float:
+        """Return the work of a pair per millisecond that was received beyond that of the baseline."""
+        counts_before = self.baseline.counts.get(pair)
+        counts = window.counts.get(pair)
+        received_per_ms = counts.received / window.duration_ms if counts else 0.0
+        received_per_ms_before = counts_before.received / self.baseline.duration_ms if counts_before else 0.0
+        return (received_per_ms - received_per_ms_before) * self.work_ms.get(pair, self.mean_work_ms)
+
+
+def _mean_work_ms(counts: RequestCounts) -> float:
+    """Return the mean work of a request completed in time."""
+    if not counts.completed_in_time or not counts.work_ms:
+        return DEFAULT_WORK_MS
+    return counts.work_ms / counts.completed_in_time
+
+
+def displaced_work_of_groups(
+    profile: BaselineProfile, window: MetricsWindow
+) -> Iterator[tuple[str, set[ClassTenantPair], float]]:
+    """Yield each group with its pairs and the work per millisecond that other load may have displaced.
+
+    That is what was received of other groups beyond the baseline, and the cost of reading all that was received beyond
+    it. Where the cores were partly idle, no work was displaced.
+    """
+    additional = {pair: profile.additional_work(pair, window) for pair in {*profile.baseline.counts, *window.counts}}
+    total = sum(additional.values())
+    received_per_ms = window.total().received / window.duration_ms
+    reading = READ_COST_FRACTION * profile.mean_work_ms * max(0.0, received_per_ms - profile.received_per_ms)
+    for name, pairs in profile.groups.items():
+        if window.cpu_fraction < IDLE_CPU_FRACTION:
+            yield name, pairs, 0.0
+        else:
+            yield name, pairs, max(0.0, total - sum(additional[pair] for pair in pairs)) + reading
+
+
+def check_completed_in_time(
+    profile: BaselineProfile,
+    window: MetricsWindow,
+    min_standard_errors: float,
+) -> CanaryVerdict | None:
+    """Test each traffic class and each tenant for requests that are no longer completed in time.
+
+    The input of a group is its count of requests completed in time since the change and the count expected by its
+    baseline. It is harm if the missing requests are at least ``MIN_MISSING_COUNT``, at least ``MIN_MISSING_FRACTION``
+    of the expected ones, and the difference is at least ``min_standard_errors``. The first group in the order of the
+    baseline gives the verdict.
+    """
+    for name, pairs, displaced_work in displaced_work_of_groups(profile, window):
+        harm = _check_group(name, pairs, profile, window, displaced_work, min_standard_errors)
+        if harm is not None:
+            return harm
+    return None
+
+
+def _check_group(
+    name: str,
+    pairs: set[ClassTenantPair],
+    profile: BaselineProfile,
+    window: MetricsWindow,
+    displaced_work: float,
+    min_standard_errors: float,
+) -> CanaryVerdict | None:
+    """Test one group for requests that are no longer completed in time."""
+    baseline = profile.baseline
+    counts_before = baseline.sum(pairs)
+    if not counts_before.received or not counts_before.completed_in_time:
+        return None
+    counts = window.sum(pairs)
+    expected = _expected_completions(pairs, profile, window, displaced_work)
+    completed_per_ms = counts.completed_in_time / window.duration_ms
+    completed = completed_per_ms * window.duration_ms  # rounded as ``expected`` is, and as it is stored
+    if expected - completed < max(MIN_MISSING_COUNT, MIN_MISSING_FRACTION * expected):
+        return None
+    variability = profile.variability[name]
+    standard_errors = _count_standard_errors(expected, completed, variability, baseline, window)
+    if window.cpu_fraction < IDLE_CPU_FRACTION:
+        standard_errors = max(
+            standard_errors, _fraction_standard_errors(counts_before, counts, variability, window.bucket_count)
+        )
+    if standard_errors < min_standard_errors:
+        return None
+    return CanaryVerdict(
+        CanaryStatus.HARM,
+        f"{name}: {completed:.0f} answered in their quoted time where {expected:.0f} were due",
+        {
+            "expected": round(expected, 1),
+            "in_time": completed,
+            "sigmas": round(standard_errors, 2),
+            "load": round(load_ratio(baseline, window), 3),
+        },
+    )
+
+
+def _expected_completions(
+    pairs: set[ClassTenantPair],
+    profile: BaselineProfile,
+    window: MetricsWindow,
+    displaced_work: float,
+) -> float:
+    """Return the requests of a group that the old configuration would have completed in time since the change.
+
+    It is the rate of the baseline, lower in proportion where fewer requests were received, less the displaced work.
+    Where this server advertises a lower weight it is sent fewer requests by its own doing, and the expectation stays.
+    """
+    baseline = profile.baseline
+    counts_before = baseline.sum(pairs)
+    received_per_ms_before = counts_before.received / baseline.duration_ms
+    completed_per_ms_before = counts_before.completed_in_time / baseline.duration_ms
+    received_per_ms = window.sum(pairs).received / window.duration_ms
+    weight_drop = max(1.0, baseline.low_weight / window.weight) if window.weight > 0 else inf
+    if received_per_ms:
+        received_ratio = min(1.0, received_per_ms / received_per_ms_before * weight_drop)
+    else:
+        received_ratio = min(1.0, weight_drop - 1.0)
+    work_ms = (
+        sum(profile.work_ms[pair] * baseline.counts[pair].completed_in_time for pair in pairs)
+        / counts_before.completed_in_time
+    )
+    completed_per_ms = completed_per_ms_before * received_ratio - displaced_work / max(work_ms, MIN_WORK_MS)
+    return max(0.0, completed_per_ms) * window.duration_ms
+
+
+def _count_standard_errors(
+    expected: float,
+    completed: float,
+    variability: Variability,
+    baseline: Baseline,
+    window: MetricsWindow,
+) -> float:
+    """Return by how many standard errors a count is under the expected one.
+
+    Under Anscombe's transform a Poisson count has a variance of 1. The expectation is an estimate from a count, too,
+    whose variance is added in proportion to the two durations.
+    """
+    difference = 2 * (sqrt(expected + ANSCOMBE_OFFSET) - sqrt(completed + ANSCOMBE_OFFSET))
+    return difference / sqrt(variability.dispersion * (1 + window.duration_ms / baseline.duration_ms))
+
+
+def _fraction_standard_errors(
+    counts_before: RequestCounts,
+    counts: RequestCounts,
+    variability: Variability,
+    bucket_count: int,
+) -> float:
+    """Return by how many standard errors the fraction completed in time is under that of the baseline.
+
+    It detects harm sooner than the count, since the number of received requests is given. It is valid only while cores
+    are idle: otherwise a rise of the load lowers the fraction, too.
+    """
+    if not counts_before.received or not counts.received:
+        return 0.0
+    expected = counts_before.completed_in_time / counts_before.received * counts.received
+    # Laplace's rule keeps the pooled fraction from 0 and 1
+    fraction = min(
+        1.0,
+        (counts_before.completed_in_time + counts.completed_in_time + 1)
+        / (counts_before.received + counts.received + 2),
+    )
+    binomial_variance = fraction * (1 - fraction) * counts.received
+    variance = max(variability.batch_variance * bucket_count / BATCH_BUCKET_COUNT, binomial_variance, 1.0)
+    return (expected - counts.completed_in_time) / sqrt(variance * (1 + counts.received / counts_before.received))
+
+
+# Failures
+
+MIN_FAILURE_COUNT = 5.0  # requests or calls
+MIN_FAILED_FRACTION_RISE = 0.03  # of all answers
+FAILED_FRACTION_RISE_PER_LOAD = 0.1  # allowed beyond it for each time the load of the baseline
+MIN_FAILED_CALL_FRACTION_RISE = 0.1  # of all calls
+
+
+class FailureCount(NamedTuple):
+    """Failures among a number of requests or calls."""
+
+    failed: int
+    total: int
 
     @property
-    def ms(self) -> float:
-        return self.count * WIDTH_MS
+    def fraction(self) -> float:
+        """The failed part; the total must not be 0."""
+        return self.failed / self.total
+
+
+def check_failed_requests(
+    baseline: Baseline,
+    window: MetricsWindow,
+    min_standard_errors: float,
+) -> CanaryVerdict | None:
+    """Test whether a larger fraction of the answers are failures than before the change.
+
+    Input are the failed requests and all answers. It is harm if at least ``MIN_FAILURE_COUNT`` failed, the fraction
+    rose by at least ``MIN_FAILED_FRACTION_RISE`` and the rise is at least ``min_standard_errors``. A rise of the load
+    makes some requests fail by itself, so ``FAILED_FRACTION_RISE_PER_LOAD`` of the additional load is allowed for.
+    """
+    counts_before = baseline.total()
+    counts = window.total()
+    load = load_ratio(baseline, window)
+    return _check_failures(
+        "forfeits",
+        FailureCount(counts_before.failed, counts_before.answered),
+        FailureCount(counts.failed, counts.answered),
+        MIN_FAILED_FRACTION_RISE + FAILED_FRACTION_RISE_PER_LOAD * max(0.0, load - 1),
+        min_standard_errors,
+        load,
+    )
+
+
+def check_failed_calls(
+    baseline: Baseline,
+    window: MetricsWindow,
+    min_standard_errors: float,
+) -> CanaryVerdict | None:
+    """Test whether a larger fraction of the dependency calls fail than before the change.
+
+    Input are the failed calls and all calls that ended. It is harm if at least ``MIN_FAILURE_COUNT`` failed, the
+    fraction rose by at least ``MIN_FAILED_CALL_FRACTION_RISE`` and the rise is at least ``min_standard_errors``.
+    """
+    return _check_failures(
+        "calls",
+        FailureCount(baseline.failed_call_count, baseline.call_count),
+        FailureCount(window.failed_call_count, window.call_count),
+        MIN_FAILED_CALL_FRACTION_RISE,
+        min_standard_errors,
+        load_ratio(baseline, window),
+    )
+
+
+def _check_failures(
+    kind: str,
+    before: FailureCount,
+    since: FailureCount,
+    min_rise: float,
+    min_standard_errors: float,
+    load: float,
+) -> CanaryVerdict | None:
+    """Test whether a fraction of failures has risen, by the two-proportion z-test."""
+    if not before.total or not since.total or since.failed < MIN_FAILURE_COUNT:
+        return None
+    rise = since.fraction - before.fraction
+    if rise < min_rise:
+        return None
+    pooled = (before.failed + since.failed + 1) / (before.total + since.total + 2)
+    standard_errors = rise / sqrt(pooled * (1 - pooled) * (1 / before.total + 1 / since.total))
+    if standard_errors < min_standard_errors:
+        return None
+    return CanaryVerdict(
+        CanaryStatus.HARM,
+        f"{kind}: {since.failed} of {since.total}, before {before.failed} of {before.total}",
+        {"sigmas": round(standard_errors, 2), "load": round(load, 3)},
+    )
 
-    @property
-    def busy(self) -> float:
-        """Of the cores; not known, nothing is held against it."""
-        return self._busy / self._busies if self._busies else 1.0
 
-    @property
-    def weight(self) -> float:
-        return self._weight / self._weights if self._weights else 1.0
-
-    def groups(self) -> dict[str, set[Pair]]:
-        """Each group by its name: all, each grade, each customer."""
-        out: dict[str, set[Pair]] = {}
-        for pair in self.pairs:
-            out.setdefault(f"grade {pair[0]}", set()).add(pair)
-            if pair[1]:
-                out.setdefault(f"customer {pair[1]}", set()).add(pair)
-        return out
-
-    def sum(self, pairs: Iterable[Pair]) -> Counts:
-        """The counts of a group."""
-        total = Counts()
-        for pair in pairs:
-            if (counts := self.pairs.get(pair)) is not None:
-                total.add(counts)
-        return total
-
-
-class Before(Stretch):
-    """The time before a change, whose buckets are looked at one by one: how even it was, and how low a weight was said
-    in it. A burst that was over by then is left out, since what it spoilt says nothing of the time after it."""
-
-    def __init__(self, buckets: Iterable[MetricsBucket]) -> None:
-        every = list(buckets)
-        spans = [every[at : at + BURST] for at in range(0, len(every), BURST)]
-        reads = [sum(counts.reads for bucket in span for counts in bucket.pairs.values()) for span in spans]
-        usual = median(reads) if reads else 0.0
-        self.buckets = [
-            bucket
-            for span, count in zip(spans, reads, strict=True)
-            for bucket in span
-            if count <= max(LOAD_CALM * usual, usual + 3 * sqrt(usual))
-        ]
-        super().__init__(self.buckets)
-        said = sorted(bucket.weight / bucket.weights for bucket in self.buckets if bucket.weights)
-        self.low_weight = said[len(said) // LOW_OF] if said else 1.0
-
-    def unevenness(self, pairs: set[Pair]) -> tuple[float, float]:
-        """How much more the count in time varies, from batch to batch and for what was read in it, than chance alone
-        would make it, at least 1; what one batch has in common with the next counts, too. What varies with what is
-        read is left out, since the comparison allows for that itself: a burst before the change would otherwise
-        pass for noise. And the variance that a batch adds to the count in time when what was read is known: what one
-        batch leaves open the next one answers, so that it is less than that of a batch alone."""
-        whole = self.sum(pairs)
-        count = len(self.buckets) // BATCH
-        if count < 4 or not whole.in_time or not whole.reads:
-            return 1.0, inf
-        part, mean = whole.in_time / whole.reads, whole.in_time / count
-        spread = [0.0] * count
-        for at, bucket in enumerate(self.buckets[: count * BATCH]):
-            for pair, counts in bucket.pairs.items():
-                if pair in pairs:
-                    spread[at // BATCH] += counts.in_time - part * counts.reads
-        if (most := SPIKES * TYPICAL * median(map(abs, spread))) > 0:  # a bad second is no measure of the others
-            spread = [min(max(each, -most), most) for each in spread]
-        variance = sum(each * each for each in spread) / (count - 1)
-        lag = sum(a * b for a, b in zip(spread, spread[1:], strict=False)) / max(variance * (count - 1), 1e-9)
-        both = min(max(lag, -LAG_MOST), LAG_MOST)
-        lag = max(both, 0.0)
-        return max(1.0, variance / mean) * (1 + lag) / (1 - lag), variance * (1 + both) / (1 - both)
-
-
-class Judge:
-    """One change on probation, before which `before` was."""
-
-    def __init__(self, before: Before, since_ms: float, sigmas: float) -> None:
-        self._before, self._sigmas = before, sigmas
-        self.begin_anew(since_ms)
-        self._groups = before.groups()
-        self._uneven = {name: before.unevenness(pairs) for name, pairs in self._groups.items()}
-        self._work = {pair: self._mean_work(pair) for pair in before.pairs}
-        done = before.sum(before.pairs)
-        self._mean = done.work_ms / done.in_time if done.in_time and done.work_ms else 1.0
-        self._reads = done.reads / before.ms if before.ms else 0.0  # a millisecond
-
-    def _mean_work(self, pair: Pair) -> float:
-        """Of the grade, since customers of a grade do not differ in it by more than chance."""
-        of_grade = self._before.sum(each for each in self._before.pairs if each[0] == pair[0])
-        return of_grade.work_ms / of_grade.in_time if of_grade.in_time and of_grade.work_ms else 1.0
-
-    def begin_anew(self, now: float) -> None:
-        """What happened up to now says nothing of the change."""
-        self.upto = now + SETTLE_MS  # up to here it has looked
-        self._since, self._lately = Stretch(), deque[MetricsBucket](maxlen=int(LATELY_MS / WIDTH_MS))
-        self._shown: tuple[str, int] = ("", 0)  # which harm the last looks have shown, and how many
-
-    def look(self, now: float, buckets: Iterable[MetricsBucket]) -> Verdict:
-        """The verdict, with the whole buckets from `upto` to now, the oldest first: each is looked at once."""
+# The analysis
+
+
+class CanaryAnalysis:
+    """The analysis of one change in its canary period.
+
+    Args:
+        baseline: The span before the change.
+        since_ms: The moment of the change.
+        standard_errors: How many standard errors make a difference that is not chance.
+
+    Attributes:
+        evaluated_until_ms: End of the latest bucket that was evaluated.
+    """
+
+    def __init__(self, baseline: Baseline, since_ms: float, standard_errors: float) -> None:
+        self._baseline = baseline
+        self._min_standard_errors = standard_errors
+        self.restart(since_ms)
+        self._profile = BaselineProfile(baseline)
+
+    def restart(self, now_ms: float) -> None:
+        """Discard what was recorded up to now, since it says nothing about the change."""
+        self.evaluated_until_ms = now_ms + SETTLE_MS
+        self._since = MetricsWindow()
+        self._recent_buckets = deque[MetricsBucket](maxlen=int(RECENT_MS / BUCKET_MS))
+        self._last_kind = ""  # of harm
+        self._consecutive_findings = 0
+
+    def evaluate(self, now_ms: float, buckets: Iterable[MetricsBucket]) -> CanaryVerdict:
+        """Return the verdict on all that was recorded since the change.
+
+        Args:
+            now_ms: The present moment.
+            buckets: The whole buckets from ``evaluated_until_ms`` to now, the oldest first.
+        """
         for bucket in buckets:
             self._since.add(bucket)
-            self._lately.append(bucket)
-            self.upto = (bucket.number + 1) * WIDTH_MS
-        since = self._since
-        harm = self._harm(since)
-        if harm is None and since.count > len(self._lately):
-            harm = self._harm(Stretch(self._lately))
+            self._recent_buckets.append(bucket)
+            self.evaluated_until_ms = (bucket.number + 1) * BUCKET_MS
+        harm = self._find_harm(self._since)
+        if harm is None and self._since.bucket_count > len(self._recent_buckets):
+            harm = self._find_harm(MetricsWindow(self._recent_buckets))
         if harm is None:
-            self._shown = ("", 0)
-            return self._unharmed(since)
+            self._last_kind = ""
+            self._consecutive_findings = 0
+            return self._assess_without_harm()
+        return self._confirm(harm)
+
+    def _confirm(self, harm: CanaryVerdict) -> CanaryVerdict:
+        """Return the finding as harm once it is the second of its kind in a row, before that as suspected."""
         kind = harm.reason.split(":")[0]
-        self._shown = (kind, self._shown[1] + 1 if self._shown[0] == kind else 1)
-        return harm if self._shown[1] >= LOOKS else Verdict(Standing.SUSPECTED, harm.reason, harm.figures)
-
-    def _load(self, since: Stretch) -> float:
-        """How many times the work of before is asked for."""
-        if not since.ms or not self._before.ms:
-            return 1.0
-        before, now = self._before.sum(self._before.pairs).reads, since.sum(since.pairs).reads
-        return now / since.ms / (before / self._before.ms) if before else 1.0
-
-    def _unharmed(self, since: Stretch) -> Verdict:
-        load = self._load(since)
-        in_time = self._before.sum(self._before.pairs).in_time
-        expected = in_time * since.ms / self._before.ms if self._before.ms else 0.0
-        figures = {
-            "load": round(load, 3),
-            "expected": round(expected, 1),
-            "in_time": float(since.sum(since.pairs).in_time),
-        }
-        if expected < ENOUGH or since.sum(since.pairs).in_time < ENOUGH / 4:
-            return Verdict(Standing.INSUFFICIENT_DATA, "too few transactions to tell", figures)
-        if load > LOAD_CALM:
-            return Verdict(Standing.INSUFFICIENT_DATA, "the load has risen too far to tell", figures)
-        return Verdict(Standing.NO_HARM, "no harm that could be told from chance", figures)
-
-    def _harm(self, since: Stretch) -> Verdict | None:
-        """The first harm found, if any. Reasons begin with the kind, up to a colon."""
-        if not since.ms or not self._before.ms:
-            return None
-        if since.memory > MEMORY_MOST and self._before.memory < MEMORY_BEFORE:
-            return Verdict(Standing.HARM, f"memory: {since.memory:.2f} of it in use, {self._before.memory:.2f} before")
-        more = {pair: self._more_work(pair, since) for pair in {*self._before.pairs, *since.pairs}}
-        every = sum(more.values())
-        reading = READING_PART * self._mean * max(0.0, since.sum(since.pairs).reads / since.ms - self._reads)
-        for name, pairs in self._groups.items():
-            # cores that stood idle say that nobody else's work kept this from them
-            excused = 0.0 if since.busy < BUSY else max(0.0, every - sum(more[pair] for pair in pairs)) + reading
-            if (found := self._starved(name, pairs, since, excused)) is not None:
-                return found
-        return self._failing(since)
-
-    def _more_work(self, pair: Pair, since: Stretch) -> float:
-        """Work a millisecond that more came of a pair than before."""
-        was, now = self._before.pairs.get(pair), since.pairs.get(pair)
-        more = (now.reads / since.ms if now else 0.0) - (was.reads / self._before.ms if was else 0.0)
-        return more * self._work.get(pair, self._mean)
-
-    def _starved(self, name: str, pairs: set[Pair], since: Stretch, excused_ms: float) -> Verdict | None:
-        """Fewer of a group in time than the old settings would at least have had under this load, of whose work so
-        much a millisecond is excused."""
-        before = self._before
-        was, now = before.sum(pairs), since.sum(pairs)
-        if not was.reads or not was.in_time:
-            return None
-        reads_was, good_was = was.reads / before.ms, was.in_time / before.ms
-        reads_now, good_now = now.reads / since.ms, now.in_time / since.ms
-        # fewer come where a lower weight is said: by this node's own doing, and not because less is asked for
-        own_doing = max(1.0, before.low_weight / since.weight) if since.weight > 0 else float("inf")
-        came = min(1.0, reads_now / reads_was * own_doing) if reads_now else min(1.0, own_doing - 1.0)
-        work = sum(self._work[pair] * before.pairs[pair].in_time for pair in pairs) / was.in_time
-        expected = max(0.0, good_was * came - excused_ms / max(work, 1e-9)) * since.ms
-        seen = good_now * since.ms
-        if expected - seen < max(MISSING_LEAST, DROP_LEAST * expected):
+        self._consecutive_findings = self._consecutive_findings + 1 if kind == self._last_kind else 1
+        self._last_kind = kind
+        if self._consecutive_findings >= REQUIRED_CONSECUTIVE_FINDINGS:
+            return harm
+        return CanaryVerdict(CanaryStatus.SUSPECTED, harm.reason, harm.figures)
+
+    def _find_harm(self, window: MetricsWindow) -> CanaryVerdict | None:
+        """Run the tests in their order and return the first harm found."""
+        baseline = self._baseline
+        if not window.duration_ms or not baseline.duration_ms:
             return None
-        # counts under Anscombe's transform have a variance of one; what was expected is a count of its own
-        apart = 2 * (sqrt(expected + 0.375) - sqrt(seen + 0.375))
-        sigmas = apart / sqrt(self._uneven[name][0] * (1 + since.ms / before.ms))
-        if since.busy < BUSY:
-            sigmas = max(sigmas, self._of_the_read(pairs, since, self._uneven[name][1]))
-        if sigmas < self._sigmas:
-            return None
-        return Verdict(
-            Standing.HARM,
-            f"{name}: {seen:.0f} answered in their quoted time where {expected:.0f} were due",
-            {
-                "expected": round(expected, 1),
-                "in_time": seen,
-                "sigmas": round(sigmas, 2),
-                "load": round(self._load(since), 3),
-            },
-        )
-
-    def _of_the_read(self, pairs: set[Pair], since: Stretch, variance: float) -> float:
-        """By how many standard errors the part in time of what was read is under the part before."""
-        was, now = self._before.sum(pairs), since.sum(pairs)
-        if not was.reads or not now.reads:
-            return 0.0
-        expected = was.in_time / was.reads * now.reads
-        part = min(1.0, (was.in_time + now.in_time + 1) / (was.reads + now.reads + 2))
-        chance = max(variance * since.count / BATCH, part * (1 - part) * now.reads, 1.0)
-        return (expected - now.in_time) / sqrt(chance * (1 + now.reads / was.reads))
-
-    def _failing(self, since: Stretch) -> Verdict | None:
-        """More forfeited, or more calls that go badly, than before."""
-        before, load = self._before, self._load(since)
-        was, now = before.sum(before.pairs), since.sum(since.pairs)
-        looks = (
-            (
-                "forfeits",
-                was.forfeited,
-                _answers(was),
-                now.forfeited,
-                _answers(now),
-                FORFEITS_LEAST + FORFEITS_BY_LOAD * max(0.0, load - 1),
-            ),
-            ("calls", before.calls_bad, before.calls, since.calls_bad, since.calls, CALLS_LEAST),
+        return (
+            check_memory(baseline, window)
+            or check_completed_in_time(self._profile, window, self._min_standard_errors)
+            or check_failed_requests(baseline, window, self._min_standard_errors)
+            or check_failed_calls(baseline, window, self._min_standard_errors)
         )
-        for name, bad_was, all_was, bad, every, least in looks:
-            if not all_was or not every or bad < MISSING_LEAST or bad / every - bad_was / all_was < least:
-                continue
-            part = (bad_was + bad + 1) / (all_was + every + 2)
-            sigmas = (bad / every - bad_was / all_was) / sqrt(part * (1 - part) * (1 / all_was + 1 / every))
-            if sigmas >= self._sigmas:
-                return Verdict(
-                    Standing.HARM,
-                    f"{name}: {bad} of {every}, before {bad_was} of {all_was}",
-                    {"sigmas": round(sigmas, 2), "load": round(load, 3)},
-                )
-        return None
-
 
-def _answers(counts: Counts) -> int:
-    return counts.in_time + counts.late + counts.dismissed + counts.forfeited
+    def _assess_without_harm(self) -> CanaryVerdict:
+        """Return whether enough was recorded to call the change harmless."""
+        baseline = self._baseline
+        load = load_ratio(baseline, self._since)
+        completed = self._since.total().completed_in_time
+        completed_before = baseline.total().completed_in_time
+        expected = 0.0
+        if baseline.duration_ms:
+            expected = completed_before * self._since.duration_ms / baseline.duration_ms
+        figures = {"load": round(load, 3), "expected": round(expected, 1), "in_time": float(completed)}
+        if expected < MIN_EXPECTED_COMPLETIONS or completed < MIN_COMPLETIONS:
+            return CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "too few transactions to tell", figures)
+        if load > MAX_CONCLUSIVE_LOAD_RATIO:
+            return CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "the load has risen too far to tell", figures)
+        return CanaryVerdict(CanaryStatus.NO_HARM, "no harm that could be told from chance", figures)
--- a/nickelslip/configuration/change_lifecycle.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from typing import Any
 
-from nickelslip.configuration.canary_analysis import Standing, Verdict
+from nickelslip.configuration.canary_analysis import CanaryStatus, CanaryVerdict
 from nickelslip.configuration.config import ChangeRules, Config
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation, digest_of
@@ -293,17 +293,17 @@
 
     # Probation
 
-    def judged(self, now: float, verdict: Verdict) -> Step | None:
+    def judged(self, now: float, verdict: CanaryVerdict) -> Step | None:
         """What follows from a look at the change on probation: CONFIRMED or ROLLED_BACK is to be carried out, by
         `confirm` or `roll_back`; None: it goes on."""
         if self.current is None or self.current.step is not Step.ON_PROBATION:
             return None
         spent = now - self.current.since_ms
-        if verdict.standing is Standing.HARM:
+        if verdict.status is CanaryStatus.HARM:
             return Step.ROLLED_BACK
-        if spent >= self.rules.probation_most_ms and verdict.standing is not Standing.SUSPECTED:
+        if spent >= self.rules.probation_most_ms and verdict.status is not CanaryStatus.SUSPECTED:
             return Step.CONFIRMED  # nothing speaks against it, though little may speak for it
-        if spent >= self.rules.probation_ms and verdict.standing is Standing.NO_HARM:
+        if spent >= self.rules.probation_ms and verdict.status is CanaryStatus.NO_HARM:
             return Step.CONFIRMED
         return None
 
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -29,7 +29,7 @@
     probation_ms: float = 10_000.0  # how long a change must do no harm before it is confirmed
     probation_most_ms: float = 60_000.0  # where so little can be told that the time is not enough
     baseline_ms: float = 20_000.0  # how far back the time before a change is looked at
-    sigmas: float = 4.0  # by so many standard errors worse is no chance
+    standard_errors: float = 4.0  # by so many standard errors worse is no chance
     held_off_ms: float = 600_000.0  # how long a document that was undone is refused unless forced
     reload_all: bool = False  # SIGHUP takes the whole file as a change, and not the peers' addresses alone
 
--- a/nickelslip/configuration/document.py
+++ b/nickelslip/configuration/document.py
@@ -288,7 +288,16 @@
         max_concurrency=inf if machine["running_most"] is None else machine["running_most"],
     )
     rules = ChangeRules(
-        **{name: value for name, value in changes.items() if name != "reload"}, reload_all=changes["reload"] == "all"
+        socket=changes["socket"],
+        socket_mode=changes["socket_mode"],
+        history=changes["history"],
+        history_kb=changes["history_kb"],
+        probation_ms=changes["probation_ms"],
+        probation_most_ms=changes["probation_most_ms"],
+        baseline_ms=changes["baseline_ms"],
+        standard_errors=changes["sigmas"],
+        held_off_ms=changes["held_off_ms"],
+        reload_all=changes["reload"] == "all",
     )
     return Config(
         name=node["name"],
@@ -371,7 +380,15 @@
         },
         "store": {"entry_kb": settings.idempotency_record_kb, "fresh_ms": settings.response_cache_ms},
         "changes": {
-            **{word.name: getattr(rules, word.name) for word in SECTIONS["changes"] if word.name != "reload"},
+            "socket": rules.socket,
+            "socket_mode": rules.socket_mode,
+            "history": rules.history,
+            "history_kb": rules.history_kb,
+            "probation_ms": rules.probation_ms,
+            "probation_most_ms": rules.probation_most_ms,
+            "baseline_ms": rules.baseline_ms,
+            "sigmas": rules.standard_errors,
+            "held_off_ms": rules.held_off_ms,
             "reload": "all" if rules.reload_all else "peers",
         },
         "grades": {
--- /dev/null
+++ b/nickelslip/configuration/metrics_window.py
@@ -0,0 +1,191 @@
+"""Sums of request metrics over a span of time, and the baseline that a canary period is compared with."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from math import inf, sqrt
+from statistics import median
+from typing import NamedTuple
+
+from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
+
+# Bursts of the load, which are left out of a baseline
+BURST_SPAN_BUCKET_COUNT = 4
+BURST_LOAD_RATIO = 1.5  # of the median load of a span
+BURST_STANDARD_DEVIATIONS = 3  # of a Poisson count
+
+# Variability of the completions
+BATCH_BUCKET_COUNT = 2  # buckets whose counts are taken as one observation
+MIN_BATCH_COUNT = 4  # with fewer batches the variability is unknown
+NORMAL_DEVIATION_PER_MEDIAN = 1.4826  # standard deviation of a normal distribution over its median absolute deviation
+MAX_DEVIATION = 2.0  # standard deviations to which the residual of one batch is clipped
+MAX_AUTOCORRELATION = 0.7  # to which the estimate from few batches is clipped
+MIN_SUM_OF_SQUARES = 1e-9  # avoids a division by zero
+
+LOW_WEIGHT_QUANTILE = 10  # one sample in so many lies at or under the low weight
+
+
+class MetricsWindow:
+    """Buckets of one span of time, summed up by traffic class and tenant as they are added.
+
+    Args:
+        buckets: The first buckets, the oldest first.
+    """
+
+    def __init__(self, buckets: Iterable[MetricsBucket] = ()) -> None:
+        self.bucket_count = 0
+        self.counts: dict[ClassTenantPair, RequestCounts] = {}
+        self.call_count = 0
+        self.failed_call_count = 0
+        self.max_memory_fraction = 0.0
+        self._cpu_sum = 0.0
+        self._cpu_sample_count = 0
+        self._weight_sum = 0.0
+        self._weight_sample_count = 0
+        for bucket in buckets:
+            self.add(bucket)
+
+    def add(self, bucket: MetricsBucket) -> None:
+        """Add the next bucket."""
+        self.bucket_count += 1
+        for pair, counts in bucket.counts.items():
+            total = self.counts.get(pair)
+            if total is None:
+                total = self.counts[pair] = RequestCounts()
+            total.add(counts)
+        self.call_count += bucket.call_count
+        self.failed_call_count += bucket.failed_call_count
+        self.max_memory_fraction = max(self.max_memory_fraction, bucket.max_memory_fraction)
+        self._cpu_sum += bucket.cpu_sum
+        self._cpu_sample_count += bucket.cpu_sample_count
+        self._weight_sum += bucket.weight_sum
+        self._weight_sample_count += bucket.weight_sample_count
+
+    @property
+    def duration_ms(self) -> float:
+        """Length of the span."""
+        return self.bucket_count * BUCKET_MS
+
+    @property
+    def cpu_fraction(self) -> float:
+        """Mean utilization of the cores; 1 if it is unknown."""
+        return self._cpu_sum / self._cpu_sample_count if self._cpu_sample_count else 1.0
+
+    @property
+    def weight(self) -> float:
+        """Mean advertised weight, as a fraction of the full weight; 1 if it is unknown."""
+        return self._weight_sum / self._weight_sample_count if self._weight_sample_count else 1.0
+
+    def groups(self) -> dict[str, set[ClassTenantPair]]:
+        """Return the pairs of each traffic class and of each tenant, by the name of the group."""
+        groups: dict[str, set[ClassTenantPair]] = {}
+        for pair in self.counts:
+            traffic_class, tenant = pair
+            groups.setdefault(f"grade {traffic_class}", set()).add(pair)
+            if tenant:
+                groups.setdefault(f"customer {tenant}", set()).add(pair)
+        return groups
+
+    def sum(self, pairs: Iterable[ClassTenantPair]) -> RequestCounts:
+        """Return the total of these pairs."""
+        total = RequestCounts()
+        for pair in pairs:
+            counts = self.counts.get(pair)
+            if counts is not None:
+                total.add(counts)
+        return total
+
+    def total(self) -> RequestCounts:
+        """Return the total of all pairs."""
+        return self.sum(self.counts)
+
+
+class Variability(NamedTuple):
+    """How much the completions in time of a group vary from batch to batch.
+
+    Attributes:
+        dispersion: Variance of the count over that of a Poisson count, at least 1, with the autocorrelation of
+            consecutive batches allowed for.
+        batch_variance: Variance that one batch adds to the count when the number of received requests is known.
+            Batches that compensate one another lower it. Infinite where it is unknown.
+    """
+
+    dispersion: float
+    batch_variance: float
+
+
+class Baseline(MetricsWindow):
+    """The span before a change, without the bursts that were over by the time of the change.
+
+    Args:
+        buckets: All buckets of the span, the oldest first.
+
+    Attributes:
+        buckets: The buckets that are used.
+        low_weight: A low advertised weight (lowest decile of the buckets) of the span.
+    """
+
+    def __init__(self, buckets: Iterable[MetricsBucket]) -> None:
+        self.buckets = _without_bursts(list(buckets))
+        super().__init__(self.buckets)
+        weights = sorted(
+            bucket.weight_sum / bucket.weight_sample_count for bucket in self.buckets if bucket.weight_sample_count
+        )
+        self.low_weight = weights[len(weights) // LOW_WEIGHT_QUANTILE] if weights else 1.0
+
+    def variability(self, pairs: set[ClassTenantPair]) -> Variability:
+        """Estimate how much the completions in time of these pairs vary.
+
+        The estimate uses the residuals of the count given the requests received in the same batch. Variation of the
+        load itself is left out because the comparison allows for it; a burst would otherwise pass for noise.
+        """
+        total = self.sum(pairs)
+        batch_count = len(self.buckets) // BATCH_BUCKET_COUNT
+        if batch_count < MIN_BATCH_COUNT or not total.completed_in_time or not total.received:
+            return Variability(1.0, inf)
+        residuals = self._batch_residuals(pairs, batch_count, total.completed_in_time / total.received)
+        residuals = _clipped(residuals)
+        variance = sum(residual * residual for residual in residuals) / (batch_count - 1)
+        products = sum(first * second for first, second in zip(residuals, residuals[1:], strict=False))
+        autocorrelation = products / max(variance * (batch_count - 1), MIN_SUM_OF_SQUARES)
+        autocorrelation = min(max(autocorrelation, -MAX_AUTOCORRELATION), MAX_AUTOCORRELATION)
+        positive = max(autocorrelation, 0.0)
+        mean = total.completed_in_time / batch_count
+        return Variability(
+            dispersion=max(1.0, variance / mean) * (1 + positive) / (1 - positive),
+            batch_variance=variance * (1 + autocorrelation) / (1 - autocorrelation),
+        )
+
+    def _batch_residuals(
+        self,
+        pairs: set[ClassTenantPair],
+        batch_count: int,
+        in_time_fraction: float,
+    ) -> list[float]:
+        """Return for each batch the completions in time less those that its received requests let expect."""
+        residuals = [0.0] * batch_count
+        for position, bucket in enumerate(self.buckets[: batch_count * BATCH_BUCKET_COUNT]):
+            for pair, counts in bucket.counts.items():
+                if pair in pairs:
+                    expected = in_time_fraction * counts.received
+                    residuals[position // BATCH_BUCKET_COUNT] += counts.completed_in_time - expected
+        return residuals
+
+
+def _clipped(residuals: list[float]) -> list[float]:
+    """Clip outliers, so that one bad second does not hide harm in all others."""
+    max_residual = MAX_DEVIATION * NORMAL_DEVIATION_PER_MEDIAN * median(map(abs, residuals))
+    if max_residual <= 0:
+        return residuals
+    return [min(max(residual, -max_residual), max_residual) for residual in residuals]
+
+
+def _without_bursts(buckets: list[MetricsBucket]) -> list[MetricsBucket]:
+    """Return the buckets of the spans that received no far more requests than the median span."""
+    spans = [
+        buckets[start : start + BURST_SPAN_BUCKET_COUNT] for start in range(0, len(buckets), BURST_SPAN_BUCKET_COUNT)
+    ]
+    received = [sum(counts.received for bucket in span for counts in bucket.counts.values()) for span in spans]
+    usual = median(received) if received else 0.0
+    max_received = max(BURST_LOAD_RATIO * usual, usual + BURST_STANDARD_DEVIATIONS * sqrt(usual))
+    return [bucket for span, count in zip(spans, received, strict=True) for bucket in span if count <= max_received]
--- a/nickelslip/configuration/request_metrics.py
+++ b/nickelslip/configuration/request_metrics.py
@@ -1,8 +1,8 @@
-"""What becomes of transactions, counted by service grade and customer in fixed buckets of time.
+"""Counts of finished requests by traffic class and tenant, in fixed buckets of time.
 
-Owns the buckets, which are used again in a ring, and nothing of what the counts mean: judge.py compares them. It has
-no clock and does no I/O; an event costs one look-up and an addition, whatever is kept. Memory is bounded by the ring
-and by the number of pairs that are told apart.
+The buckets are reused in a ring, so memory is bounded by the span that is kept and by the number of pairs of class
+and tenant. Recording an event costs one look-up and one addition. The module has no clock and does no I/O;
+``canary_analysis`` compares what is counted here.
 """
 
 from __future__ import annotations
@@ -11,124 +11,213 @@
 
 from nickelslip.admission.interface import RequestState
 
-WIDTH_MS = 250.0
-PAIRS_MOST = 256  # of grade and customer; what comes beyond counts under its grade alone
-Pair = tuple[str, str]
+BUCKET_MS = 250.0
+MAX_PAIRS = 256  # requests of further pairs count for their traffic class, without the tenant
+ClassTenantPair = tuple[str, str]  # names of the traffic class and of the tenant; "" stands for no tenant
 
 
-class Counts:
-    """Of one pair in one bucket. `reads` are first tries only: a dismissal brings its further tries along, and they
-    would pass for a rise of the load."""
+class RequestCounts:
+    """Counts of one pair of traffic class and tenant.
 
-    __slots__ = ("reads", "in_time", "late", "dismissed", "forfeited", "abandoned", "work_ms")
+    Attributes:
+        received: First attempts that were read. Retries are left out: a rejection causes retries, which would look
+            like a rise of the load.
+        completed_in_time: Completed within the latency objective of the class.
+        completed_late: Completed after the latency objective.
+        rejected: Answered with a rejection.
+        failed: Admitted and answered with a failure.
+        cancelled: Ended without an answer.
+        work_ms: CPU time of the requests completed in time.
+    """
+
+    __slots__ = ("received", "completed_in_time", "completed_late", "rejected", "failed", "cancelled", "work_ms")
 
     def __init__(self) -> None:
-        self.reads = self.in_time = self.late = self.dismissed = self.forfeited = self.abandoned = 0
-        self.work_ms = 0.0  # of those in time
-
-    def add(self, other: Counts) -> None:
-        """Count another's with this one's."""
-        self.reads += other.reads
-        self.in_time += other.in_time
-        self.late += other.late
-        self.dismissed += other.dismissed
-        self.forfeited += other.forfeited
-        self.abandoned += other.abandoned
+        self.received = 0
+        self.completed_in_time = 0
+        self.completed_late = 0
+        self.rejected = 0
+        self.failed = 0
+        self.cancelled = 0
+        self.work_ms = 0.0
+
+    def add(self, other: RequestCounts) -> None:
+        """Add the counts of another pair or bucket to these."""
+        self.received += other.received
+        self.completed_in_time += other.completed_in_time
+        self.completed_late += other.completed_late
+        self.rejected += other.rejected
+        self.failed += other.failed
+        self.cancelled += other.cancelled
         self.work_ms += other.work_ms
 
+    @property
+    def answered(self) -> int:
+        """Requests that were answered, whatever the answer."""
+        return self.completed_in_time + self.completed_late + self.rejected + self.failed
 
-class MetricsBucket:
-    """A quarter of a second."""
 
-    __slots__ = ("number", "pairs", "calls", "calls_bad", "memory", "weight", "weights", "busy", "busies")
+class MetricsBucket:
+    """What was recorded in one span of ``BUCKET_MS``.
+
+    Attributes:
+        number: Start of the bucket in units of ``BUCKET_MS``.
+        counts: The counts of each pair that occurred.
+        call_count: Dependency calls that ended.
+        failed_call_count: Those of them that failed.
+        max_memory_fraction: Largest sample of the used memory; 0 if there is none.
+        weight_sum: Sum of the samples of the advertised weight.
+        weight_sample_count: Number of those samples.
+        cpu_sum: Sum of the samples of the CPU utilization.
+        cpu_sample_count: Number of those samples.
+    """
+
+    __slots__ = (
+        "number",
+        "counts",
+        "call_count",
+        "failed_call_count",
+        "max_memory_fraction",
+        "weight_sum",
+        "weight_sample_count",
+        "cpu_sum",
+        "cpu_sample_count",
+    )
 
     def __init__(self, number: int) -> None:
         self.clear(number)
 
     def clear(self, number: int) -> None:
-        """Begin anew as the bucket of this number."""
+        """Empty the bucket and reuse it for another number."""
         self.number = number
-        self.pairs: dict[Pair, Counts] = {}
-        self.calls = self.calls_bad = self.weights = self.busies = 0
-        self.memory = self.weight = self.busy = 0.0
+        self.counts: dict[ClassTenantPair, RequestCounts] = {}
+        self.call_count = 0
+        self.failed_call_count = 0
+        self.max_memory_fraction = 0.0
+        self.weight_sum = 0.0
+        self.weight_sample_count = 0
+        self.cpu_sum = 0.0
+        self.cpu_sample_count = 0
 
 
 class RequestMetrics:
-    """The counts of the last `span_ms`."""
+    """The buckets of the most recent span of time.
+
+    Args:
+        span_ms: How far back the buckets are kept.
+        latency_objectives_ms: The latency objective of each traffic class, by name.
+    """
 
-    def __init__(self, span_ms: float, quoted_ms: Mapping[str, float]) -> None:
-        self._ring = [MetricsBucket(-1) for _ in range(int(span_ms / WIDTH_MS) + 2)]
-        self._now = self._ring[0]
-        self._pairs: set[Pair] = set()
-        self._quoted: Mapping[str, float] = quoted_ms
+    def __init__(self, span_ms: float, latency_objectives_ms: Mapping[str, float]) -> None:
+        self._ring = [MetricsBucket(-1) for _ in range(int(span_ms / BUCKET_MS) + 2)]
+        self._current = self._ring[0]
+        self._known_pairs: set[ClassTenantPair] = set()
+        self._latency_objectives_ms: Mapping[str, float] = latency_objectives_ms
 
-    def set_latency_objectives(self, quoted_ms: Mapping[str, float]) -> None:
-        """From here on, an answer counts as in time up to these quoted times."""
-        self._quoted = quoted_ms
+    def set_latency_objectives(self, latency_objectives_ms: Mapping[str, float]) -> None:
+        """Classify requests that end from now on by these latency objectives."""
+        self._latency_objectives_ms = latency_objectives_ms
 
     @property
     def latency_objectives_ms(self) -> Mapping[str, float]:
-        return self._quoted
-
-    def _bucket(self, now: float) -> MetricsBucket:
-        number = int(now // WIDTH_MS)
-        if number > self._now.number:
-            self._now = self._ring[number % len(self._ring)]
-            self._now.clear(number)
-        return self._now
-
-    def _counts(self, now: float, grade: str, customer: str | None) -> Counts:
-        pairs, pair = self._bucket(now).pairs, (grade, customer or "")
-        counts = pairs.get(pair)
-        if counts is None:
-            if pair not in self._pairs:
-                if len(self._pairs) >= PAIRS_MOST:
-                    pair = (grade, "")
-                self._pairs.add(pair)
-            counts = pairs.setdefault(pair, Counts())
-        return counts
-
-    def request_received(self, now: float, grade: str, customer: str | None) -> None:
-        """A first try was read."""
-        self._counts(now, grade, customer).reads += 1
+        """The latency objectives by which completed requests are classified."""
+        return self._latency_objectives_ms
+
+    def _bucket(self, now_ms: float) -> MetricsBucket:
+        """Return the bucket of this moment; a moment before the current bucket counts in the current one."""
+        number = int(now_ms // BUCKET_MS)
+        if number > self._current.number:
+            self._current = self._ring[number % len(self._ring)]
+            self._current.clear(number)
+        return self._current
+
+    def _counts(self, now_ms: float, traffic_class: str, tenant: str | None) -> RequestCounts:
+        """Return the counts to which an event of this class and tenant belongs."""
+        counts_by_pair = self._bucket(now_ms).counts
+        pair = (traffic_class, tenant or "")
+        counts = counts_by_pair.get(pair)
+        if counts is not None:
+            return counts
+        if pair not in self._known_pairs:
+            if len(self._known_pairs) >= MAX_PAIRS:
+                pair = (traffic_class, "")
+            self._known_pairs.add(pair)
+        return counts_by_pair.setdefault(pair, RequestCounts())
+
+    def request_received(self, now_ms: float, traffic_class: str, tenant: str | None) -> None:
+        """Record a first attempt that was read."""
+        self._counts(now_ms, traffic_class, tenant).received += 1
 
     def request_ended(
-        self, now: float, grade: str, customer: str | None, state: RequestState, elapsed_ms: float, work_ms: float
+        self,
+        now_ms: float,
+        traffic_class: str,
+        tenant: str | None,
+        state: RequestState,
+        elapsed_ms: float,
+        work_ms: float,
     ) -> None:
-        """A transaction has its answer, or has been abandoned, so long after it reached the machine."""
-        counts = self._counts(now, grade, customer)
+        """Record the end of a request.
+
+        Args:
+            now_ms: The moment at which it ended.
+            traffic_class: Name of its traffic class.
+            tenant: Name of its tenant, if it has one.
+            state: Its final state; one other than COMPLETED, REJECTED and FAILED counts as cancelled.
+            elapsed_ms: Time since the request reached this machine.
+            work_ms: CPU time that its run took.
+        """
+        counts = self._counts(now_ms, traffic_class, tenant)
         if state is RequestState.COMPLETED:
-            if elapsed_ms <= self._quoted.get(grade, 0.0):
-                counts.in_time += 1
+            if elapsed_ms <= self._latency_objectives_ms.get(traffic_class, 0.0):
+                counts.completed_in_time += 1
                 counts.work_ms += work_ms
             else:
-                counts.late += 1
+                counts.completed_late += 1
         elif state is RequestState.REJECTED:
-            counts.dismissed += 1
+            counts.rejected += 1
         elif state is RequestState.FAILED:
-            counts.forfeited += 1
+            counts.failed += 1
         else:
-            counts.abandoned += 1
-
-    def call_ended(self, now: float, bad: bool) -> None:
-        """A call to the records has ended, well or badly."""
-        bucket = self._bucket(now)
-        bucket.calls += 1
-        bucket.calls_bad += bad
-
-    def sample_server(self, now: float, weight: float, memory: float | None, busy: float | None) -> None:
-        """The weight that is said, as a part of all there is; the memory in use and the busy part of the cores, where
-        they are known."""
-        bucket = self._bucket(now)
-        bucket.weight, bucket.weights = bucket.weight + weight, bucket.weights + 1
-        bucket.memory = max(bucket.memory, memory or 0.0)
-        if busy is not None:
-            bucket.busy, bucket.busies = bucket.busy + busy, bucket.busies + 1
-
-    def between(self, begin: float, end: float) -> Iterator[MetricsBucket]:
-        """The whole buckets of this time, the oldest first; one in which nothing happened is empty."""
-        first, past = -int(-begin // WIDTH_MS), int(end // WIDTH_MS)
-        oldest = max(first, self._now.number - len(self._ring) + 2)
-        for number in range(oldest, past):
+            counts.cancelled += 1
+
+    def call_ended(self, now_ms: float, failed: bool) -> None:
+        """Record the end of a dependency call."""
+        bucket = self._bucket(now_ms)
+        bucket.call_count += 1
+        bucket.failed_call_count += failed
+
+    def sample_server(
+        self,
+        now_ms: float,
+        weight: float,
+        memory_fraction: float | None,
+        cpu_fraction: float | None,
+    ) -> None:
+        """Record one sample of the server's own state.
+
+        Args:
+            now_ms: The moment of the sample.
+            weight: The advertised weight as a fraction of the full weight.
+            memory_fraction: Used part of the memory, if known.
+            cpu_fraction: Utilization of the cores, if known.
+        """
+        bucket = self._bucket(now_ms)
+        bucket.weight_sum += weight
+        bucket.weight_sample_count += 1
+        bucket.max_memory_fraction = max(bucket.max_memory_fraction, memory_fraction or 0.0)
+        if cpu_fraction is not None:
+            bucket.cpu_sum += cpu_fraction
+            bucket.cpu_sample_count += 1
+
+    def between(self, begin_ms: float, end_ms: float) -> Iterator[MetricsBucket]:
+        """Yield the buckets that lie wholly in this span, the oldest first.
+
+        A bucket in which nothing was recorded is yielded empty; one that is no longer kept is left out.
+        """
+        first = -int(-begin_ms // BUCKET_MS)
+        end = int(end_ms // BUCKET_MS)
+        oldest_kept = self._current.number - len(self._ring) + 2
+        for number in range(max(first, oldest_kept), end):
             bucket = self._ring[number % len(self._ring)]
             yield bucket if bucket.number == number else MetricsBucket(number)
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -18,7 +18,7 @@
 
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import LoadSignal
-from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
+from nickelslip.configuration.canary_analysis import CanaryAnalysis, CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import Change, Changes, Denial, Denied, Start, Step, start_of
 from nickelslip.configuration.config import Config, with_new_peer_addresses
 from nickelslip.configuration.document import Checker, Document, checked, config_from, document_of
@@ -26,8 +26,9 @@
 from nickelslip.configuration.history import Record
 from nickelslip.configuration.json5_reader import Read
 from nickelslip.configuration.layers import merged
+from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
-from nickelslip.configuration.request_metrics import WIDTH_MS, MetricsBucket, RequestMetrics
+from nickelslip.configuration.request_metrics import BUCKET_MS, MetricsBucket, RequestMetrics
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.store import Store
 from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
@@ -46,10 +47,10 @@
     Phase.FAILED: "failed",
 }
 STANDING_WORDS = {
-    Standing.INSUFFICIENT_DATA: "too_soon",
-    Standing.SUSPECTED: "doubt",
-    Standing.NO_HARM: "no_harm",
-    Standing.HARM: "harm",
+    CanaryStatus.INSUFFICIENT_DATA: "too_soon",
+    CanaryStatus.SUSPECTED: "doubt",
+    CanaryStatus.NO_HARM: "no_harm",
+    CanaryStatus.HARM: "harm",
 }
 
 
@@ -112,8 +113,8 @@
         )
         self._file = file  # what the files said when they were last taken
         self.changes = Changes(node.generation, start.document, records, digest_of(file), node.clock(), self._tell)
-        self._judge: Judge | None = None
-        self.verdict: Verdict | None = None
+        self._judge: CanaryAnalysis | None = None
+        self.verdict: CanaryVerdict | None = None
         self.apply_us: list[float] = []  # the node's pause at the latest applies
         self._lock = anyio.Lock()
         self._spoilt: list[tuple[float, float]] = []  # when changes were in force that were undone
@@ -135,7 +136,7 @@
     async def run(self) -> None:
         """Sample what the node says of itself, and look at the change on probation, four times a second."""
         while True:
-            await anyio.sleep(WIDTH_MS / 1000)
+            await anyio.sleep(BUCKET_MS / 1000)
             self._sample()
             if self._unwritten or self.changes.current is not None:
                 async with self._lock:
@@ -167,17 +168,17 @@
         if judge is None:
             return
         if self._node.phase is not Phase.SERVING or not self._node.worker_pool.is_up:
-            self.changes.unseen(WIDTH_MS)  # what goes wrong now says nothing of the change
-            judge.begin_anew(now)
+            self.changes.unseen(BUCKET_MS)  # what goes wrong now says nothing of the change
+            judge.restart(now)
             return
-        self.verdict = judge.look(now, self.request_metrics.between(judge.upto, now))
+        self.verdict = judge.evaluate(now, self.request_metrics.between(judge.evaluated_until_ms, now))
         step = self.changes.judged(now, self.verdict)
         if step is Step.ROLLED_BACK:
             await self._undo(self.verdict.reason)
         elif step is Step.CONFIRMED:
             reason = (
                 self.verdict.reason
-                if self.verdict.standing is Standing.NO_HARM
+                if self.verdict.status is CanaryStatus.NO_HARM
                 else f"nothing speaks against it: {self.verdict.reason}"
             )
             record = self.changes.confirm(now, reason)
@@ -189,8 +190,8 @@
         for the next one."""
         self._spoilt = [span for span in self._spoilt if span[1] > begin]
         for bucket in self.request_metrics.between(begin, end):
-            at = bucket.number * WIDTH_MS
-            if not any(since < at + WIDTH_MS and at < until for since, until in self._spoilt):
+            at = bucket.number * BUCKET_MS
+            if not any(since < at + BUCKET_MS and at < until for since, until in self._spoilt):
                 yield bucket
 
     async def _undo(self, reason: str) -> None:
@@ -404,7 +405,7 @@
             raise Denied(Denial.LEAVING, PHASE_WORDS[node.phase])
         generation, now = change.generation, node.clock()
         assert generation is not None
-        before = Before(self._untroubled(now - changes.rules.baseline_ms, now))
+        before = Baseline(self._untroubled(now - changes.rules.baseline_ms, now))
         was = node.generation.latency_objectives_ms
         self._adopt(generation)
         # an answer within either quoted time is one in time: what is asked is whether the node does worse
@@ -417,7 +418,7 @@
         confirmed = changes.applied(node.clock())
         self.verdict = None
         if confirmed is None:
-            self._judge = Judge(before, node.clock(), changes.rules.sigmas)
+            self._judge = CanaryAnalysis(before, node.clock(), changes.rules.standard_errors)
         else:
             self._settled()
             await self._write_or_keep(confirmed)
@@ -454,7 +455,7 @@
             None
             if self.verdict is None
             else {
-                "standing": STANDING_WORDS[self.verdict.standing],
+                "standing": STANDING_WORDS[self.verdict.status],
                 "reason": self.verdict.reason,
                 **self.verdict.figures,
             }
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -10,7 +10,7 @@
 
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import history, json5_reader
-from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
+from nickelslip.configuration.canary_analysis import CanaryAnalysis, CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import Changes, Denial, Denied, Step, start_of
 from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import config_from, document_of
@@ -18,8 +18,9 @@
 from nickelslip.configuration.history import Event, Record
 from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.layers import layered, merged
+from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
-from nickelslip.configuration.request_metrics import WIDTH_MS, RequestMetrics
+from nickelslip.configuration.request_metrics import BUCKET_MS, RequestMetrics
 from nickelslip.configuration.rollout import Course, Do, Place, Rollout, Terms
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.validation import InvalidDocumentError
@@ -329,11 +330,11 @@
 
 def fill(meter, chance, begin, end, kept, load=1.0, weight=1.0, busy=0.6):
     """Traffic from begin to end: of what comes of each pair, the part that is answered in time."""
-    for at in range(int(begin / WIDTH_MS), int(end / WIDTH_MS)):
-        now = at * WIDTH_MS + 1.0
+    for at in range(int(begin / BUCKET_MS), int(end / BUCKET_MS)):
+        now = at * BUCKET_MS + 1.0
         meter.sample_server(now, weight, 0.5, busy)
         for pair, rate in RATES.items():
-            mean = rate * load * WIDTH_MS / 1000
+            mean = rate * load * BUCKET_MS / 1000
             count, left = 0, chance.expovariate(1.0)
             while left < mean:
                 count, left = count + 1, left + chance.expovariate(1.0)
@@ -349,13 +350,13 @@
     """The first harm found within some seconds and when, or the last verdict."""
     chance, meter = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
     fill(meter, chance, 0.0, 15_000.0, before)
-    judge = Judge(Before(meter.between(0.0, 15_000.0)), 15_000.0, 4.0)
+    judge = CanaryAnalysis(Baseline(meter.between(0.0, 15_000.0)), 15_000.0, 4.0)
     now, verdict = 15_000.0, None
     while now < 15_000.0 + until:
-        fill(meter, chance, now, now + WIDTH_MS, kept, load, weight, busy)
-        now += WIDTH_MS
-        verdict = judge.look(now, meter.between(judge.upto, now))
-        if verdict.standing is Standing.HARM:
+        fill(meter, chance, now, now + BUCKET_MS, kept, load, weight, busy)
+        now += BUCKET_MS
+        verdict = judge.evaluate(now, meter.between(judge.evaluated_until_ms, now))
+        if verdict.status is CanaryStatus.HARM:
             break
     return verdict, now - 15_000.0
 
@@ -374,7 +375,7 @@
 def test_harm_is_found_within_five_seconds(name, kept, load, weight):
     for seed in range(12):
         verdict, after = judged(seed, kept, load, weight)
-        assert verdict.standing is Standing.HARM and after <= 5000.0, (name, seed, verdict)
+        assert verdict.status is CanaryStatus.HARM and after <= 5000.0, (name, seed, verdict)
 
 
 def test_a_burst_that_was_over_before_the_change_hides_little():
@@ -384,12 +385,12 @@
         fill(meter, chance, 0.0, 8000.0, lambda pair: 0.97)
         fill(meter, chance, 8000.0, 12_000.0, lambda pair: 0.95 if pair[0] == "payout" else 0.3, load=2.0, busy=1.0)
         fill(meter, chance, 12_000.0, 15_000.0, lambda pair: 0.97)
-        judge, now, verdict = Judge(Before(meter.between(0.0, 15_000.0)), 15_000.0, 4.0), 15_000.0, None
-        while now < 20_000.0 and (verdict is None or verdict.standing is not Standing.HARM):
-            fill(meter, chance, now, now + WIDTH_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
-            now += WIDTH_MS
-            verdict = judge.look(now, meter.between(judge.upto, now))
-        found += verdict.standing is Standing.HARM
+        judge, now, verdict = CanaryAnalysis(Baseline(meter.between(0.0, 15_000.0)), 15_000.0, 4.0), 15_000.0, None
+        while now < 20_000.0 and (verdict is None or verdict.status is not CanaryStatus.HARM):
+            fill(meter, chance, now, now + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
+            now += BUCKET_MS
+            verdict = judge.evaluate(now, meter.between(judge.evaluated_until_ms, now))
+        found += verdict.status is CanaryStatus.HARM
     assert found >= 11
 
 
@@ -408,23 +409,23 @@
     ),
 )
 def test_chance_and_load_alone_are_no_harm(name, kept, load, before):
-    harmed = sum(judged(seed, kept, load, before=before, busy=1.0)[0].standing is Standing.HARM for seed in range(40))
+    harmed = sum(judged(seed, kept, load, before=before, busy=1.0)[0].status is CanaryStatus.HARM for seed in range(40))
     assert harmed <= 1, name
 
 
 def test_what_nobody_saw_is_not_called_harmless_and_a_look_alone_undoes_nothing():
     assert (
-        judged(1, lambda pair: 0.97, load=0.02, weight=1.0, before=lambda pair: 0.0)[0].standing
-        is Standing.INSUFFICIENT_DATA
+        judged(1, lambda pair: 0.97, load=0.02, weight=1.0, before=lambda pair: 0.0)[0].status
+        is CanaryStatus.INSUFFICIENT_DATA
     )
     changes, _ = begun()
     changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
     changes.begin(2.0)
     changes.applied(2.0)
-    soon = Verdict(Standing.INSUFFICIENT_DATA, "")
+    soon = CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "")
     assert changes.judged(2.0 + 10_000, soon) is None and changes.judged(2.0 + 60_000, soon) is Step.CONFIRMED
-    assert changes.judged(2.0 + 9_999, Verdict(Standing.NO_HARM, "")) is None
-    assert changes.judged(2.1, Verdict(Standing.HARM, "")) is Step.ROLLED_BACK
+    assert changes.judged(2.0 + 9_999, CanaryVerdict(CanaryStatus.NO_HARM, "")) is None
+    assert changes.judged(2.1, CanaryVerdict(CanaryStatus.HARM, "")) is Step.ROLLED_BACK
 
 
 # Roll-out
