--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -105,7 +105,7 @@
         await place.running(caller, A, "pay")
         await place.push(SOON)
         control = place.node.decision_executor.controller
-        control._items[int(A, 16)].grading = control._gradings["pay"]  # as one would by looking it up anew
+        control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
         await place.pool.finish(A)
         await caller.answer()
         assert witness.mixed == {int(A, 16)}
@@ -118,11 +118,12 @@
         await place.pool.finish(A)
         await caller.answer()
         control = place.node.decision_executor.controller
-        control._weight, mean = 0.5, control._gradings["pay"].run
+        control._weight.weight, mean = 0.5, control._classes["pay"].run_ms
         await place.push(SOON)
-        assert control._gradings["pay"].run is mean and mean._seen == 1 and control._weight <= 0.6
-        assert control._gradings["pay"].quoted == 400.0 and isinstance(control._gradings["pay"], ClassStatistics)
-        assert control._most == 2
+        assert control._classes["pay"].run_ms is mean and mean._sample_count == 1 and control._weight.weight <= 0.6
+        statistics = control._classes["pay"]
+        assert statistics.latency_objective_ms == 400.0 and isinstance(statistics, ClassStatistics)
+        assert control._concurrency._max_concurrency == 2
 
 
 # Courses of changes
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -10,7 +10,7 @@
 
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import history, json5_reader
-from nickelslip.configuration.canary_analysis import Baseline, CanaryAnalysis, CanaryStatus, CanaryVerdict
+from nickelslip.configuration.canary_analysis import CanaryAnalysis, CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeRejectedError, ChangeState, RejectionReason
 from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import config_from, document_of
@@ -18,6 +18,7 @@
 from nickelslip.configuration.history import HistoryEvent, HistoryRecord
 from nickelslip.configuration.json5_reader import read_text
 from nickelslip.configuration.layers import layered, merged
+from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
 from nickelslip.configuration.request_metrics import BUCKET_MS, RequestMetrics
 from nickelslip.configuration.rollout import Course, Do, Place, Rollout, Terms
