--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -1,408 +1,431 @@
-"""The link to the worker pool.
+"""The link to the worker pool: its one connection, what is sent on it and what comes.
 
-Owns the one connection on which runs are started, stopped and led past their calls, the number of the last notice
-read, and which commands are proven to have got there. A lost link is taken up again where the last notice left off;
-each notice counts once, and one that cannot be read is passed over, since asked anew it would be the same. It must
-never repeat a command that may have had an effect which must not come twice, and it does not judge what a run's end
-means: that goes to the transaction.
+Connects with backoff, binds where the last notification left off, and moves to another address. The wire is described
+in worker_pool_protocol.py; command_delivery.py decides which commands may be sent again after the link was lost.
 """
 
 from __future__ import annotations
 
 import random
-import re
-from base64 import b64decode, b64encode
 from collections import deque
 from enum import Enum
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING
 
 import anyio
-import orjson
 
-from nickelslip.admission.interface import Gauges, Outcome, Preemption, RequestState, RetrySafety
+from nickelslip.admission.interface import Gauges, Outcome, Preemption
 from nickelslip.configuration.config import Address
 from nickelslip.server.close_reasons import (
     MALFORMED_RESULT_OUTCOME,
-    RUN_OUTCOMES,
     UNKNOWN_START_OUTCOME,
     CloseReason,
     ConnectionClosedError,
 )
-from nickelslip.server.requests import FINAL_STATES, CallRequested, Request, RunFinished
-from nickelslip.server.streams import BUFFER_BYTES, Stream, connect
+from nickelslip.server.command_delivery import CommandDelivery, PendingCommand
+from nickelslip.server.requests import CallRequested, Request, RunFinished
+from nickelslip.server.streams import Stream, connect
+from nickelslip.server.worker_pool_protocol import (
+    START_WORD,
+    Bind,
+    Bound,
+    CallReached,
+    CommandNotExecuted,
+    GaugesReported,
+    Line,
+    LineReader,
+    MalformedNotificationError,
+    Notification,
+    QueryGauges,
+    ResumeWithoutCall,
+    ResumeWithReply,
+    RunEnded,
+    RunMentioned,
+    RunNotification,
+    RunResult,
+    StartRun,
+    StopRun,
+    decode_envelope,
+    decode_fragment,
+    decode_gauges,
+    decode_notification,
+    encode_command,
+)
 from nickelslip.startup.backoff import Backoff
 
-if TYPE_CHECKING:  # types only: a start is spared what it does not need
+if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
     from nickelslip.server.interfaces import RunOwner
 
-PAUSE_MS, PAUSE_MOST_MS = 20.0, 500.0  # between tries to connect, at least and at most
-TRIES_MOST, TRIES_SPAN_MS = 24, 5000.0  # and no more tries than that in such a time
-MOVE_MS = 100.0  # how long a link that is being replaced may take to prove what got there
-UNHEARD_MOST = 20  # questions, ten a second, on which a link that brings nothing is given up
-GHOST_STOPS = 3  # stops without a word, each behind the answer to a question, that prove that there is no run
-BACKLOG_MOST = 1 << 20
-UNPROVEN_MOST = 4096
-PARTS_OF_NOTICE = re.compile(rb'"(op|seq|id)"\s*:\s*"?(\w+)')  # what can still be told of one that is no JSON
-GAUGES = {
-    "cpu_busy": "cpu_utilization",
-    "runnable": "run_queue_length",
-    "mem_used": "memory_utilization",
-    "sockets": "connection_count",
-}
+MIN_RECONNECT_DELAY_MS = 20.0
+MAX_RECONNECT_DELAY_MS = 500.0
+RECONNECT_BUDGET = 24  # attempts to connect within each span
+RECONNECT_SPAN_MS = 5000.0
+MAX_CONFIRMATION_WAIT_MS = 100.0  # for what was written to a link that is being replaced
+MAX_QUERIES_WITHOUT_READ = 20  # on which a link that brings nothing is given up; there are ten a second
+MAX_BACKLOG_BYTES = 1 << 20
+LOGGED_LINE_BYTES = 100
 
 
 class LinkState(Enum):
     """The state of the link."""
 
-    DOWN = "there is none; commands wait"
-    MOVING = "the link to another address stands ready; commands wait for what was written to be proven"
-    BINDING = "connected, and waiting for the worker pool to be up"
+    DOWN = "there is no connection; commands wait"
+    BINDING = "connected, and waiting for the worker pool to be up; commands wait"
     UP = "commands go out at once"
+    MOVING = "the connection to another address stands ready; commands wait until all that was written has arrived"
+
 
+class LinkEvent(Enum):
+    """What changes the state of the link."""
 
-class Command(NamedTuple):
-    """Something told to the worker pool: a transaction's command, or with none a question for the gauges."""
+    CONNECTED = "a connection stands"
+    BOUND = "the worker pool is up and has taken the link up"
+    REPLACEMENT_CONNECTED = "a connection to the new address stands"
+    CLOSED = "the connection has ended"
 
-    op: str
-    one: Request | None
-    fields: dict[str, Any]
+
+LINK_TRANSITIONS = {
+    (LinkState.DOWN, LinkEvent.CONNECTED): LinkState.BINDING,
+    (LinkState.BINDING, LinkEvent.BOUND): LinkState.UP,
+    (LinkState.UP, LinkEvent.BOUND): LinkState.UP,
+    (LinkState.MOVING, LinkEvent.BOUND): LinkState.UP,
+    (LinkState.UP, LinkEvent.REPLACEMENT_CONNECTED): LinkState.MOVING,
+    (LinkState.BINDING, LinkEvent.CLOSED): LinkState.DOWN,
+    (LinkState.UP, LinkEvent.CLOSED): LinkState.DOWN,
+    (LinkState.MOVING, LinkEvent.CLOSED): LinkState.DOWN,
+}
 
 
 class WorkerPoolLink:
-    """The worker pool, as this server reaches it."""
+    """The worker pool, as this server reaches it.
+
+    Args:
+        owner: Whose runs these are, and who hears that the worker pool came up.
+    """
 
-    def __init__(self, around: RunOwner) -> None:
-        self._around = around
-        self._link = LinkState.DOWN
+    def __init__(self, owner: RunOwner) -> None:
+        self._owner = owner
+        self._state = LinkState.DOWN
         self._stream: Stream | None = None
-        self._next: Stream | None = None  # to the address that replaces this one's
-        self._address = around.generation.config.pool  # to which the link goes
-        self._attempt: anyio.CancelScope | None = None  # the connecting, or the pause before it
-        self._proven = anyio.Event()  # of a link that is being replaced: all that was written got there
-        self._ghosts: dict[Request, tuple[int, int]] = {}  # runs in doubt: stops unheard, and answers before them
-        self._answers = 0  # to questions for the gauges
-        self._unheard = 0  # questions since anything was read
-        self._begun = False  # the worker pool has been up
-        self._seq = 0  # of the last notice read
-        self._tag, self._fence = 0, ""
-        self._doubtful: list[Command] = []  # written on a link that was lost
+        self._replacement: Stream | None = None  # the next connection, not bound yet
+        self._address = owner.generation.config.pool  # to which the link goes
+        self._connect_scope: anyio.CancelScope | None = None  # of the attempt to connect, or the delay before it
+        self._all_confirmed = anyio.Event()  # of a link that is being replaced: all that was written has arrived
+        self._was_ever_bound = False
+        self._last_seq = 0  # of the notification that was read last
+        self._last_query_number = 0
+        self._queries_without_read = 0
         self._gauges: Gauges | None = None
-        self._waiting: deque[Command] = deque()  # never written: a transaction has few, and few are in hand
-        self._unproven: deque[Command] = deque(maxlen=UNPROVEN_MOST)  # written, and not yet known to have got there
-        self._halts = around.generation.settings.preemption is not Preemption.NEVER  # never changes while it serves
+        self._unsent = deque[PendingCommand]()
+        # Preemption is fixed while the server runs.
+        self._can_stop_runs = owner.generation.settings.preemption is not Preemption.NEVER
+        self._delivery = CommandDelivery(self._can_stop_runs)
 
     @property
     def is_up(self) -> bool:
         """Whether a command can be written now."""
-        return self._link is LinkState.UP and self._stream is not None and not self._stream.ending
+        return self._state is LinkState.UP and self._stream is not None and not self._stream.ending
 
-    # What is told to the worker pool
+    # Commands
 
-    def start(self, one: Request) -> None:
-        self._tell(
-            Command("spawn", one, {"class": one.received.traffic_class, "body": b64encode(one.received.body).decode()})
-        )
+    def start(self, request: Request) -> None:
+        """Start a run of this request."""
+        received = request.received
+        command = StartRun(received.id_hex, received.traffic_class, received.body)
+        self._send(PendingCommand(command, request))
 
-    def stop(self, one: Request) -> None:
-        """Where runs can be stopped. Without a link it is passed over: the module asks again while a run goes on.
-        A run whose start was lost ends without a word; unproven, it would keep its slot and its memory for good."""
-        if not self._halts or not self.is_up:
-            return
-        if one in self._ghosts and (one.answered or one.client_gone):
-            stops, answers = self._ghosts[one]
-            if self._answers > answers:
-                self._ghosts[one] = stops + 1, self._answers
-            if stops >= GHOST_STOPS:
-                del self._ghosts[one]
-                one.deliver(RunFinished(Outcome.CANCELLED, 0.0))
-                return
-        self._tell(Command("suspend", one, {}))
+    def stop(self, request: Request) -> None:
+        """Stop this request's run, where runs can be stopped.
 
-    def _ask_after_ghosts(self) -> None:
-        """Where runs cannot be stopped: a start that may have been lost is told again once its transaction is over. By
-        the protocol nothing is then started: either it runs already, or the worker pool says that it is too late."""
-        for one in [one for one in self._ghosts if (one.answered or one.client_gone) and not one.notified]:
-            del self._ghosts[one]
-            self.start(one)
+        Without a link this does nothing, since admission control asks again while a run goes on. A run that is proven
+        not to exist is reported as cancelled instead.
+        """
+        if not self._can_stop_runs or not self.is_up:
+            return
+        if self._delivery.is_absent_after_stop(request):
+            request.deliver(RunFinished(Outcome.CANCELLED, 0.0))
+            return
+        self._send(PendingCommand(StopRun(request.received.id_hex), request))
 
-    def resume_with_reply(self, one: Request, body: bytes) -> None:
-        one.notified = False
-        self._tell(Command("supply", one, {"body": b64encode(body).decode()}))
+    def resume_with_reply(self, request: Request, body: bytes) -> None:
+        """Resume this request's run with the reply to its call."""
+        request.notified = False
+        self._send(PendingCommand(ResumeWithReply(request.received.id_hex, body), request))
 
-    def resume_without_call(self, one: Request) -> None:
-        """Without the call at which the run stands."""
-        one.notified = False
-        self._tell(Command("pass", one, {"seq": one.call.seq}))
+    def resume_without_call(self, request: Request) -> None:
+        """Resume this request's run without the call at which it stands."""
+        request.notified = False
+        self._send(PendingCommand(ResumeWithoutCall(request.received.id_hex, request.call.seq), request))
 
     def request_gauges(self) -> None:
-        """Ask, where a link stands. One on which many questions in a row bring nothing at all is given up: a peer
-        that vanished without a word would be waited for until every transaction is due. They are counted, and not
-        timed, since a server that stands still asks none."""
-        if self._stream is not None and self._begun:
-            self._unheard += 1
-            if self._unheard > UNHEARD_MOST:
+        """Ask for the gauges, where a link stands, and give up a link that brings nothing for many queries in a row.
+
+        A peer that vanished without closing would otherwise be waited for until every request's deadline. Queries are
+        counted, and not time, since a server that stands still itself sends none.
+        """
+        if self._stream is not None and self._was_ever_bound:
+            self._queries_without_read += 1
+            if self._queries_without_read > MAX_QUERIES_WITHOUT_READ:
                 self._stream.end_with(CloseReason.UNRESPONSIVE)
         if self.is_up:
-            self._tag += 1
-            self._write(Command("poll", None, {"tag": str(self._tag)}))
+            self._last_query_number += 1
+            self._write(PendingCommand(QueryGauges(self._last_query_tag), None))
 
     def take_gauges(self) -> Gauges | None:
-        """The gauges that have come since they were last taken."""
-        gauges, self._gauges = self._gauges, None
+        """Return the gauges that have come since they were last taken."""
+        gauges = self._gauges
+        self._gauges = None
         return gauges
 
-    def _tell(self, command: Command) -> None:
+    @property
+    def _last_query_tag(self) -> str:
+        return str(self._last_query_number)
+
+    def _send(self, pending: PendingCommand) -> None:
         if self.is_up:
-            self._write(command)
+            self._write(pending)
         else:
-            self._waiting.append(command)  # proven never to have got there
+            self._unsent.append(pending)
 
-    def _write(self, command: Command) -> None:
-        ident = {} if command.one is None else {"id": command.one.received.id_hex}
-        line = orjson.dumps({"op": command.op, **ident, **command.fields}, option=orjson.OPT_APPEND_NEWLINE)
-        self._unproven.append(command)
+    def _write(self, pending: PendingCommand) -> None:
+        line = encode_command(pending.command)
+        self._delivery.command_written(pending)
         if self._stream is not None:
             self._stream.write(line)
 
-    # The link
+    # The connection
 
     async def run(self) -> None:
         """Keep the link, and take it up again when it is lost."""
-        chance = random.Random(f"link {self._around.generation.config.name} {self._around.generation.config.seed}")
-        backoff = Backoff(chance, PAUSE_MS, PAUSE_MOST_MS, TRIES_MOST, TRIES_SPAN_MS)
+        backoff = self._new_backoff()
         while True:
-            with anyio.CancelScope() as self._attempt:
-                try:
-                    if self._next is None:
-                        self._address = self._around.generation.config.pool
-                        self._next = await self._connect(self._address)
-                except ConnectionClosedError:
-                    await anyio.sleep(backoff.after_failure(self._around.clock()) / 1000)
-            if self._next is None:
-                continue
-            if self._address != self._around.generation.config.pool:
-                # a move that came when the attempt was just done found nothing to cancel: bound, this link would stay
-                self._next.end_with(CloseReason.ENDPOINT_CHANGED)
-                self._next = None
-                continue
-            backoff.after_success()
-            self._stream, self._next = self._next, None
+            stream = await self._next_connection(backoff)
+            if stream is not None:
+                await self._serve_connection(stream)
+
+    def _new_backoff(self) -> Backoff:
+        config = self._owner.generation.config
+        return Backoff(
+            random.Random(f"link {config.name} {config.seed}"),
+            MIN_RECONNECT_DELAY_MS,
+            MAX_RECONNECT_DELAY_MS,
+            RECONNECT_BUDGET,
+            RECONNECT_SPAN_MS,
+        )
+
+    async def _next_connection(self, backoff: Backoff) -> Stream | None:
+        """Return the replacement that stands ready, or else a new connection; None where the attempt came to nothing.
+
+        The address may change just when the attempt has succeeded and can be cancelled no more. That connection is
+        closed, since once it is bound the link would stay at the old address.
+        """
+        with anyio.CancelScope() as self._connect_scope:
             try:
-                self._enter(LinkState.BINDING)
-                self._unheard = 0
-                self._stream.write(b'{"op":"bind","seq":%d}\n' % self._seq)
-                await self._read(self._stream)
-            except ConnectionClosedError as ended:
-                self._around.log.warning("worker_pool_link_closed", reason=ended.reason.name, detail=ended.detail)
-                self._stream.end_with(ended.reason)
-                self._stream = None
-                self._enter(LinkState.DOWN)
-                if ended.reason is not CloseReason.ENDPOINT_CHANGED:
-                    await anyio.sleep(PAUSE_MS / 1000)
+                if self._replacement is None:
+                    self._address = self._configured_address
+                    self._replacement = await self._connect(self._address)
+            except ConnectionClosedError:
+                await anyio.sleep(backoff.after_failure(self._owner.clock()) / 1000)
+        stream = self._replacement
+        if stream is None:
+            return None
+        self._replacement = None
+        if self._address != self._configured_address:
+            stream.end_with(CloseReason.ENDPOINT_CHANGED)
+            return None
+        backoff.after_success()
+        return stream
+
+    async def _serve_connection(self, stream: Stream) -> None:
+        """Bind the link on this connection, and read notifications until it ends."""
+        self._stream = stream
+        try:
+            self._enter_on(LinkEvent.CONNECTED)
+            self._queries_without_read = 0
+            stream.write(encode_command(Bind(self._last_seq)))
+            await self._read(stream)
+        except ConnectionClosedError as closed:
+            self._owner.log.warning("worker_pool_link_closed", reason=closed.reason.name, detail=closed.detail)
+            stream.end_with(closed.reason)
+            self._stream = None
+            self._enter_on(LinkEvent.CLOSED)
+            if closed.reason is not CloseReason.ENDPOINT_CHANGED:
+                await anyio.sleep(MIN_RECONNECT_DELAY_MS / 1000)
 
     async def _connect(self, address: Address) -> Stream:
-        return await connect(address, self._around.buffers, self._around.task_group, BACKLOG_MOST)
+        return await connect(address, self._owner.buffers, self._owner.task_group, MAX_BACKLOG_BYTES)
+
+    def _enter_on(self, event: LinkEvent) -> None:
+        """Enter the state that follows from an event; a change is logged."""
+        state = LINK_TRANSITIONS[self._state, event]
+        if state is not self._state:
+            self._owner.log.info("worker_pool_link_state", state=state.name, waiting_commands=len(self._unsent))
+        self._state = state
+
+    # A change of the address
+
+    @property
+    def _configured_address(self) -> Address:
+        return self._owner.generation.config.pool
 
     def change_endpoint(self) -> None:
-        """The address may have changed: a link that stands is replaced once the new one does, any other at once."""
-        if self._address == self._around.generation.config.pool and self._stream is not None:
+        """Take up the configured address: a link that is up is replaced once the new one stands, any other at once."""
+        if self._address == self._configured_address and self._stream is not None:
             return
         if self.is_up:
-            self._around.task_group.start_soon(self._around.supervise, self._move, self._around.generation.config.pool)
+            self._owner.task_group.start_soon(self._owner.supervise, self._move_to, self._configured_address)
         elif self._stream is not None:
             self._stream.end_with(CloseReason.ENDPOINT_CHANGED)
-        elif self._attempt is not None:
-            self._attempt.cancel()
-
-    async def _move(self, address: Address) -> None:
-        """Connect to the new address; then let the old link prove that all that was written on it got there, so that
-        nothing is in doubt, and bind the new one. Commands wait for that moment."""
-        old, fresh = self._stream, None
-        while fresh is None and self.is_up and self._stream is old and address == self._around.generation.config.pool:
-            try:
-                fresh = await self._connect(address)
-            except ConnectionClosedError:
-                await anyio.sleep(PAUSE_MS / 1000)
-        if self.is_up and self._stream is old and address == self._around.generation.config.pool:
-            self.request_gauges()
-            self._enter(LinkState.MOVING)
-            self._proven = anyio.Event()
-            with anyio.move_on_after(MOVE_MS / 1000):
-                await self._proven.wait()
-        if fresh is None:
+        elif self._connect_scope is not None:
+            self._connect_scope.cancel()
+
+    async def _move_to(self, address: Address) -> None:
+        """Replace the link by one to another address, with as few commands in doubt as can be.
+
+        The old link stays until all that was written on it is confirmed, or until that takes too long; commands wait
+        for that. A break of the old link, or another move, overtakes this one.
+        """
+        old = self._stream
+        replacement = await self._connect_replacement(old, address)
+        if replacement is None:
             return
-        if old is None or self._stream is not old or self._link is not LinkState.MOVING:
-            fresh.end_with(CloseReason.IDLE)  # overtaken by a break, or by another move
+        if self._is_move_wanted(old, address):
+            self.request_gauges()
+            self._enter_on(LinkEvent.REPLACEMENT_CONNECTED)
+            self._all_confirmed = anyio.Event()
+            with anyio.move_on_after(MAX_CONFIRMATION_WAIT_MS / 1000):
+                await self._all_confirmed.wait()
+        if old is None or self._stream is not old or self._state is not LinkState.MOVING:
+            replacement.end_with(CloseReason.IDLE)
             return
-        if address == self._around.generation.config.pool:
-            self._next, self._address = fresh, address
-        else:  # taken back meanwhile: commands have waited, and go out on a link to the newest address
-            fresh.end_with(CloseReason.IDLE)
+        if address == self._configured_address:
+            self._replacement = replacement
+            self._address = address
+        else:  # the address changed again meanwhile: the old link ends all the same, since commands wait
+            replacement.end_with(CloseReason.IDLE)
         old.end_with(CloseReason.ENDPOINT_CHANGED)
 
-    def _enter(self, link: LinkState) -> None:
-        """The one place where the link changes its state."""
-        if self._link is not link:
-            self._around.log.info("worker_pool_link_state", state=link.name, waiting_commands=len(self._waiting))
-        self._link = link
+    async def _connect_replacement(self, old: Stream | None, address: Address) -> Stream | None:
+        """Return a connection to the new address; None where the move is not wanted any more."""
+        while self._is_move_wanted(old, address):
+            try:
+                return await self._connect(address)
+            except ConnectionClosedError:
+                await anyio.sleep(MIN_RECONNECT_DELAY_MS / 1000)
+        return None
+
+    def _is_move_wanted(self, old: Stream | None, address: Address) -> bool:
+        return self.is_up and self._stream is old and address == self._configured_address
+
+    # Notifications
 
     async def _read(self, stream: Stream) -> None:
-        head = b""  # of a line over the size of a buffer; its rest is passed over, since asked anew it would be as long
+        lines = LineReader(stream)
         while True:
             await stream.fill()
-            self._unheard = 0
-            while stream.data is not None:
-                stop = stream.data.find(b"\n", stream.start, stream.end)
-                if stop < 0:
-                    if stream.end - stream.start < BUFFER_BYTES:
-                        break
-                    head = head or bytes(stream.data[stream.start : stream.end])
-                    stream.take(stream.end)
-                    continue
-                line, whole = head or bytes(stream.data[stream.start : stop]), not head
-                head = b""
-                stream.take(stop + 1)
-                if not whole:
-                    self._unreadable(line, "over the size of a buffer")
-                elif line.strip():
-                    self._notice(line)
-
-    def _unreadable(self, line: bytes, fault: str) -> None:
-        """A notice that cannot be understood as a whole: as far as it can, it still counts, and what it told of a run
-        is told without its body."""
-        self._around.log.error("malformed_notification", error=fault, line=repr(line[:100]))
-        found = {name: value for name, value in PARTS_OF_NOTICE.findall(line)}
-        try:
-            if self._counts(int(found.get(b"seq", b"0"))) and b"id" in found:
-                self._run_notice(found.get(b"op", b"").decode(), found[b"id"].decode(), {})
-        except ValueError:
-            return
+            self._queries_without_read = 0
+            while (line := lines.next_line()) is not None:
+                self._line_read(line)
 
-    def _counts(self, seq: int) -> bool:
-        """Whether a notice under this number has not been read before."""
-        if seq <= self._seq:
-            return False
-        if seq > self._seq + 1:
-            self._around.log.error("notifications_lost", after_seq=self._seq, before_seq=seq)
-        self._seq = seq
-        return True
-
-    def _run_notice(self, op: str, ident: str, told: dict[str, Any]) -> None:
-        """A run has ended, or stands at a call. Where the notice is spoilt, the run that is over is over all the same,
-        with a result that nobody can have, and the call that cannot be read can't be made."""
-        one = self._around.requests.get(int(ident, 16))
-        if one is None:
+    def _line_read(self, line: Line) -> None:
+        if line.is_truncated:
+            self._malformed_line_read(line.data, "over the size of a buffer")
+            return
+        if not line.data.strip():
             return
-        self._ghosts.pop(one, None)
-        body: bytes | None
-        try:
-            body = b64decode(told["body"] or "", validate=True) if "body" in told else b""
-        except (ValueError, TypeError):
-            body = None
-        if op == "finished":
-            end, took_ms = RUN_OUTCOMES.get(str(told.get("end"))), told.get("ms")
-            if end is None or body is None or not isinstance(took_ms, int | float):
-                self._around.log.error("malformed_run_result", id=ident)
-                one.deliver(RunFinished(MALFORMED_RESULT_OUTCOME, 0.0))
-            else:
-                one.deliver(RunFinished(end, float(took_ms), body))
-        elif op == "blocked":
-            one.deliver(CallRequested(self._seq, body if told else None))
-
-    def _notice(self, line: bytes) -> None:
         try:
-            told = orjson.loads(line)
-            op, ident = told["op"], told.get("id")
-            if "seq" in told and not self._counts(int(told["seq"])):
+            envelope = decode_envelope(line.data)
+            if envelope.seq is not None and not self._is_new(envelope.seq):
                 return
-            if "seq" in told and ident:
-                self._run_notice(op, ident, told)
-            elif op == "polled":
-                self._polled(str(told["tag"]), told["values"])
-            elif op == "bound":
-                self._bound(str(told["end"]), float(told["ms"]))
-            elif op == "unknown":
-                self._unknown(str(told["end"]), self._around.requests.get(int(ident, 16)) if ident else None)
+            self._handle(decode_notification(envelope))
+        except MalformedNotificationError as error:
+            self._malformed_line_read(line.data, str(error))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            self._unreadable(line, repr(error))
-
-    def _bound(self, end: str, ago_ms: float) -> None:
-        """The link stands. What was never written goes out now; what may be lost waits for the answer to a question
-        behind the missed notices, by which all of them have been read."""
-        self._around.log.info("worker_pool_bound", outcome=end, ago_ms=ago_ms, resumed_after_seq=self._seq)
-        self._enter(LinkState.UP)
-        self._begun = True
-        lost = [*self._doubtful, *self._unproven]
-        last = {command.one: command for command in lost if command.one is not None and command.op != "suspend"}
-        self._doubtful = [command for one, command in last.items() if one is not None and one.run_is_out]
-        doubted = (*self._ghosts, *(each.one for each in self._doubtful if each.one))
-        self._ghosts = dict.fromkeys(doubted, (0, self._answers))
-        self._unproven.clear()
-        self.request_gauges()
-        self._fence = str(self._tag)
-        waiting, self._waiting = self._waiting, deque()
-        for command in waiting:
-            if command.one is not None and command.one.run_is_out:
-                self._tell(command)
-        self._around.worker_pool_started(ago_ms)
-
-    def _caught_up(self) -> None:
-        """All that was missed has been read: repeat what may be repeated."""
-        doubtful, self._doubtful, self._fence = self._doubtful, [], ""
-        for command in doubtful:
-            if self._may_repeat(command):
-                self._write(command)
-            elif self._may_start_over(command):
-                self._write(Command("suspend", command.one, {}))
-
-    def _may_repeat(self, command: Command) -> bool:
-        """Of what may have been lost with a link: a start of which nothing was heard, where a second run does no
-        harm, and leave to go on, which names its notice. The rest may have got there, and is not repeated."""
-        one = command.one
-        if one is None or not one.run_is_out or one.state in FINAL_STATES:
+            # An error in handling a notification costs that notification alone; the link goes on.
+            self._malformed_line_read(line.data, repr(error))
+
+    def _malformed_line_read(self, line: bytes, error: str) -> None:
+        """Pass over a line that cannot be understood; asked for again it would be the same.
+
+        Its number counts as far as it can be read, and so does the run that it names: a run that has ended has ended,
+        though with no result.
+        """
+        self._owner.log.error("malformed_notification", error=error, line=repr(line[:LOGGED_LINE_BYTES]))
+        fragment = decode_fragment(line)
+        if fragment is not None and self._is_new(fragment.seq) and fragment.notification is not None:
+            self._handle_run(fragment.notification)
+
+    def _is_new(self, seq: int) -> bool:
+        """Count the notification with this number, and return whether it has not been read before."""
+        if seq <= self._last_seq:
             return False
-        if command.op == "spawn":
-            return not one.notified and self._replayable(one)
-        return command.op == "pass" and one.state is RequestState.DEGRADED and command.fields["seq"] == one.call.seq
-
-    def _may_start_over(self, command: Command) -> bool:
-        """A reply that may have been lost cannot be repeated: the run may stand at its next call. A replayable run
-        that nothing was heard of since is stopped, and the module starts it anew; left alone it would stand there,
-        with its slot, until it is due."""
-        one = command.one
-        return (
-            one is not None
-            and one.run_is_out
-            and not one.notified
-            and one.state is RequestState.RUNNING
-            and command.op == "supply"
-            and self._halts
-            and self._replayable(one)
-        )
+        if seq > self._last_seq + 1:
+            self._owner.log.error("notifications_lost", after_seq=self._last_seq, before_seq=seq)
+        self._last_seq = seq
+        return True
 
-    def _replayable(self, one: Request) -> bool:
-        return one.generation.retry_safety_by_class[one.received.traffic_class] is RetrySafety.IDEMPOTENT
-
-    def _polled(self, tag: str, values: list[Any]) -> None:
-        self._answers += 1
-        if any(command.fields.get("tag") == tag for command in self._unproven):
-            while self._unproven.popleft().fields.get("tag") != tag:
-                pass  # what was written before the question got there before it
-        if tag == self._fence:
-            self._caught_up()
-        if not self._fence and not self._halts and self.is_up:
-            self._ask_after_ghosts()
-        if self._link is LinkState.MOVING and not self._unproven:
-            self._proven.set()
-        names = self._around.generation.config.gauges
-        read = {
-            GAUGES[name]: float(value)
-            for name, value in zip(names, values, strict=False)
-            if name in GAUGES and value is not None
-        }
-        self._gauges = Gauges(**read)
-
-    def _unknown(self, command: str, one: Request | None) -> None:
-        self._around.log.warning("command_not_executed", command=command, is_known=one is not None)
-        if one is not None and command == "spawn":
-            one.deliver(RunFinished(UNKNOWN_START_OUTCOME, 0.0, ran=False))
+    def _handle(self, notification: Notification | None) -> None:
+        match notification:
+            case RunEnded() | CallReached() | RunMentioned():
+                self._handle_run(notification)
+            case GaugesReported(tag, values):
+                self._handle_gauges(tag, values)
+            case Bound(outcome, ago_ms):
+                self._handle_bound(outcome, ago_ms)
+            case CommandNotExecuted():
+                self._handle_not_executed(notification)
+
+    def _handle_run(self, notification: RunNotification) -> None:
+        request = self._owner.requests.get(notification.request_number)
+        if request is None:
+            return
+        self._delivery.run_observed(request)
+        match notification:
+            case RunEnded(request_id=request_id, result=None):
+                self._owner.log.error("malformed_run_result", id=request_id)
+                request.deliver(RunFinished(MALFORMED_RESULT_OUTCOME, 0.0))
+            case RunEnded(result=RunResult(outcome, took_ms, body)):
+                request.deliver(RunFinished(outcome, took_ms, body))
+            case CallReached(seq=seq, body=body):
+                request.deliver(CallRequested(seq, body))
+
+    def _handle_bound(self, outcome: str, ago_ms: float) -> None:
+        """The link stands: what was never written goes out now, and what may be lost once all was caught up with.
+
+        Missed notifications come before the answer to a query that is written now.
+        """
+        self._owner.log.info("worker_pool_bound", outcome=outcome, ago_ms=ago_ms, resumed_after_seq=self._last_seq)
+        self._enter_on(LinkEvent.BOUND)
+        self._was_ever_bound = True
+        self._delivery.link_bound()
+        self.request_gauges()
+        self._delivery.await_catch_up(self._last_query_tag)
+        unsent = self._unsent
+        self._unsent = deque()
+        for pending in unsent:
+            if pending.request is not None and pending.request.run_is_out:
+                self._send(pending)
+        self._owner.worker_pool_started(ago_ms)
+
+    def _handle_gauges(self, tag: str, values: object) -> None:
+        """Take the answer to a query, first as the confirmation of what was written before it, then for its values.
+
+        Raises:
+            MalformedNotificationError: The values cannot be read.
+        """
+        self._delivery.query_answered(tag)
+        for pending in self._delivery.commands_to_resend(tag):
+            self._write(pending)
+        if not self._delivery.is_catching_up and not self._can_stop_runs and self.is_up:
+            for request in self._delivery.take_runs_to_start_again():
+                self.start(request)
+        if self._state is LinkState.MOVING and self._delivery.is_all_confirmed:
+            self._all_confirmed.set()
+        self._gauges = decode_gauges(self._owner.generation.config.gauges, values)
+
+    def _handle_not_executed(self, notification: CommandNotExecuted) -> None:
+        request = None
+        if notification.request_number is not None:
+            request = self._owner.requests.get(notification.request_number)
+        self._owner.log.warning("command_not_executed", command=notification.command_word, is_known=request is not None)
+        if request is not None and notification.command_word == START_WORD:
+            request.deliver(RunFinished(UNKNOWN_START_OUTCOME, 0.0, ran=False))
--- /dev/null
+++ b/nickelslip/server/worker_pool_protocol.py
@@ -0,0 +1,320 @@
+"""The protocol of the worker pool: one JSON object a line, commands out and notifications in.
+
+Encodes typed commands and decodes typed notifications. The words of the wire are mapped here and nowhere else.
+"""
+
+from __future__ import annotations
+
+import re
+from base64 import b64decode, b64encode
+from collections.abc import Iterator, Sequence
+from contextlib import contextmanager
+from typing import Any, NamedTuple
+
+import orjson
+
+from nickelslip.admission.interface import Gauges, Outcome
+from nickelslip.server.close_reasons import RUN_OUTCOMES
+from nickelslip.server.streams import BUFFER_BYTES, Stream
+
+START_WORD = "spawn"
+STOP_WORD = "suspend"
+RESUME_WITH_REPLY_WORD = "supply"
+RESUME_WITHOUT_CALL_WORD = "pass"
+QUERY_GAUGES_WORD = "poll"
+BIND_WORD = "bind"
+
+RUN_ENDED_WORD = "finished"
+CALL_REACHED_WORD = "blocked"
+GAUGES_REPORTED_WORD = "polled"
+BOUND_WORD = "bound"
+COMMAND_NOT_EXECUTED_WORD = "unknown"
+
+GAUGE_FIELDS = {
+    "cpu_busy": "cpu_utilization",
+    "runnable": "run_queue_length",
+    "mem_used": "memory_utilization",
+    "sockets": "connection_count",
+}
+
+# The fields by which a notification that is no valid JSON can still be attributed to its run.
+FRAGMENT_FIELDS = re.compile(rb'"(op|seq|id)"\s*:\s*"?(\w+)')
+
+
+class MalformedNotificationError(ValueError):
+    """A line, or a field of it, that is no notification of this protocol."""
+
+
+# Commands
+
+
+class StartRun(NamedTuple):
+    """Start a run."""
+
+    request_id: str
+    traffic_class: str
+    body: bytes
+
+
+class StopRun(NamedTuple):
+    """Stop a run that is on a core."""
+
+    request_id: str
+
+
+class ResumeWithReply(NamedTuple):
+    """Resume a run with the reply to the call at which it stands."""
+
+    request_id: str
+    body: bytes
+
+
+class ResumeWithoutCall(NamedTuple):
+    """Resume a run without the call that the notification `call_seq` told of."""
+
+    request_id: str
+    call_seq: int
+
+
+class QueryGauges(NamedTuple):
+    """Ask for the gauges. The answer carries the tag, and shows that all commands written before it have arrived."""
+
+    tag: str
+
+
+class Bind(NamedTuple):
+    """Ask for all notifications after `last_seq`."""
+
+    last_seq: int
+
+
+Command = StartRun | StopRun | ResumeWithReply | ResumeWithoutCall | QueryGauges | Bind
+
+
+def encode_command(command: Command) -> bytes:
+    """Return the command as a line of the wire."""
+    return orjson.dumps(_command_fields(command), option=orjson.OPT_APPEND_NEWLINE)
+
+
+def _command_fields(command: Command) -> dict[str, Any]:
+    match command:
+        case StartRun(request_id, traffic_class, body):
+            return {"op": START_WORD, "id": request_id, "class": traffic_class, "body": b64encode(body).decode()}
+        case StopRun(request_id):
+            return {"op": STOP_WORD, "id": request_id}
+        case ResumeWithReply(request_id, body):
+            return {"op": RESUME_WITH_REPLY_WORD, "id": request_id, "body": b64encode(body).decode()}
+        case ResumeWithoutCall(request_id, call_seq):
+            return {"op": RESUME_WITHOUT_CALL_WORD, "id": request_id, "seq": call_seq}
+        case QueryGauges(tag):
+            return {"op": QUERY_GAUGES_WORD, "tag": tag}
+        case Bind(last_seq):
+            return {"op": BIND_WORD, "seq": last_seq}
+
+
+# Notifications
+
+
+class RunResult(NamedTuple):
+    """How a run ended."""
+
+    outcome: Outcome
+    took_ms: float
+    body: bytes
+
+
+class RunEnded(NamedTuple):
+    """A run has ended; `result` is None where the notification does not say readably how."""
+
+    request_id: str
+    request_number: int
+    result: RunResult | None
+
+
+class CallReached(NamedTuple):
+    """A run stands at a call; `body` is None where the call cannot be read."""
+
+    request_id: str
+    request_number: int
+    seq: int
+    body: bytes | None
+
+
+class RunMentioned(NamedTuple):
+    """Something unknown was told of a run, which shows no more than that the worker pool has it."""
+
+    request_id: str
+    request_number: int
+
+
+class GaugesReported(NamedTuple):
+    """The answer to `QueryGauges`; its values are in the order in which the configuration names the gauges."""
+
+    tag: str
+    values: Any
+
+
+class Bound(NamedTuple):
+    """The link stands; the worker pool came up so many milliseconds ago."""
+
+    outcome: str
+    ago_ms: float
+
+
+class CommandNotExecuted(NamedTuple):
+    """The worker pool knows nothing of the run that a command named."""
+
+    command_word: str
+    request_number: int | None
+
+
+RunNotification = RunEnded | CallReached | RunMentioned
+Notification = RunNotification | GaugesReported | Bound | CommandNotExecuted
+
+
+class Envelope(NamedTuple):
+    """A line that is a JSON object with an `op`; `seq` is None where it has no number."""
+
+    op: Any
+    seq: int | None
+    fields: dict[str, Any]
+
+
+class Fragment(NamedTuple):
+    """What can be read of a line that is no valid notification; `notification` is None where it names no run."""
+
+    seq: int
+    notification: RunNotification | None
+
+
+@contextmanager
+def _reading_fields() -> Iterator[None]:
+    try:
+        yield
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise MalformedNotificationError(repr(error)) from error
+
+
+def decode_envelope(line: bytes) -> Envelope:
+    """Return the line's operation, number and fields.
+
+    Raises:
+        MalformedNotificationError: The line is no JSON object, or has no operation or no valid number.
+    """
+    with _reading_fields():
+        fields = orjson.loads(line)
+        op = fields["op"]
+        seq = int(fields["seq"]) if "seq" in fields else None
+        return Envelope(op, seq, fields)
+
+
+def decode_notification(envelope: Envelope) -> Notification | None:
+    """Return the notification; None for an operation that is unknown and names no run.
+
+    Raises:
+        MalformedNotificationError: A field is missing or of another type.
+    """
+    with _reading_fields():
+        fields = envelope.fields
+        request_id = fields.get("id")
+        if envelope.seq is not None and request_id:
+            return _decode_run_notification(envelope.op, request_id, envelope.seq, fields)
+        if envelope.op == GAUGES_REPORTED_WORD:
+            return GaugesReported(str(fields["tag"]), fields["values"])
+        if envelope.op == BOUND_WORD:
+            return Bound(str(fields["end"]), float(fields["ms"]))
+        if envelope.op == COMMAND_NOT_EXECUTED_WORD:
+            return CommandNotExecuted(str(fields["end"]), int(request_id, 16) if request_id else None)
+        return None
+
+
+def decode_fragment(line: bytes) -> Fragment | None:
+    """Return what can be read of a line that is no valid notification; None where its number is not readable."""
+    fields = {name: value.decode() for name, value in FRAGMENT_FIELDS.findall(line)}
+    try:
+        seq = int(fields.get(b"seq", "0"))
+    except ValueError:
+        return None
+    try:
+        return Fragment(seq, _decode_run_notification(fields.get(b"op", ""), fields[b"id"], seq, {}))
+    except (KeyError, ValueError):
+        return Fragment(seq, None)
+
+
+def decode_gauges(names: Sequence[str], values: Any) -> Gauges:
+    """Return the reported gauges of the given names; those that are unknown or have no value are left out.
+
+    Raises:
+        MalformedNotificationError: The values are no list of numbers and nulls.
+    """
+    with _reading_fields():
+        return Gauges(
+            **{
+                GAUGE_FIELDS[name]: float(value)
+                for name, value in zip(names, values, strict=False)
+                if name in GAUGE_FIELDS and value is not None
+            }
+        )
+
+
+def _decode_run_notification(op: Any, request_id: str, seq: int, fields: dict[str, Any]) -> RunNotification:
+    """Return what is told of a run; with no fields its result, or the body of its call, is not readable."""
+    number = int(request_id, 16)
+    if op == RUN_ENDED_WORD:
+        return RunEnded(request_id, number, _decode_result(fields))
+    if op == CALL_REACHED_WORD:
+        return CallReached(request_id, number, seq, _decode_body(fields) if fields else None)
+    return RunMentioned(request_id, number)
+
+
+def _decode_result(fields: dict[str, Any]) -> RunResult | None:
+    outcome = RUN_OUTCOMES.get(str(fields.get("end")))
+    took_ms = fields.get("ms")
+    body = _decode_body(fields)
+    if outcome is None or body is None or not isinstance(took_ms, int | float):
+        return None
+    return RunResult(outcome, float(took_ms), body)
+
+
+def _decode_body(fields: dict[str, Any]) -> bytes | None:
+    """Return the body, empty where there is none; None where it is not valid base64."""
+    if "body" not in fields:
+        return b""
+    try:
+        return b64decode(fields["body"] or "", validate=True)
+    except (ValueError, TypeError):
+        return None
+
+
+# Lines
+
+
+class Line(NamedTuple):
+    """A line without its end, or the head of one that is longer than a buffer."""
+
+    data: bytes
+    is_truncated: bool
+
+
+class LineReader:
+    """Splits what a stream has read into lines; what follows the head of too long a line is dropped."""
+
+    def __init__(self, stream: Stream) -> None:
+        self._stream = stream
+        self._head = b""  # of a line longer than a buffer
+
+    def next_line(self) -> Line | None:
+        """Return the next complete line; None where more has to be read first."""
+        stream = self._stream
+        while stream.data is not None:
+            newline = stream.data.find(b"\n", stream.start, stream.end)
+            if newline >= 0:
+                line = Line(self._head or bytes(stream.data[stream.start : newline]), bool(self._head))
+                self._head = b""
+                stream.take(newline + 1)
+                return line
+            if stream.end - stream.start < BUFFER_BYTES:
+                return None
+            self._head = self._head or bytes(stream.data[stream.start : stream.end])
+            stream.take(stream.end)
+        return None
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -69,7 +69,7 @@
         old = place.pool
         old.measures = False  # what was written on it is not proven, so that the move waits
         await place.move()
-        await until(lambda: place.node.worker_pool._link is worker_pool_link.LinkState.MOVING)
+        await until(lambda: place.node.worker_pool._state is worker_pool_link.LinkState.MOVING)
         await caller.ask(B, "pay")  # told to nobody yet
         await old.cut()
         await until(lambda: place.pool.told("spawn", B))
@@ -94,7 +94,7 @@
             await place.move()
         newest = place.pool
         if not back:  # until it is being replaced the first link is up, and rightly takes what comes
-            await until(lambda: place.node.worker_pool._link is not LinkState.UP or newest.binds())
+            await until(lambda: place.node.worker_pool._state is not LinkState.UP or newest.binds())
         await caller.ask(A)
         await until(lambda: newest.told("spawn", A))
         await newest.finish(A)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -516,7 +516,7 @@
         old, told = place.pool, dict(place.config)
         old.measures = False  # so that the move waits for its proof
         await place.move()
-        await until(lambda: place.node.worker_pool._link is worker_pool_link.LinkState.MOVING)
+        await until(lambda: place.node.worker_pool._state is worker_pool_link.LinkState.MOVING)
         place.pool, place.config = old, told
         place.node.reload()
         await caller.ask(A)
@@ -652,7 +652,7 @@
 
 
 async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
-    monkeypatch.setattr(worker_pool_link, "UNHEARD_MOST", 3)
+    monkeypatch.setattr(worker_pool_link, "MAX_QUERIES_WITHOUT_READ", 3)
     async with Place() as place:
         caller = await (await place.up()).caller()
         place.pool.measures = False
