--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -11,7 +11,7 @@
 
 from nickelslip.admission.interface import Outcome
 from nickelslip.server import requests, streams
-from nickelslip.server.records_client import PooledConnection
+from nickelslip.server.records_connection import PooledConnection
 from nickelslip.server.requests import CallReturned, RunFinished
 from nickelslip.server.streams import BUFFER_BYTES
 from tests.helpers import A, B, Place, until
@@ -124,7 +124,7 @@
         await place.calling(caller, A, "pay")
         await place.calling(caller, B, "read")
         with monkeypatch.context() as broken:
-            broken.setattr(PooledConnection, "_reply", lambda *values: 1 / 0)
+            broken.setattr(PooledConnection, "_read_replies", lambda *values: 1 / 0)
             await place.records.reply(A, "DONE", b"reply")
             assert (await caller.answer())[1] == "error"  # it may have run
         await place.records.reply(B, "DONE", b"reply")
@@ -150,10 +150,10 @@
             for ident in idents:
                 await place.running(caller, ident, "pay", timeout=400)
                 await place.pool.block(ident)
-            await until(lambda: len(place.node.dependency_client._standing) == 20)
+            await until(lambda: len(place.node.dependency_client._open_connections) == 20)
             for _ in idents:
                 assert (await caller.answer())[1] == "error"
-            await until(lambda: not place.node.dependency_client._standing, 0.5)
+            await until(lambda: not place.node.dependency_client._open_connections, 0.5)
         for each in knocked:
             each.close()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -730,7 +730,9 @@
         await place.records.reply(A, "DONE", b"")
         await until(lambda: place.pool.told("supply", A))
         await place.running(caller, B, "pay")
-        place.node.dependency_client._idle[0]._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        place.node.dependency_client._idle_connections[0]._stream.end_with(
+            CloseReason.RESET
+        )  # of which its reader has not heard
         await place.pool.block(B)
         await until(lambda: ("OP", B, CALL) in place.records.seen)
         assert place.records.links == 2 and not place.node.requests[int(B, 16)].answered
