--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -1,11 +1,11 @@
-"""The start of one server, from the first line of its process until it is warm.
+"""The slow start of one server, from the first line of its process until it is warm.
 
-Owns one state machine and what follows from its state: how soon a report is due, how many calls may be out to what lies
-below and how long to wait before the next. It sees only what reaches this server. It must never do I/O, read a clock
-or decide about a transaction: bounds are told to the module, which keeps deciding.
+A state machine, and what follows from its phase: when a report to the directory is due, how many calls may be in
+flight to the dependency and how long to wait before the next. It sees only what reaches this server: hundreds of
+servers that start at the same time have no word between them. Each begins with few calls and raises the bound as
+calls are answered in time, so that together they rise no faster than the dependency answers.
 
-Hundreds of servers that run this at the same time share nothing but the services below. Each asks for little first and
-for more only as answers earn it, so that together they rise no faster than what is below answers.
+Arithmetic and seeded chance only: nothing here reads a clock, does I/O or decides about a request.
 """
 
 from __future__ import annotations
@@ -13,181 +13,279 @@
 import random
 from enum import Enum
 from math import inf
+from typing import NamedTuple
 
 from nickelslip.startup.backoff import Backoff
 from nickelslip.startup.phase_jitter import next_in_phase, phase_of
+from nickelslip.startup.round_statistics import RoundStatistics
 
-LAPSE_MS = 3000.0  # after its last report a server is taken off the list, by the directory's page
-REPORTS = 6  # to that time
-OVER_MS = 1.0  # further apart: with five in a row lost the sixth comes so much after the lapse
-TOLD_AGAIN_MS = (60.0, 180.0)  # after a change of health it is told again, in case a report was lost
-FIRST_CALLS = 1.0  # that may be out at once in the beginning
-STEP = 1.5  # by which that grows when a round of them was answered in time
-SLOW = 2.0  # a round whose mean is so many times the usual one shows that what lies below is crowded
-ROUND_LEAST = 4  # answers at least to a round
-LEARNS = 0.3  # of a quick round's mean goes into the usual one
-FORGETS = 1.05  # by which that grows with a round at most: a crowd that comes slowly must not become usual at once, yet
-# what is below may have become slower for good
-REST_LEAST_MS, REST_MOST_MS = 20.0, 1000.0  # between attempts at records that refuse or fail
-REST_BUDGET, REST_SPAN_MS = 12, 5000.0  # and no more attempts than that in such a time
-FAILS = 3  # calls in a row that brought no answer, after which what is below counts as failing
-SHORT_MS = 1000.0  # after a failure that was over sooner a start goes on where it was: nobody below has to warm again
+DIRECTORY_ENTRY_LIFETIME_MS = 3000.0  # after its last report the directory takes a server off the list
+REPORTS_PER_LIFETIME = 6
+REPORT_PERIOD_SLACK_MS = 1.0  # with five reports in a row lost, the sixth comes so much after the lapse
+HEALTH_REPORT_REPEATS_MS = (60.0, 180.0)  # after a change of health, in case a report was lost
+
+INITIAL_CONCURRENT_CALLS = 1.0
+RAMP_FACTOR = 1.5  # by which the bound rises after a quick round, and falls after a slow one
+
+MIN_BACKOFF_DELAY_MS = 20.0
+MAX_BACKOFF_DELAY_MS = 1000.0
+BACKOFF_BUDGET = 12  # attempts within each span
+BACKOFF_SPAN_MS = 5000.0
+FAILURES_UNTIL_BACKOFF = 3  # calls in a row without an answer
+MAX_SHORT_OUTAGE_MS = 1000.0  # after one over sooner, nothing has to warm up again, and the start goes on where it was
+
+MAX_KEPT_PHASES = 64
 
 
 class SlowStartPhase(Enum):
     """Where a start stands."""
 
     PROCESS_STARTED = "the process is up; its worker pool is not reached yet"
-    WORKER_POOL_CONNECTED = "the worker pool is there"
-    LISTED = "the directory has been told"
-    FIRST_CALLS = "the first calls are out, as few as can be"
-    RAMPING_UP = "answers come in time, and more calls may be out by steps"
-    WARM = "as many calls may be out as this server's part is; the module alone bounds them"
-    BACKING_OFF = "what lies below refuses or fails: one attempt at a time, with backoff"
+    WORKER_POOL_CONNECTED = "the worker pool is connected"
+    LISTED = "a report has gone out to the directory"
+    FIRST_CALLS = "the first calls are in flight, one at a time"
+    RAMPING_UP = "answers come in time, and the limit on calls in flight rises by steps"
+    WARM = "as many calls may be in flight as this server's share; admission control alone limits them"
+    BACKING_OFF = "the dependency refuses or fails: one attempt at a time, with backoff"
+
+
+class SlowStartEvent(Enum):
+    """What changes the phase of a start."""
+
+    WORKER_POOL_CONNECTED = "the worker pool was reached"
+    COLD_REPORT_SENT = "a report went out, and the machine is cold"
+    WARM_REPORT_SENT = "a report went out, and the machine is not cold"
+    COLD_CALL_STARTED = "a call goes out, and the machine is cold"
+    WARM_CALL_STARTED = "a call goes out, and the machine is not cold"
+    WARM_UP_TIME_PASSED = "the time in which a machine warms up has passed without an overload or a failure"
+    ROUND_JUDGED = "a round of calls was answered; the bound is below this server's share"
+    SHARE_REACHED = "a round of calls was answered; the bound is this server's share"
+    DEPENDENCY_FAILED = "several calls in a row brought no answer"
+    SHORT_OUTAGE_ENDED = "a call was answered soon after the dependency failed"
+    LONG_OUTAGE_ENDED = "a call was answered long after the dependency failed"
+
+
+INTERRUPTED_PHASE = None  # the phase in which the dependency failed
+
+# An event that is not listed for a phase does not change it.
+SLOW_START_TRANSITIONS: dict[tuple[SlowStartPhase, SlowStartEvent], SlowStartPhase | None] = {
+    (SlowStartPhase.PROCESS_STARTED, SlowStartEvent.WORKER_POOL_CONNECTED): SlowStartPhase.WORKER_POOL_CONNECTED,
+    (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartEvent.COLD_REPORT_SENT): SlowStartPhase.LISTED,
+    (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartEvent.WARM_REPORT_SENT): SlowStartPhase.WARM,
+    (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartEvent.COLD_CALL_STARTED): SlowStartPhase.FIRST_CALLS,
+    (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartEvent.WARM_CALL_STARTED): SlowStartPhase.WARM,
+    (SlowStartPhase.LISTED, SlowStartEvent.COLD_CALL_STARTED): SlowStartPhase.FIRST_CALLS,
+    (SlowStartPhase.LISTED, SlowStartEvent.WARM_CALL_STARTED): SlowStartPhase.WARM,
+    (SlowStartPhase.LISTED, SlowStartEvent.WARM_UP_TIME_PASSED): SlowStartPhase.WARM,
+    (SlowStartPhase.FIRST_CALLS, SlowStartEvent.WARM_UP_TIME_PASSED): SlowStartPhase.WARM,
+    (SlowStartPhase.RAMPING_UP, SlowStartEvent.WARM_UP_TIME_PASSED): SlowStartPhase.WARM,
+    (SlowStartPhase.FIRST_CALLS, SlowStartEvent.ROUND_JUDGED): SlowStartPhase.RAMPING_UP,
+    (SlowStartPhase.RAMPING_UP, SlowStartEvent.ROUND_JUDGED): SlowStartPhase.RAMPING_UP,
+    (SlowStartPhase.FIRST_CALLS, SlowStartEvent.SHARE_REACHED): SlowStartPhase.WARM,
+    (SlowStartPhase.RAMPING_UP, SlowStartEvent.SHARE_REACHED): SlowStartPhase.WARM,
+    (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartEvent.DEPENDENCY_FAILED): SlowStartPhase.BACKING_OFF,
+    (SlowStartPhase.LISTED, SlowStartEvent.DEPENDENCY_FAILED): SlowStartPhase.BACKING_OFF,
+    (SlowStartPhase.FIRST_CALLS, SlowStartEvent.DEPENDENCY_FAILED): SlowStartPhase.BACKING_OFF,
+    (SlowStartPhase.RAMPING_UP, SlowStartEvent.DEPENDENCY_FAILED): SlowStartPhase.BACKING_OFF,
+    (SlowStartPhase.WARM, SlowStartEvent.DEPENDENCY_FAILED): SlowStartPhase.BACKING_OFF,
+    (SlowStartPhase.BACKING_OFF, SlowStartEvent.SHORT_OUTAGE_ENDED): INTERRUPTED_PHASE,
+    (SlowStartPhase.BACKING_OFF, SlowStartEvent.LONG_OUTAGE_ENDED): SlowStartPhase.FIRST_CALLS,
+}
+
+
+class Interruption(NamedTuple):
+    """Where a start stood when the dependency failed."""
+
+    phase: SlowStartPhase
+    call_limit: float
+    since_ms: float
 
 
 class SlowStart:
-    """One start. Times are milliseconds on a clock that only goes forward; `part_calls` is this server's part of what
-    the records survive, as a mean number of calls that are out, or 0 where it makes none. A machine that is not cold
-    starts with all of it."""
-
-    def __init__(self, name: str, seed: int, now: float, part_calls: float, cold: bool, cold_ms: float = 0.0) -> None:
-        self._phase, self._random = phase_of(name, seed), random.Random(f"start {name} {seed}")
-        self._backoff = Backoff(self._random, REST_LEAST_MS, REST_MOST_MS, REST_BUDGET, REST_SPAN_MS)
-        self.phase, self.phase_since_ms, self._cold, self._cold_ms = (
-            SlowStartPhase.PROCESS_STARTED,
-            now,
-            cold and part_calls > 0,
-            cold_ms,
+    """One start. Moments are milliseconds on a clock that only goes forward.
+
+    Attributes:
+        phase: Where the start stands.
+        phase_since_ms: Since when.
+        phases: The latest phases, each with the moment at which it was entered.
+
+    Args:
+        server_name: Decides, with the seed, at which phase of their period this server's reports go out.
+        seed: Of everything that is drawn.
+        now_ms: When the process was started.
+        dependency_share: Mean number of calls in flight that are this server's share of what the dependency survives;
+            0 where it makes no calls.
+        is_cold: Whether the machine has to warm up; one that has not begins with all of its share.
+        warm_up_ms: How long that takes.
+    """
+
+    def __init__(
+        self,
+        server_name: str,
+        seed: int,
+        now_ms: float,
+        dependency_share: float,
+        is_cold: bool,
+        warm_up_ms: float = 0.0,
+    ) -> None:
+        self._report_phase = phase_of(server_name, seed)
+        self._backoff = Backoff(
+            random.Random(f"start {server_name} {seed}"),
+            MIN_BACKOFF_DELAY_MS,
+            MAX_BACKOFF_DELAY_MS,
+            BACKOFF_BUDGET,
+            BACKOFF_SPAN_MS,
         )
-        self._part = max(FIRST_CALLS, part_calls)
-        self._calls, self._rest_until = (FIRST_CALLS if self._cold else self._part), now
-        self._pressed = now  # when what is below was last seen slow or failing
-        self._usual = inf  # a round's mean, as it is usually
-        self._mean, self._answers, self._lost = 0.0, 0, 0  # of the round: its answers' mean, all, those without a time
-        self._fails = 0  # calls in a row that brought no answer
-        self._failed_from = SlowStartPhase.PROCESS_STARTED, FIRST_CALLS, now  # where falling back began
-        self._again: list[float] = []  # when a change is told again
-        self._due = inf
-        self.phases: list[tuple[float, SlowStartPhase]] = [
-            (now, SlowStartPhase.PROCESS_STARTED)
-        ]  # for the log and for tests; as long as a start
-
-    def _enter(self, now: float, step: SlowStartPhase) -> None:
-        """The one place where the start changes its step."""
-        if step is not self.phase:
-            self.phase, self.phase_since_ms = step, now
-            self.phases = [*self.phases[-63:], (now, step)]
-
-    # What happens
-
-    def worker_pool_connected(self, now: float, ago_ms: float) -> None:
-        """The worker pool is reached; it came up so long ago, and the server was listed then."""
+        self.phase = SlowStartPhase.PROCESS_STARTED
+        self.phase_since_ms = now_ms
+        self.phases: list[tuple[float, SlowStartPhase]] = [(now_ms, SlowStartPhase.PROCESS_STARTED)]
+        self._is_cold = is_cold and dependency_share > 0
+        self._warm_up_ms = warm_up_ms
+        self._dependency_share = max(INITIAL_CONCURRENT_CALLS, dependency_share)
+        self._call_limit = INITIAL_CONCURRENT_CALLS if self._is_cold else self._dependency_share
+        self._calls_paused_until_ms = now_ms
+        self._round = RoundStatistics()
+        self._last_pressure_at_ms = now_ms  # when the dependency was last seen slow or failing
+        self._consecutive_failures = 0
+        self._interruption = Interruption(SlowStartPhase.PROCESS_STARTED, INITIAL_CONCURRENT_CALLS, now_ms)
+        self._periodic_report_at_ms = inf
+        self._health_reports_at_ms: list[float] = []
+
+    def _enter_on(self, event: SlowStartEvent, now_ms: float) -> None:
+        """Enter the phase that follows from an event, where one does."""
+        if (self.phase, event) not in SLOW_START_TRANSITIONS:
+            return
+        phase = SLOW_START_TRANSITIONS[self.phase, event] or self._interruption.phase
+        if phase is self.phase:
+            return
+        self.phase = phase
+        self.phase_since_ms = now_ms
+        self.phases = [*self.phases[1 - MAX_KEPT_PHASES :], (now_ms, phase)]
+
+    # What happens to the server
+
+    def worker_pool_connected(self, now_ms: float, ago_ms: float) -> None:
+        """Take note that the worker pool is reached; it came up `ago_ms` ago, and the server was listed then.
+
+        The first report keeps to its phase, unless the server's entry would lapse before one more report, which may be
+        lost.
+        """
         if self.phase is not SlowStartPhase.PROCESS_STARTED:
             return
-        self._enter(now, SlowStartPhase.WORKER_POOL_CONNECTED)
-        self._due = next_in_phase(now, self.report_period_ms, self._phase)
-        if self._due - now + ago_ms > LAPSE_MS - self.report_period_ms:
-            self._due = now  # its entry would lapse before one more report that may be lost
-
-    def report_sent(self, now: float) -> None:
-        """A report has gone out."""
-        self._again = [at for at in self._again if at > now]
-        if now >= self._due:
-            self._due = next_in_phase(now, self.report_period_ms, self._phase)
-        if self.phase is SlowStartPhase.WORKER_POOL_CONNECTED:
-            self._enter(now, SlowStartPhase.LISTED if self._cold else SlowStartPhase.WARM)
-
-    def health_changed(self, now: float) -> None:
-        """A change of health is to be told: at once, and again a little later."""
-        self._again = [now, *(now + span for span in TOLD_AGAIN_MS)]
-
-    def call_started(self, now: float) -> None:
-        """A call goes out to the records."""
-        if self.phase in (SlowStartPhase.WORKER_POOL_CONNECTED, SlowStartPhase.LISTED):
-            self._enter(now, SlowStartPhase.FIRST_CALLS if self._cold else SlowStartPhase.WARM)
-
-    def time_passed(self, now: float) -> None:
-        """Time has passed. One that has little to call for learns nothing from answers: once a cold machine would be
-        warm, and nothing below was seen slow or failing for as long, it is taken for warm."""
-        if (
-            self.phase in (SlowStartPhase.LISTED, SlowStartPhase.FIRST_CALLS, SlowStartPhase.RAMPING_UP)
-            and now - self._pressed >= self._cold_ms
-        ):
-            self._enter(now, SlowStartPhase.WARM)
-
-    def change_dependency_share(self, part_calls: float) -> None:
-        """This server's part of the calls has been changed."""
-        self._part = max(FIRST_CALLS, part_calls)
-        self._calls = min(self._calls, self._part)
-
-    def call_answered(self, now: float, took_ms: float) -> None:
-        """A call was answered, after so long; inf for one that was turned away or given up: slow in any case."""
+        self._enter_on(SlowStartEvent.WORKER_POOL_CONNECTED, now_ms)
+        in_phase_at_ms = next_in_phase(now_ms, self.report_period_ms, self._report_phase)
+        lapses = in_phase_at_ms - now_ms + ago_ms > DIRECTORY_ENTRY_LIFETIME_MS - self.report_period_ms
+        self._periodic_report_at_ms = now_ms if lapses else in_phase_at_ms
+
+    def report_sent(self, now_ms: float) -> None:
+        """Take note that a report went out to the directory."""
+        self._health_reports_at_ms = [at_ms for at_ms in self._health_reports_at_ms if at_ms > now_ms]
+        if now_ms >= self._periodic_report_at_ms:
+            self._periodic_report_at_ms = next_in_phase(now_ms, self.report_period_ms, self._report_phase)
+        self._enter_on(
+            SlowStartEvent.COLD_REPORT_SENT if self._is_cold else SlowStartEvent.WARM_REPORT_SENT,
+            now_ms,
+        )
+
+    def health_changed(self, now_ms: float) -> None:
+        """Report a change of health at once, and again a little later."""
+        self._health_reports_at_ms = [now_ms, *(now_ms + delay_ms for delay_ms in HEALTH_REPORT_REPEATS_MS)]
+
+    def call_started(self, now_ms: float) -> None:
+        """Take note that a call goes out to the dependency."""
+        self._enter_on(
+            SlowStartEvent.COLD_CALL_STARTED if self._is_cold else SlowStartEvent.WARM_CALL_STARTED,
+            now_ms,
+        )
+
+    def time_passed(self, now_ms: float) -> None:
+        """Take a machine for warm once its warm-up time has passed.
+
+        A server that makes few calls learns nothing from answers. The time counts from the last overload or failure
+        that was seen.
+        """
+        if now_ms - self._last_pressure_at_ms >= self._warm_up_ms:
+            self._enter_on(SlowStartEvent.WARM_UP_TIME_PASSED, now_ms)
+
+    def change_dependency_share(self, dependency_share: float) -> None:
+        """Take up another share of the calls."""
+        self._dependency_share = max(INITIAL_CONCURRENT_CALLS, dependency_share)
+        self._call_limit = min(self._call_limit, self._dependency_share)
+
+    def call_answered(self, now_ms: float, took_ms: float) -> None:
+        """Take note of an answered call; inf for one that was rejected or given up, which is slow in any case."""
         self._backoff.after_success()
-        self._fails = 0
+        self._consecutive_failures = 0
         if self.phase is SlowStartPhase.BACKING_OFF:
-            step, calls, since = self._failed_from
-            short = now - since < SHORT_MS and step is not SlowStartPhase.WORKER_POOL_CONNECTED
-            self._calls, self._rest_until = calls if short else FIRST_CALLS, now
-            self._enter(now, step if short else SlowStartPhase.FIRST_CALLS)
-            self._answers = self._lost = 0
+            self._end_backing_off(now_ms)
         if self.phase in (SlowStartPhase.FIRST_CALLS, SlowStartPhase.RAMPING_UP):
-            self._count(now, took_ms)
+            self._count_answer(now_ms, took_ms)
 
-    def call_failed(self, now: float) -> None:
-        """A call brought no answer: it never got there, or it was lost on its way."""
+    def call_failed(self, now_ms: float) -> None:
+        """Take note of a call without an answer: it never got there, or was lost on its way."""
         if self.phase is SlowStartPhase.PROCESS_STARTED:
             return
-        self._pressed = now
-        self._fails += 1
-        if self._fails < FAILS:
+        self._last_pressure_at_ms = now_ms
+        self._consecutive_failures += 1
+        if self._consecutive_failures < FAILURES_UNTIL_BACKOFF:
             return
         if self.phase is not SlowStartPhase.BACKING_OFF:
-            self._failed_from = self.phase, self._calls, now
-        self._calls, self._answers, self._lost = FIRST_CALLS, 0, 0
-        self._rest_until = max(self._rest_until, now + self._backoff.after_failure(now))
-        self._enter(now, SlowStartPhase.BACKING_OFF)
-
-    def _count(self, now: float, took_ms: float) -> None:
-        """Judge a round by its mean, once as many were answered as may be out: while that is usual, more may be. Single
-        answers differ by chance far more than a crowd makes them differ."""
-        self._answers += 1
-        if took_ms == inf:
-            self._lost += 1
-        else:
-            self._mean += (took_ms - self._mean) / (self._answers - self._lost)
-        if self._answers < max(ROUND_LEAST, self._calls):
+            self._interruption = Interruption(self.phase, self._call_limit, now_ms)
+        self._call_limit = INITIAL_CONCURRENT_CALLS
+        self._round.discard_round()
+        paused_until_ms = now_ms + self._backoff.after_failure(now_ms)
+        self._calls_paused_until_ms = max(self._calls_paused_until_ms, paused_until_ms)
+        self._enter_on(SlowStartEvent.DEPENDENCY_FAILED, now_ms)
+
+    def _end_backing_off(self, now_ms: float) -> None:
+        interruption = self._interruption
+        was_short = now_ms - interruption.since_ms < MAX_SHORT_OUTAGE_MS
+        goes_on = was_short and interruption.phase is not SlowStartPhase.WORKER_POOL_CONNECTED
+        self._call_limit = interruption.call_limit if goes_on else INITIAL_CONCURRENT_CALLS
+        self._calls_paused_until_ms = now_ms
+        self._enter_on(
+            SlowStartEvent.SHORT_OUTAGE_ENDED if goes_on else SlowStartEvent.LONG_OUTAGE_ENDED,
+            now_ms,
+        )
+        self._round.discard_round()
+
+    def _count_answer(self, now_ms: float, took_ms: float) -> None:
+        """Raise the limit on calls after a quick round, and lower it after a slow one."""
+        self._round.add_answer(took_ms)
+        if not self._round.is_complete(self._call_limit):
             return
-        if 2 * self._lost > self._answers or self._mean > SLOW * self._usual:
-            self._calls = max(FIRST_CALLS, self._calls / STEP)
-            self._usual, self._pressed = self._usual * FORGETS, now
+        if self._round.judge_round():
+            self._call_limit = max(INITIAL_CONCURRENT_CALLS, self._call_limit / RAMP_FACTOR)
+            self._last_pressure_at_ms = now_ms
         else:
-            first = self._usual == inf
-            self._usual = (
-                self._mean if first else min(self._usual * FORGETS, self._usual + LEARNS * (self._mean - self._usual))
-            )
-            self._calls = min(self._part, self._calls * STEP)
-        self._answers, self._lost, self._mean = 0, 0, 0.0
-        self._enter(now, SlowStartPhase.WARM if self._calls >= self._part else SlowStartPhase.RAMPING_UP)
+            self._call_limit = min(self._dependency_share, self._call_limit * RAMP_FACTOR)
+        self._enter_on(
+            SlowStartEvent.SHARE_REACHED if self._call_limit >= self._dependency_share else SlowStartEvent.ROUND_JUDGED,
+            now_ms,
+        )
 
     # What follows
 
     @property
     def report_period_ms(self) -> float:
-        """Between reports: as seldom as the list allows with some of them lost."""
-        return LAPSE_MS / REPORTS + OVER_MS
+        """The time between reports: as long as the list allows with some of them lost."""
+        return DIRECTORY_ENTRY_LIFETIME_MS / REPORTS_PER_LIFETIME + REPORT_PERIOD_SLACK_MS
 
     @property
     def next_report_at_ms(self) -> float:
-        """When the next report is due; never while there is no worker pool, since the list would name a server that
-        can do nothing."""
-        return min([self._due, *self._again]) if self.phase is not SlowStartPhase.PROCESS_STARTED else inf
+        """When the next report is due.
+
+        Never, which is inf, while there is no worker pool: the list would name a server that can do nothing.
+        """
+        if self.phase is SlowStartPhase.PROCESS_STARTED:
+            return inf
+        return min([self._periodic_report_at_ms, *self._health_reports_at_ms])
 
     @property
     def max_concurrent_calls(self) -> float:
-        """How many calls may be out at once; inf where only the module bounds them."""
-        return inf if self.phase is SlowStartPhase.WARM else self._calls
+        """How many calls may be in flight at once; inf where admission control alone bounds them."""
+        return inf if self.phase is SlowStartPhase.WARM else self._call_limit
 
-    def call_pause_ms(self, now: float) -> float:
-        """How long no call is to go out."""
-        return max(0.0, self._rest_until - now)
+    def call_pause_ms(self, now_ms: float) -> float:
+        """Return how long no call is to go out."""
+        return max(0.0, self._calls_paused_until_ms - now_ms)
--- a/tests/test_coming_up.py
+++ b/tests/test_startup.py
@@ -16,13 +16,13 @@
 from nickelslip.startup.phase_jitter import next_in_phase, phase_of
 from nickelslip.startup.rolling_restart import Measured, turns
 from nickelslip.startup.slow_start import (
-    FAILS,
-    FIRST_CALLS,
-    LAPSE_MS,
-    REPORTS,
-    REST_MOST_MS,
-    REST_SPAN_MS,
-    SHORT_MS,
+    BACKOFF_SPAN_MS,
+    DIRECTORY_ENTRY_LIFETIME_MS,
+    FAILURES_UNTIL_BACKOFF,
+    INITIAL_CONCURRENT_CALLS,
+    MAX_BACKOFF_DELAY_MS,
+    MAX_SHORT_OUTAGE_MS,
+    REPORTS_PER_LIFETIME,
     SlowStart,
     SlowStartPhase,
 )
@@ -104,7 +104,7 @@
     one.worker_pool_connected(0.0, 0.0)
     one.report_sent(one.next_report_at_ms)
     one.call_started(500.0)
-    assert one.phase is SlowStartPhase.FIRST_CALLS and one.max_concurrent_calls == FIRST_CALLS
+    assert one.phase is SlowStartPhase.FIRST_CALLS and one.max_concurrent_calls == INITIAL_CONCURRENT_CALLS
     seen = []
     for at in range(40):
         one.call_answered(510.0 + 10 * at, 10.0)
@@ -120,10 +120,10 @@
     for at in range(6):
         one.call_answered(10.0 * at, 10.0)
     grown = one.max_concurrent_calls
-    assert grown > FIRST_CALLS
+    assert grown > INITIAL_CONCURRENT_CALLS
     for at in range(30):
         one.call_answered(100.0 + 40 * at, 40.0)
-    assert one.max_concurrent_calls == FIRST_CALLS and one.phase is SlowStartPhase.RAMPING_UP
+    assert one.max_concurrent_calls == INITIAL_CONCURRENT_CALLS and one.phase is SlowStartPhase.RAMPING_UP
     assert warm_up(one, 2000.0, took=40.0) < 60_000.0
 
 
@@ -135,15 +135,15 @@
     while now < 20_000.0:
         one.call_failed(now)
         tries += 1
-        if tries < FAILS:
+        if tries < FAILURES_UNTIL_BACKOFF:
             continue
         assert (
             one.phase is SlowStartPhase.BACKING_OFF
-            and one.max_concurrent_calls == FIRST_CALLS
+            and one.max_concurrent_calls == INITIAL_CONCURRENT_CALLS
             and one.call_pause_ms(now) > 0
         )
         now += one.call_pause_ms(now)
-    assert tries <= FAILS + 20_000.0 / REST_SPAN_MS * 12
+    assert tries <= FAILURES_UNTIL_BACKOFF + 20_000.0 / BACKOFF_SPAN_MS * 12
     one.call_answered(now, 10.0)
     assert one.phase is SlowStartPhase.FIRST_CALLS and one.call_pause_ms(now) == 0.0
 
@@ -161,14 +161,14 @@
 
 def test_after_a_short_failure_a_start_goes_on_where_it_was_and_after_a_long_one_from_the_beginning():
     for span, step, most in (
-        (SHORT_MS / 2, SlowStartPhase.WARM, inf),
-        (2 * SHORT_MS, SlowStartPhase.FIRST_CALLS, FIRST_CALLS),
+        (MAX_SHORT_OUTAGE_MS / 2, SlowStartPhase.WARM, inf),
+        (2 * MAX_SHORT_OUTAGE_MS, SlowStartPhase.FIRST_CALLS, INITIAL_CONCURRENT_CALLS),
     ):
         one = start()
         now = warm_up(one, 0.0)
-        for _ in range(FAILS):
+        for _ in range(FAILURES_UNTIL_BACKOFF):
             one.call_failed(now)
-        assert one.phase is SlowStartPhase.BACKING_OFF and one.max_concurrent_calls == FIRST_CALLS
+        assert one.phase is SlowStartPhase.BACKING_OFF and one.max_concurrent_calls == INITIAL_CONCURRENT_CALLS
         one.call_answered(now + span, 10.0)
         assert one.phase is step and one.max_concurrent_calls == most
 
@@ -198,7 +198,7 @@
     one.report_sent(first)
     assert (
         one.next_report_at_ms == pytest.approx(first + one.report_period_ms)
-        and (REPORTS - 1) * one.report_period_ms < LAPSE_MS - 400
+        and (REPORTS_PER_LIFETIME - 1) * one.report_period_ms < DIRECTORY_ENTRY_LIFETIME_MS - 400
     )
     one.health_changed(first + 1)
     times = []
@@ -236,10 +236,10 @@
     for what, wait in events:
         now += wait
         act[what](now)
-        assert one.max_concurrent_calls >= FIRST_CALLS and (
-            one.max_concurrent_calls == inf or one.max_concurrent_calls <= max(FIRST_CALLS, part)
+        assert one.max_concurrent_calls >= INITIAL_CONCURRENT_CALLS and (
+            one.max_concurrent_calls == inf or one.max_concurrent_calls <= max(INITIAL_CONCURRENT_CALLS, part)
         )
-        assert 0 <= one.call_pause_ms(now) <= max(REST_MOST_MS, REST_SPAN_MS)
+        assert 0 <= one.call_pause_ms(now) <= max(MAX_BACKOFF_DELAY_MS, BACKOFF_SPAN_MS)
         assert (
             one.next_report_at_ms == inf
             if one.phase is SlowStartPhase.PROCESS_STARTED
