--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -171,7 +171,7 @@
     """What can be done for a request."""
 
     @property
-    def worker_pool(self) -> WorkerPool:
+    def worker_pool(self) -> RunStarter:
         """Where it runs."""
 
     @property
@@ -216,6 +216,14 @@
     def log(self) -> Any:
         """The log."""
 
+    @property
+    def generation(self) -> Generation:
+        """The configuration in force."""
+
+    @property
+    def worker_pool(self) -> WorkerPool:
+        """Where requests run, with its gauges."""
+
     @property
     def requests(self) -> Mapping[int, Request]:
         """The open requests by number."""
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -111,50 +111,50 @@
         self._call_limit = CallLimit(self.log, self.clock, self.slow_start, self.decision_executor)
         self._request_counter = RequestCounter(self.clock)
         self.request_reports = RequestReports(
-            self.clock,
-            self.decision_executor,
-            self.idempotency_table,
-            self._request_counter,
-            self.slow_start,
-            self._call_limit,
+            clock=self.clock,
+            executor=self.decision_executor,
+            idempotency_table=self.idempotency_table,
+            counter=self._request_counter,
+            slow_start=self.slow_start,
+            call_limit=self._call_limit,
         )
         self._open_requests = OpenRequests(
-            self,
-            self,
-            self.request_reports,
-            self.decision_executor,
-            self.idempotency_table,
-            self._request_counter,
-            self.lifecycle,
-            self.requests,
+            context=self,
+            actions=self,
+            sink=self.request_reports,
+            executor=self.decision_executor,
+            idempotency_table=self.idempotency_table,
+            counter=self._request_counter,
+            lifecycle=self.lifecycle,
+            requests=self.requests,
         )
 
     def _create_control_components(self, read_config: Callable[[], Config]) -> None:
         """Create what reacts to time, signals and configurations."""
         self._control_timer = ControlTimer(
-            self.clock,
-            self.wake_schedule,
-            self.decision_executor,
-            self.worker_pool,
-            self.idempotency_table,
-            self.listeners,
-            self.advertised,
+            clock=self.clock,
+            wake_schedule=self.wake_schedule,
+            executor=self.decision_executor,
+            worker_pool=self.worker_pool,
+            idempotency_table=self.idempotency_table,
+            listeners=self.listeners,
+            advertised=self.advertised,
         )
         self._shutdown = GracefulShutdown(
-            self,
-            self.lifecycle,
-            self.decision_executor,
-            self.advertised,
-            self.directory_reporter,
-            self.listeners,
-            self.requests,
+            context=self,
+            lifecycle=self.lifecycle,
+            executor=self.decision_executor,
+            advertised=self.advertised,
+            directory_reporter=self.directory_reporter,
+            listeners=self.listeners,
+            requests=self.requests,
         )
         self._reload = ConfigurationReload(
-            self,
-            read_config,
-            self.decision_executor,
-            self.slow_start,
-            (self.worker_pool, self.dependency_client, self.directory_reporter),
+            target=self,
+            read_config=read_config,
+            executor=self.decision_executor,
+            slow_start=self.slow_start,
+            peer_links=(self.worker_pool, self.dependency_client, self.directory_reporter),
         )
         self._signal_handler = SignalHandler(self.log, self.lifecycle, self)
 
