--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from nickelslip.admission.interface import Settings
-from nickelslip.settings import Fields, MalformedSettingsError, gauge_names, settings_of
+from nickelslip.json_fields import JsonFields, MalformedSettingsError
+from nickelslip.settings import decode_gauge_names, decode_settings
 
 Address = tuple[str, int]
 NOWHERE: Address = ("", 0)
@@ -85,8 +86,8 @@
     if not isinstance(value, dict):
         raise MalformedSettingsError("configuration: an object is needed")
     told: dict[str, Any] = {**value, **told_by(environment)}
-    top = Fields(told, "", faults)
-    limits = top.inside("limits")
+    top = JsonFields(told, "", faults)
+    limits = top.child("limits")
 
     def address(name: str) -> Address:
         known = len(faults or ())
@@ -101,7 +102,7 @@
             faults.append(fault)
             return NOWHERE
 
-    settings = settings_of(told.get("settings"), faults)
+    settings = decode_settings(told.get("settings"), faults)
     calls = any(grade.makes_calls for grade in settings.traffic_classes)
     name = top.text("name")
     if any(letter.isspace() for letter in name):
@@ -122,11 +123,11 @@
         records=address("records") if calls or told.get("records") else None,
         directory=address("lookup"),
         seed=seed,
-        stop_ms=top.number("stop_ms", above=True),
-        memory_mb=limits.number("memory_mb", above=True),
-        descriptors=limits.whole("sockets", least=32),
+        stop_ms=top.number("stop_ms", is_exclusive=True),
+        memory_mb=limits.number("memory_mb", is_exclusive=True),
+        descriptors=limits.integer("sockets", minimum=32),
         settings=settings,
-        gauges=gauge_names(told.get("settings"), faults),
+        gauges=decode_gauge_names(told.get("settings"), faults),
     )
 
 
--- a/nickelslip/configuration/document.py
+++ b/nickelslip/configuration/document.py
@@ -18,7 +18,7 @@
 from nickelslip.configuration.json5_reader import Read
 from nickelslip.configuration.schema import NAMED, NAMED_MOST, NEEDED, SECTIONS, VERSION, Kind, Word
 from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, errors_of
-from nickelslip.settings import MalformedSettingsError
+from nickelslip.json_fields import MalformedSettingsError
 
 Document = dict[str, Any]  # whole: every section, every word
 REPEATS = {
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -14,7 +14,7 @@
 
 from nickelslip.configuration.config import Config, config_from_platform
 from nickelslip.configuration.validation import BYTES_MOST, Fault, InvalidDocumentError
-from nickelslip.settings import MalformedSettingsError
+from nickelslip.json_fields import MalformedSettingsError
 
 if TYPE_CHECKING:
     from nickelslip.configuration.layers import Layered
--- a/nickelslip/configuration/validation.py
+++ b/nickelslip/configuration/validation.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from nickelslip.settings import MalformedSettingsError
+from nickelslip.json_fields import MalformedSettingsError
 
 Path = tuple[str, ...]
 BYTES_MOST = 512 * 1024  # of a text
--- /dev/null
+++ b/nickelslip/json_fields.py
@@ -0,0 +1,125 @@
+"""Reads one JSON object field by field, and names the whole path of a field that is wrong."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping
+from typing import Any, TypeVar
+
+T = TypeVar("T")
+
+STAND_IN_TEXT = "-"  # read on with in place of a text that is wrong
+
+
+class MalformedSettingsError(Exception):
+    """Settings that cannot be understood; the text names the field."""
+
+
+class JsonFields:
+    """The fields of one JSON object.
+
+    The first wrong field is raised as `MalformedSettingsError`. Where a list of errors is given, all are put there
+    instead, and a stand-in value is read on with; then what was read is not to be used.
+
+    Args:
+        value: The decoded JSON value, which should be an object.
+        path: Where it stands in the document.
+        errors: Collects the errors, or None to have the first one raised.
+    """
+
+    def __init__(self, value: object, path: str, errors: list[MalformedSettingsError] | None = None) -> None:
+        self._path = path
+        self._errors = errors
+        self._fields: Mapping[str, Any] = {}
+        if isinstance(value, Mapping):
+            self._fields = value
+        else:
+            self._report(f"{path or 'settings'}: an object is needed")
+
+    def child(self, name: str, needed: bool = True) -> JsonFields:
+        """Return the fields of an object below this one; one that is not needed may be absent."""
+        value = self._fields.get(name)
+        if not needed:
+            value = value or {}
+        return JsonFields(value, self._path_of(name), self._errors)
+
+    def children(self, name: str, needed: bool = True) -> list[JsonFields]:
+        """Return the fields of each object of a list; one that is needed must not be empty."""
+        value = self._fields.get(name)
+        if not isinstance(value, list) and (needed or value is not None):
+            self._report(f"{self._path_of(name)}: a list is needed")
+            return []
+        if needed and not value:
+            self._report(f"{self._path_of(name)}: the list is empty")
+        path = self._path_of(name)
+        return [JsonFields(item, f"{path}[{index}]", self._errors) for index, item in enumerate(value or [])]
+
+    def items(self, name: str) -> list[Any]:
+        """Return the items of a list, which may be absent."""
+        value = self._fields.get(name) or []
+        if not isinstance(value, list):
+            self._report(f"{self._path_of(name)}: a list is needed")
+            return []
+        return value
+
+    def number(
+        self,
+        name: str,
+        default: float | None = None,
+        minimum: float = 0.0,
+        maximum: float = math.inf,
+        is_exclusive: bool = False,
+    ) -> float:
+        """Return a number between minimum and maximum; with `is_exclusive` it must be over the minimum.
+
+        null counts as absent.
+        """
+        value = self._fields.get(name)
+        if value is None and default is not None:
+            return default
+        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
+            self._report(f"{self._path_of(name)}: a number is needed")
+            return minimum
+        if not minimum <= value <= maximum or (is_exclusive and value == minimum):
+            self._report(f"{self._path_of(name)}: {value} is out of range")
+            return minimum
+        return float(value)
+
+    def integer(self, name: str, default: int | None = None, minimum: int = 1) -> int:
+        """Return a whole number of at least the minimum."""
+        value = self.number(name, default, minimum)
+        if value != int(value):
+            self._report(f"{self._path_of(name)}: a whole number is needed")
+        return int(value)
+
+    def boolean(self, name: str) -> bool:
+        """Return a flag; False where it is absent."""
+        value = self._fields.get(name, False)
+        if value not in (True, False, None):
+            self._report(f"{self._path_of(name)}: true or false is needed")
+        return bool(value)
+
+    def text(self, name: str) -> str:
+        """Return a text that is not empty."""
+        value = self._fields.get(name)
+        if not isinstance(value, str) or not value:
+            self._report(f"{self._path_of(name)}: a text is needed")
+            return STAND_IN_TEXT
+        return value
+
+    def choice(self, name: str, choices: Mapping[str, T], default: str | None = None) -> T:
+        """Return what one of the given words stands for."""
+        value = self._fields.get(name, default)
+        if not isinstance(value, str) or value not in choices:
+            self._report(f"{self._path_of(name)}: one of {', '.join(choices)} is needed")
+            return next(iter(choices.values()))
+        return choices[value]
+
+    def _report(self, text: str) -> None:
+        error = MalformedSettingsError(text)
+        if self._errors is None:
+            raise error
+        self._errors.append(error)
+
+    def _path_of(self, name: str) -> str:
+        return f"{self._path}.{name}" if self._path else name
--- a/nickelslip/server/configuration_reloader.py
+++ b/nickelslip/server/configuration_reloader.py
@@ -17,9 +17,9 @@
 from nickelslip.configuration.generations import digest_of
 from nickelslip.configuration.plan import Difference, plan_of
 from nickelslip.configuration.schema import Effect
+from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.change_applier import ChangeApplier
 from nickelslip.server.server import Server
-from nickelslip.settings import MalformedSettingsError
 
 ORIGIN = "SIGHUP"
 MAX_PATHS_IN_LOG = 20
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -20,11 +20,11 @@
 import nickelslip
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.loading import load
+from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.listening_socket import bind
 from nickelslip.server.load_balancer_listener import LoadBalancerListener
 from nickelslip.server.log_output import configure_logging
 from nickelslip.server.server import Server
-from nickelslip.settings import MalformedSettingsError
 
 if TYPE_CHECKING:  # imported when a configuration asks for them
     from nickelslip.configuration.store import HistoryStore
--- a/nickelslip/server/reload.py
+++ b/nickelslip/server/reload.py
@@ -8,8 +8,8 @@
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.configuration.config import Config, with_new_peer_addresses
 from nickelslip.configuration.generations import Generation
+from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.call_limit import dependency_share_of
-from nickelslip.settings import MalformedSettingsError
 
 if TYPE_CHECKING:  # types only; importing them would lengthen the start
     from nickelslip.server.decision_executor import DecisionExecutor
--- a/nickelslip/server/starting_configuration.py
+++ b/nickelslip/server/starting_configuration.py
@@ -11,7 +11,7 @@
 from nickelslip.configuration.history import HistoryRecord
 from nickelslip.configuration.start_selection import StartSelection, select_start, start_from_files
 from nickelslip.configuration.store import HistoryStore
-from nickelslip.settings import MalformedSettingsError
+from nickelslip.json_fields import MalformedSettingsError
 
 
 class StartingConfiguration(NamedTuple):
--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -1,189 +1,149 @@
-"""The one decoder of a server's settings: JSON as it is told to Settings, checked, with the fault named.
+"""Decodes the settings of a server from the JSON in which the platform tells them.
 
-The bench's adapter and the real server both read their settings here, so that one module sees the same figures
-in both. It only decodes: it opens no file, imports nothing beyond the standard library and chooses no value.
+The simulator's adapter and the real server both read their settings here, so that the admission controller sees the
+same figures in both. The keys are the platform's; they are mapped to the terms of this project here and nowhere else.
 """
 
 from __future__ import annotations
 
 import json
-import math
-from collections.abc import Mapping
-from typing import Any, TypeVar
+from typing import Any
 
 from nickelslip.admission.interface import LoadSignal, Preemption, RetrySafety, Settings, Tenant, TrafficClass
+from nickelslip.json_fields import JsonFields, MalformedSettingsError
 
-T = TypeVar("T")
-
-REPEATS = {
+RETRY_SAFETY = {
     "read_like": RetrySafety.IDEMPOTENT,
     "idempotency_key": RetrySafety.IDEMPOTENCY_KEY,
     "non_idempotent": RetrySafety.NON_IDEMPOTENT,
 }
-STOPPINGS = {"silent": Preemption.NEVER, "drop": Preemption.DISCARD_PROGRESS, "pause": Preemption.KEEP_PROGRESS}
-SAID = {
+PREEMPTION = {
+    "silent": Preemption.NEVER,
+    "drop": Preemption.DISCARD_PROGRESS,
+    "pause": Preemption.KEEP_PROGRESS,
+}
+LOAD_SIGNALS = {
     "silent": LoadSignal.NONE,
     "bias": LoadSignal.SELECTION_PROBABILITY,
     "tokens": LoadSignal.CLIENT_CONCURRENCY,
     "min_rank": LoadSignal.PRIORITY_THRESHOLD,
 }
+VALUE_COUNTS_WORK = {"work": True, "request": False}
+
+# What runs call: a shared dependency, a tier of servers below, or nothing.
+SHARED_DEPENDENCY = "common"
+TIER_BELOW = "next_hop"
+NO_DEPENDENCY = "silent"
+DEPENDENCIES = {word: word for word in (SHARED_DEPENDENCY, TIER_BELOW, NO_DEPENDENCY)}
+
+Errors = list[MalformedSettingsError]
+
 
+def decode_settings_text(text: str) -> Settings:
+    """Decode settings from the text of a JSON object.
 
-class MalformedSettingsError(Exception):
-    """Settings that cannot be understood; the text names the field."""
-
-
-class Fields:
-    """One JSON object, read field by field; a fault names the whole path of its field. The first one is raised, or,
-    where a list for them is given, all are put there and a stand-in value is read on with: what was read with
-    faults on the list is not to be used."""
-
-    def __init__(self, value: object, path: str, faults: list[MalformedSettingsError] | None = None) -> None:
-        self._path, self._faults = path, faults
-        self._value: Mapping[str, Any] = {}
-        if isinstance(value, Mapping):
-            self._value = value
-        else:
-            self._fault(f"{path or 'settings'}: an object is needed")
-
-    def _fault(self, text: str) -> None:
-        if self._faults is None:
-            raise MalformedSettingsError(text)
-        self._faults.append(MalformedSettingsError(text))
-
-    def _at(self, name: str) -> str:
-        return f"{self._path}.{name}" if self._path else name
-
-    def inside(self, name: str, needed: bool = True) -> Fields:
-        value = self._value.get(name) if needed else self._value.get(name) or {}
-        return Fields(value, self._at(name), self._faults)
-
-    def number(
-        self, name: str, default: float | None = None, least: float = 0.0, most: float = math.inf, above: bool = False
-    ) -> float:
-        """A number between least and most, and over least where `above` says so; null counts as absent."""
-        value = self._value.get(name)
-        if value is None and default is not None:
-            return default
-        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-            self._fault(f"{self._at(name)}: a number is needed")
-            return least
-        if not least <= value <= most or (above and value == least):
-            self._fault(f"{self._at(name)}: {value} is out of range")
-            return least
-        return float(value)
-
-    def whole(self, name: str, default: int | None = None, least: int = 1) -> int:
-        value = self.number(name, default, least)
-        if value != int(value):
-            self._fault(f"{self._at(name)}: a whole number is needed")
-        return int(value)
-
-    def flag(self, name: str) -> bool:
-        value = self._value.get(name, False)
-        if value not in (True, False, None):
-            self._fault(f"{self._at(name)}: true or false is needed")
-        return bool(value)
-
-    def text(self, name: str) -> str:
-        value = self._value.get(name)
-        if not isinstance(value, str) or not value:
-            self._fault(f"{self._at(name)}: a text is needed")
-            return "-"
-        return value
-
-    def one_of(self, name: str, known: Mapping[str, T], default: str | None = None) -> T:
-        value = self._value.get(name, default)
-        if not isinstance(value, str) or value not in known:
-            self._fault(f"{self._at(name)}: one of {', '.join(known)} is needed")
-            return next(iter(known.values()))
-        return known[value]
-
-    def each(self, name: str, needed: bool = True) -> list[Fields]:
-        value = self._value.get(name)
-        if not isinstance(value, list) and (needed or value is not None):
-            self._fault(f"{self._at(name)}: a list is needed")
-            return []
-        if needed and not value:
-            self._fault(f"{self._at(name)}: the list is empty")
-        return [Fields(each, f"{self._at(name)}[{at}]", self._faults) for at, each in enumerate(value or [])]
-
-    def values(self, name: str) -> list[Any]:
-        value = self._value.get(name) or []
-        if not isinstance(value, list):
-            self._fault(f"{self._at(name)}: a list is needed")
-            return []
-        return value
-
-
-def settings_from(text: str) -> Settings:
-    """Settings from the text of a JSON object."""
+    Raises:
+        MalformedSettingsError: The text is not JSON, or a field is wrong.
+    """
     try:
         value = json.loads(text)
     except ValueError as error:
         raise MalformedSettingsError(f"settings: not JSON: {error}") from error
-    return settings_of(value)
+    return decode_settings(value)
 
 
-def gauge_names(value: object, faults: list[MalformedSettingsError] | None = None) -> tuple[str, ...]:
-    """The names of the gauges, in the order in which the worker pool gives them."""
-    return tuple(str(name) for name in Fields(value, "settings", faults).inside("specifics").values("own-stats"))
+def decode_gauge_names(value: object, errors: Errors | None = None) -> tuple[str, ...]:
+    """Return the names of the gauges, in the order in which the worker pool reports them."""
+    machine = JsonFields(value, "settings", errors).child("specifics")
+    return tuple(str(name) for name in machine.items("own-stats"))
 
 
-def settings_of(value: object, faults: list[MalformedSettingsError] | None = None) -> Settings:
-    """Settings from a decoded JSON object; unknown keys are passed over. Faults are raised, or listed."""
-    info = Fields(value, "settings", faults)
-    facts, rules = info.inside("specifics"), info.inside("invariants")
-    bounds, habits = info.inside("bounds", False), info.inside("client-habits", False)
-    calls_are = facts.one_of("below", {name: name for name in ("common", "next_hop", "silent")}, "silent")
-    known_calls, omit_shares = facts.values("class-calls"), facts.values("class-skip-worth")
-    grades = tuple(
-        TrafficClass(
-            name=each.text("name"),
-            priority_weight=each.number("gain"),
-            latency_objective_ms=each.number("aim-ms", above=True),
-            timeout_ms=each.number("deadline-ms", above=True),
-            retry_safety=each.one_of("idempotency", REPEATS),
-            idempotency_window_ms=each.number("memory-span-ms", 0.0),
-            late_value_fraction=each.number("late-worth", 0.0),
-            objective_stretch=each.number("aim-stretch", 0.0),
-            makes_calls=calls_are != "silent" and (bool(known_calls[at]) if at < len(known_calls) else True),
-            degraded_value_fraction=_share(omit_shares[at], at, faults) if at < len(omit_shares) else 0.0,
-        )
-        for at, each in enumerate(info.each("classes"))
-    )
+def decode_settings(value: object, errors: Errors | None = None) -> Settings:
+    """Decode settings from a decoded JSON object; unknown keys are passed over.
+
+    Args:
+        value: The JSON object.
+        errors: Collects all errors, where it is given; then the settings are not to be used if there is any.
+
+    Raises:
+        MalformedSettingsError: A field is wrong, and no list of errors was given.
+    """
+    top = JsonFields(value, "settings", errors)
+    machine = top.child("specifics")
+    rules = top.child("invariants")
+    bounds = top.child("bounds", needed=False)
+    habits = top.child("client-habits", needed=False)
+    dependency = machine.choice("below", DEPENDENCIES, NO_DEPENDENCY)
+    traffic_classes = _decode_traffic_classes(top, machine, dependency, errors)
+    has_share = dependency == SHARED_DEPENDENCY
     return Settings(
-        traffic_classes=grades,
-        core_count=facts.whole("cpus"),
-        memory_kb=facts.number("memory-kb", above=True),
-        running_memory_factor=facts.number("run-factor", least=1.0),
-        starts_cold=facts.flag("cold"),
-        cold_speed_fraction=rules.number("cold-from", most=1.0),
-        warm_up_ms=rules.number("cold-ms", above=True),
-        overload_concurrency_per_core=rules.number("fall-multiple", least=1.0),
+        traffic_classes=traffic_classes,
+        core_count=machine.integer("cpus"),
+        memory_kb=machine.number("memory-kb", is_exclusive=True),
+        running_memory_factor=machine.number("run-factor", minimum=1.0),
+        starts_cold=machine.boolean("cold"),
+        cold_speed_fraction=rules.number("cold-from", maximum=1.0),
+        warm_up_ms=rules.number("cold-ms", is_exclusive=True),
+        overload_concurrency_per_core=rules.number("fall-multiple", minimum=1.0),
         answer_slack_ms=rules.number("answer-slack-ms"),
         drain_grace_ms=rules.number("stop-sending-within-ms"),
-        tick_ms=info.number("tick-ms", above=True),
-        server_count=info.whole("servers", 1, 0) or 1,
-        client_count=facts.whole("callers", 1, 0) or 1,
-        tenants=tuple(
-            Tenant(each.text("name"), each.number("quota-rps", 0.0)) for each in info.each("tenants", needed=False)
-        ),
-        over_quota_value_fraction=info.number("over-share-worth", 1.0),
-        value_counts_work=info.one_of("counted-by", {"work": True, "request": False}, "request"),
-        clients_mark_retries=habits.flag("marks-retry"),
-        preemption=facts.one_of("stop-mode", STOPPINGS, "silent"),
-        load_signal=facts.one_of("say", SAID, "silent"),
-        retry_after_max_ms=bounds.number("max-retry-after-ms", 0.0) if bounds.flag("retry-after") else 0.0,
-        dependency_concurrency_share=facts.number("dep-share", 0.0) if calls_are == "common" else 0.0,
-        dependency_window_ms=facts.number("calls-over-ms", 0.0),
-        abandoned_call_linger_ms=facts.number("stays-for-ms", 0.0),
-        idempotency_record_kb=facts.number("kb-per-key", 0.0),
-        response_cache_ms=facts.number("fresh-ms", 0.0),
-        idle_connection_timeout_ms=facts.number("idle-ms", 0.0),
-        health_check_costs_work=facts.flag("real-checks"),
+        tick_ms=top.number("tick-ms", is_exclusive=True),
+        server_count=top.integer("servers", 1, 0) or 1,
+        client_count=machine.integer("callers", 1, 0) or 1,
+        tenants=_decode_tenants(top),
+        over_quota_value_fraction=top.number("over-share-worth", 1.0),
+        value_counts_work=top.choice("counted-by", VALUE_COUNTS_WORK, "request"),
+        clients_mark_retries=habits.boolean("marks-retry"),
+        preemption=machine.choice("stop-mode", PREEMPTION, "silent"),
+        load_signal=machine.choice("say", LOAD_SIGNALS, "silent"),
+        retry_after_max_ms=bounds.number("max-retry-after-ms", 0.0) if bounds.boolean("retry-after") else 0.0,
+        dependency_concurrency_share=machine.number("dep-share", 0.0) if has_share else 0.0,
+        dependency_window_ms=machine.number("calls-over-ms", 0.0),
+        abandoned_call_linger_ms=machine.number("stays-for-ms", 0.0),
+        idempotency_record_kb=machine.number("kb-per-key", 0.0),
+        response_cache_ms=machine.number("fresh-ms", 0.0),
+        idle_connection_timeout_ms=machine.number("idle-ms", 0.0),
+        health_check_costs_work=machine.boolean("real-checks"),
     )
 
 
-def _share(value: object, at: int, faults: list[MalformedSettingsError] | None) -> float:
-    return Fields({"share": value}, f"settings.specifics.class-skip-worth[{at}]", faults).number("share", 0.0)
+def _decode_traffic_classes(
+    top: JsonFields, machine: JsonFields, dependency: str, errors: Errors | None
+) -> tuple[TrafficClass, ...]:
+    """Decode the classes. Whether each makes calls, and what it is worth without, stand in lists of their own."""
+    makes_calls = machine.items("class-calls")
+    degraded_values = machine.items("class-skip-worth")
+    return tuple(
+        TrafficClass(
+            name=fields.text("name"),
+            priority_weight=fields.number("gain"),
+            latency_objective_ms=fields.number("aim-ms", is_exclusive=True),
+            timeout_ms=fields.number("deadline-ms", is_exclusive=True),
+            retry_safety=fields.choice("idempotency", RETRY_SAFETY),
+            idempotency_window_ms=fields.number("memory-span-ms", 0.0),
+            late_value_fraction=fields.number("late-worth", 0.0),
+            objective_stretch=fields.number("aim-stretch", 0.0),
+            makes_calls=dependency != NO_DEPENDENCY and _makes_calls(makes_calls, index),
+            degraded_value_fraction=_degraded_value_fraction(degraded_values, index, errors),
+        )
+        for index, fields in enumerate(top.children("classes"))
+    )
+
+
+def _makes_calls(told: list[Any], index: int) -> bool:
+    """Whether a class makes calls; one that the list does not reach does."""
+    return bool(told[index]) if index < len(told) else True
+
+
+def _degraded_value_fraction(told: list[Any], index: int, errors: Errors | None) -> float:
+    """Return what an answer without its call is worth; nothing where the list does not reach the class."""
+    if index >= len(told):
+        return 0.0
+    fields = JsonFields({"share": told[index]}, f"settings.specifics.class-skip-worth[{index}]", errors)
+    return fields.number("share", 0.0)
+
+
+def _decode_tenants(top: JsonFields) -> tuple[Tenant, ...]:
+    return tuple(
+        Tenant(fields.text("name"), fields.number("quota-rps", 0.0)) for fields in top.children("tenants", needed=False)
+    )
--- a/nickelslip/simulator_adapter/adapter.py
+++ b/nickelslip/simulator_adapter/adapter.py
@@ -9,7 +9,8 @@
 
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import Decisions, Settings
-from nickelslip.settings import MalformedSettingsError, settings_from
+from nickelslip.json_fields import MalformedSettingsError
+from nickelslip.settings import decode_settings_text
 from nickelslip.simulator_adapter import codec
 from nickelslip.simulator_adapter.codec import MalformedLineError
 
@@ -107,7 +108,7 @@
         """Return what a line asks for; the values of an event are checked whether or not its instance is known."""
         if verb == "START":
             seed, settings_text = line.split(" ", 3)[2:]
-            return partial(self._start, instance, settings_from(settings_text), int(seed), now_ms)
+            return partial(self._start, instance, decode_settings_text(settings_text), int(seed), now_ms)
         if verb == "SHUTDOWN":
             return partial(self._shut_down, instance)
         if verb not in EVENT_DECODERS:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,9 +9,9 @@
 from click.testing import CliRunner
 
 from nickelslip.configuration.config import config_from_platform
+from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.cli import main
 from nickelslip.server.log_output import LogWriter
-from nickelslip.settings import MalformedSettingsError
 from tests.helpers import TOLD
 
 GOOD = {
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -6,7 +6,7 @@
 import pytest
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.settings import settings_from
+from nickelslip.settings import decode_settings_text
 from nickelslip.simulator_adapter.adapter import main
 
 INFO = {
@@ -114,7 +114,7 @@
 
 
 def test_settings_keep_their_meaning():
-    told = settings_from(json.dumps(INFO))
+    told = decode_settings_text(json.dumps(INFO))
     assert (
         told.dependency_concurrency_share,
         told.traffic_classes[0].makes_calls,
