--- a/nickelslip/server/request_decoder.py
+++ b/nickelslip/server/request_decoder.py
@@ -1,7 +1,7 @@
-"""Messages of balancers: the tag of any message, and the transaction that an ASK describes.
+"""Decoding of load balancers' messages: the tag of any message, and the request that an ASK describes.
 
-Owns the fields of an ASK, the range of each and the fault that is reported for it. Framing is `resp`'s, the connection
-that a message came on `connection`'s. It does no I/O and keeps nothing.
+An ASK has, behind its tag, the traffic class, a list of fields and an optional body. The fields have names of the wire;
+the code uses the standard terms and maps them here.
 """
 
 from __future__ import annotations
@@ -13,191 +13,231 @@
 from nickelslip.admission.interface import RetrySafety
 from nickelslip.server.requests import ReceivedRequest
 
-BODY_MOST = 2 * 1024  # bytes
-KB_MOST = 2000.0  # no transaction may need as much
-KEY_MOST = 256  # characters
-TAG_DIGITS = 18  # at most
-IDENT_DIGITS = 16  # exactly
+# Fields on the wire.
+ID_FIELD = "req"
+TENANT_FIELD = "owner"
+RECEIVED_AT_FIELD = "ts"
+MEMORY_FIELD = "need"
+IS_RETRY_FIELD = "resent"
+LEVEL_FIELD = "level"
+LOAD_BALANCER_FIELD = "via"
+IDEMPOTENCY_KEY_FIELD = "opkey"
+SUBJECT_FIELD = "subject"
+TIMEOUT_FIELD = "timeout"
+COST_HINT_FIELD = "ms"
+
+# What an InvalidFieldError names where one check covers several parts of the message.
+PARTS = "parts"
+TEXT = "text"
+CLASS_OR_BODY = "grade or body"
+MEMORY_OR_RETRY = f"{MEMORY_FIELD} or {IS_RETRY_FIELD}"
+LEVEL_OR_LOAD_BALANCER = f"{LEVEL_FIELD} or {LOAD_BALANCER_FIELD}"
+KEY_OR_SUBJECT = f"{IDEMPOTENCY_KEY_FIELD} or {SUBJECT_FIELD}"
+
+MIN_PARTS = 2  # traffic class and fields
+MAX_PARTS = 3  # and the body
+MAX_BODY_BYTES = 2 * 1024
+MAX_MEMORY_KB = 2000.0  # exclusive
+MAX_KEY_CHARACTERS = 256
+MAX_TAG_DIGITS = 18
+ID_DIGIT_COUNT = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
-TIMESTAMP_MOST_MS = 1e15
-SPAN_MOST_MS = 86_400_000.0  # a day
-CLOCK_AHEAD_MS = 1000.0  # by which a caller's clock may be ahead of this server's
-LEVEL_OVER = -1e-9  # just under 0, as a range excludes its lower end and a level of 0 is allowed
+MAX_TIMESTAMP_MS = 1e15
+MAX_SPAN_MS = 86_400_000.0  # a day
+MAX_CLOCK_AHEAD_MS = 1000.0  # by which a client's clock may be ahead of this server's
+MAX_LEVEL = 1.0  # exclusive
+BELOW_ZERO_LEVEL = -1e-9  # the lower end of a range is exclusive, and a level of 0 is allowed
 
 
 class InvalidFieldError(Exception):
-    """A field that is missing, doubled or out of range."""
+    """A field is missing, repeated or out of range; the text names it as the wire does."""
 
 
 class RequestHead(NamedTuple):
     """The parts of an ASK behind its tag."""
 
-    grade: str
+    traffic_class: str
     field_list: str
     body: bytes
 
 
 class Identity(NamedTuple):
-    """Which transaction it is, and whose."""
+    """Which request it is, and whose."""
 
-    ident: str
-    customer: str | None
+    id_hex: str
+    tenant: str | None
 
 
 class TimeLimits(NamedTuple):
-    """How long its caller waits, and how long its run is expected to take."""
+    """How long the client waits, and how long the run is expected to take."""
 
-    wait_ms: float | None
+    timeout_ms: float | None
     cost_hint_ms: float | None
 
 
 def tag_in(parts: list[bytes]) -> int:
-    """The tag of a message, or 0 where it has none that could be answered."""
+    """Return the tag of a message, or 0 where it has none that could be answered."""
     digits = parts[1] if len(parts) > 1 else b""
-    return int(digits) if digits.isdigit() and len(digits) <= TAG_DIGITS else 0
-
-
-def number_in(fields: Mapping[str, str], name: str, over: float, most: float) -> float | None:
-    """The number in a field, greater than `over` and at most `most`; None where the field is absent.
-
-    Raises BadField. Underscores between digits, which Python allows, are refused.
-    """
-    text = fields.get(name)
-    if text is None:
-        return None
-    try:
-        value = float(text)
-    except ValueError:
-        raise InvalidFieldError(name) from None
-    if not math.isfinite(value) or not over < value <= most or "_" in text:
-        raise InvalidFieldError(name)
-    return value
+    if not digits.isdigit() or len(digits) > MAX_TAG_DIGITS:
+        return 0
+    return int(digits)
 
 
 def decode_request(
     parts: list[bytes],
-    repeats: Mapping[str, RetrySafety],
-    customers: frozenset[str],
-    now: float,
-    longest_wait_ms: float,
+    retry_safety_by_class: Mapping[str, RetrySafety],
+    tenants: frozenset[str],
+    now_ms: float,
+    max_timeout_ms: float,
 ) -> ReceivedRequest:
-    """The transaction in an ASK behind its tag: grade, fields and body.
+    """Return the request in an ASK.
+
+    Where several fields are wrong, the order of the steps decides which one is named: the arrival time and the memory
+    are both read as numbers before either is checked further.
 
-    Raises BadField. Where several fields are wrong, the order of the steps decides which one is named: the arrival
-    time and the memory are both read as numbers before either is checked further.
+    Args:
+        parts: The parts behind the tag.
+        retry_safety_by_class: The known traffic classes; the retry safety says which field holds the key.
+        tenants: The known tenants; if there are none, every tenant is accepted.
+        now_ms: Unix time in milliseconds.
+        max_timeout_ms: The longest that any client waits.
+
+    Raises:
+        InvalidFieldError: A field is missing, repeated or out of range.
     """
-    head = _head(parts)
-    fields = _fields(head.field_list)
-    identity = _identity(head, fields, repeats, customers)
-    timestamp = number_in(fields, "ts", 0.0, TIMESTAMP_MOST_MS)
-    need = number_in(fields, "need", 0.0, KB_MOST)
-    reached = _arrival_time(timestamp, now, longest_wait_ms)
-    kb = _memory(need)
-    again = _is_repeat(fields)
+    head = _decode_head(parts)
+    fields = _decode_fields(head.field_list)
+    identity = _decode_identity(head, fields, retry_safety_by_class, tenants)
+    timestamp_ms = _decode_number(fields, RECEIVED_AT_FIELD, 0.0, MAX_TIMESTAMP_MS)
+    memory_kb = _decode_number(fields, MEMORY_FIELD, 0.0, MAX_MEMORY_KB)
+    received_at_ms = _checked_arrival_time(timestamp_ms, now_ms, max_timeout_ms)
+    checked_memory_kb = _checked_memory(memory_kb)
+    is_retry = _decode_is_retry(fields)
     _check_level(fields)
-    caller = _caller(fields)
-    key = _key(fields, repeats[head.grade])
-    limits = _time_limits(fields)
+    load_balancer = _decode_load_balancer(fields)
+    key = _decode_key(fields, retry_safety_by_class[head.traffic_class])
+    limits = _decode_time_limits(fields)
     return ReceivedRequest(
-        id_hex=identity.ident,
-        traffic_class=head.grade,
+        id_hex=identity.id_hex,
+        traffic_class=head.traffic_class,
         body=head.body,
-        received_at_ms=reached,
-        memory_kb=kb,
-        tenant=identity.customer,
-        timeout_ms=limits.wait_ms,
+        received_at_ms=received_at_ms,
+        memory_kb=checked_memory_kb,
+        tenant=identity.tenant,
+        timeout_ms=limits.timeout_ms,
         cost_hint_ms=limits.cost_hint_ms,
-        is_retry=again,
-        load_balancer=caller,
+        is_retry=is_retry,
+        load_balancer=load_balancer,
         key=key,
     )
 
 
-def _head(parts: list[bytes]) -> RequestHead:
-    """The grade and the fields as text, and the body, which may be absent."""
-    if not 2 <= len(parts) <= 3:
-        raise InvalidFieldError("parts")
+def _decode_head(parts: list[bytes]) -> RequestHead:
+    if not MIN_PARTS <= len(parts) <= MAX_PARTS:
+        raise InvalidFieldError(PARTS)
     try:
-        grade, field_list = parts[0].decode(), parts[1].decode()
+        traffic_class = parts[0].decode()
+        field_list = parts[1].decode()
     except UnicodeDecodeError:
-        raise InvalidFieldError("text") from None
-    return RequestHead(grade, field_list, parts[2] if len(parts) == 3 else b"")
+        raise InvalidFieldError(TEXT) from None
+    body = parts[2] if len(parts) == MAX_PARTS else b""
+    return RequestHead(traffic_class, field_list, body)
 
 
-def _fields(field_list: str) -> dict[str, str]:
-    """The fields by their names, from `name=value` pairs parted by commas."""
+def _decode_fields(field_list: str) -> dict[str, str]:
+    """Return the fields by their names, from `name=value` pairs separated by commas."""
     fields: dict[str, str] = {}
     for pair in field_list.split(","):
-        name, is_pair, value = pair.partition("=")
-        if not is_pair or not value or name in fields:
+        name, separator, value = pair.partition("=")
+        if not separator or not value or name in fields:
             raise InvalidFieldError(name)
         fields[name] = value
     return fields
 
 
-def _identity(
-    head: RequestHead, fields: Mapping[str, str], repeats: Mapping[str, RetrySafety], customers: frozenset[str]
+def _decode_number(fields: Mapping[str, str], name: str, above: float, max_value: float) -> float | None:
+    """Return the number in a field, greater than `above` and at most `max_value`; None where the field is absent.
+
+    Underscores between digits, which Python allows, are refused.
+    """
+    text = fields.get(name)
+    if text is None:
+        return None
+    try:
+        value = float(text)
+    except ValueError:
+        raise InvalidFieldError(name) from None
+    if not math.isfinite(value) or not above < value <= max_value or "_" in text:
+        raise InvalidFieldError(name)
+    return value
+
+
+def _decode_identity(
+    head: RequestHead,
+    fields: Mapping[str, str],
+    retry_safety_by_class: Mapping[str, RetrySafety],
+    tenants: frozenset[str],
 ) -> Identity:
-    """Its identifier and its customer; the grade must be known, and the body within its size."""
-    ident = fields.get("req", "")
-    if len(ident) != IDENT_DIGITS or not HEX_DIGITS.issuperset(ident):
-        raise InvalidFieldError("req")
-    if head.grade not in repeats or len(head.body) > BODY_MOST:
-        raise InvalidFieldError("grade or body")
-    customer = fields.get("owner")
-    if customers and customer not in customers:
-        raise InvalidFieldError("owner")
-    return Identity(ident, customer)
-
-
-def _arrival_time(timestamp: float | None, now: float, longest_wait_ms: float) -> float:
-    """When it came to the machine.
-
-    A time longer ago than any caller waits, or still to come, is refused: the time for which the transaction lay unread
-    would be taken for this server's slowness.
+    """Return the request's id and its tenant; check the traffic class and the size of the body, too."""
+    id_hex = fields.get(ID_FIELD, "")
+    if len(id_hex) != ID_DIGIT_COUNT or not HEX_DIGITS.issuperset(id_hex):
+        raise InvalidFieldError(ID_FIELD)
+    if head.traffic_class not in retry_safety_by_class or len(head.body) > MAX_BODY_BYTES:
+        raise InvalidFieldError(CLASS_OR_BODY)
+    tenant = fields.get(TENANT_FIELD)
+    if tenants and tenant not in tenants:
+        raise InvalidFieldError(TENANT_FIELD)
+    return Identity(id_hex, tenant)
+
+
+def _checked_arrival_time(timestamp_ms: float | None, now_ms: float, max_timeout_ms: float) -> float:
+    """Return when the request came to the machine.
+
+    A time longer ago than any client waits, or in the future, is refused: the read delay would be taken for this
+    server's slowness.
     """
-    if timestamp is None or not -longest_wait_ms <= timestamp - now <= CLOCK_AHEAD_MS:
-        raise InvalidFieldError("ts")
-    return timestamp
+    if timestamp_ms is None or not -max_timeout_ms <= timestamp_ms - now_ms <= MAX_CLOCK_AHEAD_MS:
+        raise InvalidFieldError(RECEIVED_AT_FIELD)
+    return timestamp_ms
 
 
-def _memory(need: float | None) -> float:
-    """The memory that it needs, in KB."""
-    if need is None or need == KB_MOST:
-        raise InvalidFieldError("need or resent")
-    return need
+def _checked_memory(memory_kb: float | None) -> float:
+    if memory_kb is None or memory_kb == MAX_MEMORY_KB:
+        raise InvalidFieldError(MEMORY_OR_RETRY)
+    return memory_kb
 
 
-def _is_repeat(fields: Mapping[str, str]) -> bool:
-    """Whether its caller has sent it before."""
-    resent = fields.get("resent")
-    if resent not in (None, "0", "1"):
-        raise InvalidFieldError("need or resent")
-    return resent == "1"
+def _decode_is_retry(fields: Mapping[str, str]) -> bool:
+    flag = fields.get(IS_RETRY_FIELD)
+    if flag not in (None, "0", "1"):
+        raise InvalidFieldError(MEMORY_OR_RETRY)
+    return flag == "1"
 
 
 def _check_level(fields: Mapping[str, str]) -> None:
-    """A level, which may be absent, is checked but not used."""
-    if number_in(fields, "level", LEVEL_OVER, 1.0) == 1.0:
-        raise InvalidFieldError("level or via")
+    """Check the level, which may be absent and is not used."""
+    if _decode_number(fields, LEVEL_FIELD, BELOW_ZERO_LEVEL, MAX_LEVEL) == MAX_LEVEL:
+        raise InvalidFieldError(LEVEL_OR_LOAD_BALANCER)
 
 
-def _caller(fields: Mapping[str, str]) -> int:
-    """The number of the balancer that sent it."""
-    via = fields.get("via", "")
-    if not via.isascii() or not via.isdigit() or len(via) > TAG_DIGITS:
-        raise InvalidFieldError("level or via")
-    return int(via)
+def _decode_load_balancer(fields: Mapping[str, str]) -> int:
+    """Return the number of the load balancer that sent the request."""
+    digits = fields.get(LOAD_BALANCER_FIELD, "")
+    if not digits.isascii() or not digits.isdigit() or len(digits) > MAX_TAG_DIGITS:
+        raise InvalidFieldError(LEVEL_OR_LOAD_BALANCER)
+    return int(digits)
 
 
-def _key(fields: Mapping[str, str], repeat: RetrySafety) -> str | None:
-    """The idempotency key of a referenced transaction, or the subject of any other."""
-    key = fields.get("opkey" if repeat is RetrySafety.IDEMPOTENCY_KEY else "subject")
-    if key is not None and len(key) > KEY_MOST:
-        raise InvalidFieldError("opkey or subject")
+def _decode_key(fields: Mapping[str, str], retry_safety: RetrySafety) -> str | None:
+    """Return the idempotency key of a request whose traffic class has one, or the subject of any other."""
+    has_key = retry_safety is RetrySafety.IDEMPOTENCY_KEY
+    key = fields.get(IDEMPOTENCY_KEY_FIELD if has_key else SUBJECT_FIELD)
+    if key is not None and len(key) > MAX_KEY_CHARACTERS:
+        raise InvalidFieldError(KEY_OR_SUBJECT)
     return key
 
 
-def _time_limits(fields: Mapping[str, str]) -> TimeLimits:
-    """How long its caller waits and how long its run is expected to take, each where the caller names it."""
-    return TimeLimits(number_in(fields, "timeout", 0.0, SPAN_MOST_MS), number_in(fields, "ms", 0.0, SPAN_MOST_MS))
+def _decode_time_limits(fields: Mapping[str, str]) -> TimeLimits:
+    timeout_ms = _decode_number(fields, TIMEOUT_FIELD, 0.0, MAX_SPAN_MS)
+    cost_hint_ms = _decode_number(fields, COST_HINT_FIELD, 0.0, MAX_SPAN_MS)
+    return TimeLimits(timeout_ms, cost_hint_ms)
