--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -50,7 +50,7 @@
         self.lingering.pop(connection, None)
         self._silent.pop(connection, None)
 
-    def note_first_complete_message(self, connection: LoadBalancerConnection) -> None:
+    def note_valid_message(self, connection: LoadBalancerConnection) -> None:
         """A valid message came on it: it is no longer among the first to make room."""
         self._silent.pop(connection, None)
 
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -155,7 +155,7 @@
 
     def _note_valid_message(self) -> None:
         self.has_sent_complete_message = True
-        self._table.note_first_complete_message(self)
+        self._table.note_valid_message(self)
 
     # Closing
 
