--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity.texts import encoded, own_document, tenant
 from nickelslip.admission.controller import AdmissionController, SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
-from nickelslip.configuration.change_lifecycle import MAX_RECORDS_IN_MEMORY, ChangeManager
+from nickelslip.configuration.change_manager import MAX_RECORDS_IN_MEMORY, ChangeManager
 from nickelslip.configuration.document import Checker, Document, checked, config_from
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.json5_reader import Read, read_text
--- a/nickelslip/server/canary_watcher.py
+++ b/nickelslip/server/canary_watcher.py
@@ -5,7 +5,8 @@
 import anyio
 
 from nickelslip.configuration.canary_analysis import Standing, Verdict
-from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeState
+from nickelslip.configuration.change_lifecycle import ChangeState
+from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.request_metrics import WIDTH_MS
 from nickelslip.server.canary_observation import CanaryObservation
 from nickelslip.server.change_applier import ChangeApplier
--- a/nickelslip/server/change_applier.py
+++ b/nickelslip/server/change_applier.py
@@ -9,12 +9,8 @@
 import time
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.configuration.change_lifecycle import (
-    ChangeManager,
-    ChangeRejectedError,
-    ConfigurationChange,
-    RejectionReason,
-)
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError, ConfigurationChange, RejectionReason
+from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -13,11 +13,11 @@
 
 from nickelslip.configuration.change_lifecycle import (
     STATE_WORDS,
-    ChangeManager,
     ChangeRejectedError,
     ConfigurationChange,
     RejectionReason,
 )
+from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.document import Document, config_from
 from nickelslip.configuration.document_parts import CompleteDocument, complete_document
@@ -29,6 +29,7 @@
 from nickelslip.configuration.store import HistoryStore
 from nickelslip.configuration.validation import Fault, InvalidDocumentError
 from nickelslip.server import control_commands as commands
+from nickelslip.server import control_results as results
 from nickelslip.server.canary_observation import CanaryObservation
 from nickelslip.server.canary_watcher import CanaryWatcher
 from nickelslip.server.change_applier import ChangeApplier
@@ -110,14 +111,14 @@
 
     async def _execute(self, request: dict[str, Any]) -> dict[str, Any]:
         command = commands.decode_command(request, self._server.clock())
-        return commands.encode_result(await self._dispatch(command))
+        return results.encode_result(await self._dispatch(command))
 
-    async def _dispatch(self, command: commands.Command) -> commands.Result:
+    async def _dispatch(self, command: commands.Command) -> results.Result:
         match command:
             case commands.StatusCommand():
                 return self._status()
             case commands.HistoryCommand():
-                return commands.HistoryResult(list(self.changes.records)[-MAX_RECORDS_IN_REPLY:])
+                return results.HistoryResult(list(self.changes.records)[-MAX_RECORDS_IN_REPLY:])
             case commands.CheckCommand():
                 return self._check(command)
             case commands.StageCommand():
@@ -125,9 +126,9 @@
             case commands.ApplyDocumentCommand():
                 return await self._apply_document(command)
             case commands.ApplyStagedCommand(number):
-                return commands.ChangeResult(await self._applier.apply_staged(number))
+                return results.ChangeResult(await self._applier.apply_staged(number))
             case commands.DiscardStagedCommand():
-                return commands.ChangeResult(self.changes.discard_staged(self._server.clock()))
+                return results.ChangeResult(self.changes.discard_staged(self._server.clock()))
             case commands.ConfirmCommand():
                 return await self._confirm()
             case commands.RollbackCommand():
@@ -144,31 +145,31 @@
         change = self._applier.draft(config_from(document), document, request.origin, request.is_forced)
         return change, warnings
 
-    def _check(self, command: commands.CheckCommand) -> commands.CheckResult:
+    def _check(self, command: commands.CheckCommand) -> results.CheckResult:
         document, warnings = self._complete(command.document)
         in_force = self.changes.in_force
         plan = plan_of(in_force.document, document)
-        return commands.CheckResult(plan, warnings, digest_of(document), in_force.generation.number)
+        return results.CheckResult(plan, warnings, digest_of(document), in_force.generation.number)
 
-    def _stage(self, command: commands.StageCommand) -> commands.StageResult:
+    def _stage(self, command: commands.StageCommand) -> results.StageResult:
         change, warnings = self._draft(command.request)
         self.changes.stage(self._server.clock(), change)
-        return commands.StageResult(change, warnings)
+        return results.StageResult(change, warnings)
 
-    async def _apply_document(self, command: commands.ApplyDocumentCommand) -> commands.ChangeResult:
+    async def _apply_document(self, command: commands.ApplyDocumentCommand) -> results.ChangeResult:
         if self.changes.current is not None:
             detail = f"change {self.changes.current.number} is on probation"
             raise ChangeRejectedError(RejectionReason.BUSY, detail)
         change, _ = self._draft(command.request)
         await self._applier.stage_and_apply(change)
-        return commands.ChangeResult(change)
+        return results.ChangeResult(change)
 
-    async def _confirm(self) -> commands.ChangeResult:
+    async def _confirm(self) -> results.ChangeResult:
         change = self.changes.current
         await self._applier.confirm(self._server.clock(), "confirmed by an operator")
-        return commands.ChangeResult(change)
+        return results.ChangeResult(change)
 
-    async def _roll_back(self, command: commands.RollbackCommand) -> commands.ChangeResult:
+    async def _roll_back(self, command: commands.RollbackCommand) -> results.ChangeResult:
         """Roll the current change back; where there is none, change to an earlier generation like to any document."""
         expected_origin = command.expected_origin
         if expected_origin is not None and expected_origin != self.changes.in_force.generation.origin:
@@ -177,17 +178,17 @@
         current = self.changes.current
         if current is not None and command.generation is None:
             await self._applier.roll_back("undone by an operator")
-            return commands.ChangeResult(current)
+            return results.ChangeResult(current)
         earlier = self.changes.earlier_snapshot(command.generation)
         document = {**earlier.document, "peers": self.changes.in_force.document["peers"]}
         origin = f"back to generation {earlier.generation.number}"
         change = self._applier.draft(config_from(document), document, origin, True)
         await self._applier.stage_and_apply(change)
-        return commands.ChangeResult(change)
+        return results.ChangeResult(change)
 
-    def _status(self) -> commands.StatusResult:
+    def _status(self) -> results.StatusResult:
         server = self._server
-        return commands.StatusResult(
+        return results.StatusResult(
             name=server.generation.config.name,
             phase=server.phase,
             is_healthy=server.is_healthy,
--- a/nickelslip/server/configuration_reloader.py
+++ b/nickelslip/server/configuration_reloader.py
@@ -11,7 +11,8 @@
 import anyio
 import anyio.to_thread
 
-from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeRejectedError
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError
+from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import Config, with_new_peer_addresses
 from nickelslip.configuration.document import Document, document_of
 from nickelslip.configuration.generations import digest_of
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the control socket, decoded from requests, and their results, encoded for replies."""
+"""Commands of the control socket, and how they are decoded from requests."""
 
 from __future__ import annotations
 
@@ -6,29 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from nickelslip.configuration.canary_analysis import Verdict
-from nickelslip.configuration.change_lifecycle import (
-    STATE_WORDS,
-    ChangeRejectedError,
-    ChangeState,
-    ChangeStatus,
-    ConfigurationChange,
-    RejectionReason,
-)
-from nickelslip.configuration.history import HistoryRecord
-from nickelslip.configuration.plan import Plan
-from nickelslip.configuration.validation import Fault
-from nickelslip.server.control_words import EVENT_WORDS, PHASE_WORDS, STANDING_WORDS
-from nickelslip.server.server import Phase
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError, RejectionReason
 
 MAX_ORIGIN_LENGTH = 200
 MAX_NAME_IN_MESSAGE = 40
 DEFAULT_ORIGIN = "control socket"
 
 
-# Commands
-
-
 @dataclass(frozen=True)
 class DocumentPart:
     """A document that was sent.
@@ -196,168 +180,3 @@
         ChangeRejectedError: It has expired, or a field has the wrong type.
     """
     return _DECODERS[request["do"]](request, now_ms)
-
-
-# Results
-
-
-@dataclass(frozen=True)
-class ChangeResult:
-    """A change that was acted upon."""
-
-    change: ConfigurationChange | None
-
-
-@dataclass(frozen=True)
-class StageResult:
-    """A change that was staged, and the warnings about its document."""
-
-    change: ConfigurationChange
-    warnings: list[Fault]
-
-
-@dataclass(frozen=True)
-class CheckResult:
-    """What a document would change.
-
-    Attributes:
-        plan: What would change, and when it would take effect.
-        warnings: The warnings about the document.
-        digest: The digest of the whole document.
-        base_generation: The number of the generation that it was compared with.
-    """
-
-    plan: Plan
-    warnings: list[Fault]
-    digest: str
-    base_generation: int
-
-
-@dataclass(frozen=True)
-class StatusResult:
-    """The status of the server.
-
-    Attributes:
-        name: The server's name.
-        phase: Its phase.
-        is_healthy: Whether it reports itself healthy.
-        open_request_count: Requests that have no answer yet, or whose run is not over.
-        verdict: The latest verdict on the change in its canary period.
-        adoption_times_us: For how long the server was stopped to adopt the latest generations.
-        unwritten_record_count: Records that could not be written to the history yet.
-        changes: What is in force, in progress and staged.
-    """
-
-    name: str
-    phase: Phase
-    is_healthy: bool
-    open_request_count: int
-    verdict: Verdict | None
-    adoption_times_us: list[float]
-    unwritten_record_count: int
-    changes: ChangeStatus
-
-
-@dataclass(frozen=True)
-class HistoryResult:
-    """The latest records of the history."""
-
-    records: list[HistoryRecord]
-
-
-Result = ChangeResult | StageResult | CheckResult | StatusResult | HistoryResult
-
-
-def encode_result(result: Result) -> dict[str, Any]:
-    """Return a result with the keys and words of the control protocol."""
-    match result:
-        case ChangeResult(change):
-            return {"change": _encode_optional_change(change)}
-        case StageResult(change, warnings):
-            return {"change": _encode_change(change), "warnings": _encode_faults(warnings)}
-        case CheckResult():
-            return _encode_check(result)
-        case StatusResult():
-            return _encode_status(result)
-        case HistoryResult(records):
-            return {"records": [_encode_record(record) for record in records]}
-
-
-def _encode_faults(faults: list[Fault]) -> list[dict[str, object]]:
-    return [fault.as_dict() for fault in faults]
-
-
-def _encode_optional_change(change: ConfigurationChange | None) -> dict[str, Any] | None:
-    return None if change is None else _encode_change(change)
-
-
-def _encode_change(change: ConfigurationChange) -> dict[str, Any]:
-    return {
-        "number": change.number,
-        "step": STATE_WORDS[change.state],
-        "since_ms": change.state_entered_at_ms,
-        "digest": change.digest,
-        "origin": change.origin,
-        "base": change.base_generation.number,
-        "reason": change.reason,
-        "generation": change.generation.number if change.generation else None,
-        "plan": change.plan.as_dict(),
-        "forced": change.forced,
-    }
-
-
-def _encode_check(result: CheckResult) -> dict[str, Any]:
-    return {
-        "plan": result.plan.as_dict(),
-        "lines": [str(difference) for difference in result.plan.differences],
-        "warnings": _encode_faults(result.warnings),
-        "digest": result.digest,
-        "against": result.base_generation,
-    }
-
-
-def _encode_status(status: StatusResult) -> dict[str, Any]:
-    return {
-        "name": status.name,
-        "phase": PHASE_WORDS[status.phase],
-        "healthy": status.is_healthy,
-        "in_hand": status.open_request_count,
-        "verdict": _encode_verdict(status.verdict),
-        "apply_us": status.adoption_times_us,
-        "history_behind": status.unwritten_record_count,
-        **_encode_change_status(status.changes),
-    }
-
-
-def _encode_verdict(verdict: Verdict | None) -> dict[str, Any] | None:
-    if verdict is None:
-        return None
-    return {"standing": STANDING_WORDS[verdict.standing], "reason": verdict.reason, **verdict.figures}
-
-
-def _encode_change_status(status: ChangeStatus) -> dict[str, Any]:
-    generation = status.in_force.generation
-    state = status.current.state if status.current else ChangeState.CONFIRMED
-    return {
-        "generation": generation.number,
-        "digest": status.in_force.digest,
-        "origin": generation.origin,
-        "since_ms": generation.created_at_ms,
-        "confirmed": status.confirmed_generation,
-        "step": STATE_WORDS[state],
-        "current": _encode_optional_change(status.current),
-        "staged": _encode_optional_change(status.staged),
-        "undone": status.rolled_back_for_ms,
-    }
-
-
-def _encode_record(record: HistoryRecord) -> dict[str, Any]:
-    return {
-        "at": record.sequence_number,
-        "event": EVENT_WORDS[record.event],
-        "generation": record.generation,
-        "digest": record.digest,
-        "origin": record.origin,
-        "since_ms": record.recorded_at_ms,
-        "reason": record.reason,
-    }
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,7 +11,8 @@
 from nickelslip.admission.interface import RequestState
 from nickelslip.configuration import history, json5_reader
 from nickelslip.configuration.canary_analysis import Before, Judge, Standing, Verdict
-from nickelslip.configuration.change_lifecycle import ChangeManager, ChangeRejectedError, ChangeState, RejectionReason
+from nickelslip.configuration.change_lifecycle import ChangeRejectedError, ChangeState, RejectionReason
+from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import config_from_platform
 from nickelslip.configuration.document import config_from, document_of
 from nickelslip.configuration.generations import Generation, digest_of
