--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -117,7 +117,7 @@
     node.log.info("serving", version=nickelslip.__version__, name=config.name, listen=":".join(map(str, config.listen)))
     in_order = anyio.run(node.run, backend_options={"use_uvloop": True})
     if in_order and lasting is not None:
-        lasting.well()
+        lasting.mark_stable()
     sys.exit(0 if in_order else FAILED)
 
 
--- a/nickelslip/startup/commands.py
+++ b/nickelslip/startup/commands.py
@@ -1,85 +1,126 @@
 """`nickelslip turns`: how many servers of a fleet may be restarted at once.
 
-Owns the arguments and the words of the answer. It must never reach for a fleet: the figures are the operator's, as
-measured.
+The figures are the operator's, as measured; no server is asked for them. The words of the options and of the answer are
+mapped here to those of rolling_restart.py.
 """
 
 from __future__ import annotations
 
 import json
-from dataclasses import asdict
 from math import inf
+from typing import Any
 
 import click
 
-from nickelslip.startup.rolling_restart import Measured
-from nickelslip.startup.rolling_restart import turns as reckoned
+from nickelslip.startup.rolling_restart import FleetMeasurement, RestartBound, RestartPlan, plan_rolling_restart
 
-FAULT = 2
+EXIT_BAD_ARGUMENTS = 2
+
+BOUND_WORDS = {
+    RestartBound.CORES: "cores",
+    RestartBound.CALLS: "calls",
+    RestartBound.FLEET_SIZE: "all at once",
+}
 
 
 @click.command(
     help="Say how many servers of a fleet may be restarted at once, and in how many turns, from measured "
     "figures. Loads are parts of what the whole warm fleet can do."
 )
-@click.option("--servers", type=int, required=True, help="In the fleet.")
-@click.option("--load", type=float, required=True, help="At the time of the restart: 0.6 is six tenths.")
-@click.option("--cold-from", type=float, default=0.2, show_default=True, help="Part of its speed a server starts with.")
-@click.option("--cold-ms", type=float, default=18_000.0, show_default=True, help="Until it is warm.")
+@click.option("--servers", "server_count", type=int, required=True, help="In the fleet.")
+@click.option(
+    "--load", "load_fraction", type=float, required=True, help="At the time of the restart: 0.6 is six tenths."
+)
+@click.option(
+    "--cold-from",
+    "cold_speed_fraction",
+    type=float,
+    default=0.2,
+    show_default=True,
+    help="Part of its speed a server starts with.",
+)
+@click.option("--cold-ms", "warm_up_ms", type=float, default=18_000.0, show_default=True, help="Until it is warm.")
 @click.option(
     "--away-ms",
+    "downtime_ms",
     type=float,
     default=5_000.0,
     show_default=True,
     help="From the notice to leave until its successor serves.",
 )
 @click.option(
-    "--calls", type=float, default=0.0, show_default=True, help="Out at once, of the whole fleet, at that load."
+    "--calls",
+    "concurrent_calls",
+    type=float,
+    default=0.0,
+    show_default=True,
+    help="Out at once, of the whole fleet, at that load.",
+)
+@click.option(
+    "--calls-survived",
+    "max_concurrent_calls",
+    type=float,
+    default=None,
+    help="By the records service; absent: no bound.",
 )
-@click.option("--calls-survived", type=float, default=None, help="By the records service; absent: no bound.")
 @click.option(
     "--cold-calls",
+    "cold_call_multiple",
     type=float,
     default=1.0,
     show_default=True,
     help="Calls of a cold server, as a multiple of a warm one's.",
 )
-@click.option("--spare", type=float, default=0.05, show_default=True, help="Part of the fleet to be left over.")
+@click.option(
+    "--spare", "spare_fraction", type=float, default=0.05, show_default=True, help="Part of the fleet to be left over."
+)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object.")
 def turns(
-    servers: int,
-    load: float,
-    cold_from: float,
-    cold_ms: float,
-    away_ms: float,
-    calls: float,
-    calls_survived: float | None,
-    cold_calls: float,
-    spare: float,
+    server_count: int,
+    load_fraction: float,
+    cold_speed_fraction: float,
+    warm_up_ms: float,
+    downtime_ms: float,
+    concurrent_calls: float,
+    max_concurrent_calls: float | None,
+    cold_call_multiple: float,
+    spare_fraction: float,
     as_json: bool,
 ) -> None:
-    """The answer in words, or as JSON."""
+    """Print the plan of a rolling restart, in words or as JSON."""
+    fleet = FleetMeasurement(
+        server_count,
+        load_fraction,
+        cold_speed_fraction,
+        warm_up_ms,
+        downtime_ms,
+        concurrent_calls,
+        inf if max_concurrent_calls is None else max_concurrent_calls,
+        cold_call_multiple,
+        spare_fraction,
+    )
     try:
-        plan = reckoned(
-            Measured(
-                servers,
-                load,
-                cold_from,
-                cold_ms,
-                away_ms,
-                calls,
-                inf if calls_survived is None else calls_survived,
-                cold_calls,
-                spare,
-            )
-        )
-    except ValueError as fault:
-        click.echo(f"nickelslip: turns: {fault}", err=True)
-        raise SystemExit(FAULT) from None
-    if as_json:
-        click.echo(json.dumps(asdict(plan)))
-        return
-    click.echo(
-        f"{plan.at_once} of {servers} at once (bound by {plan.bound_by}), {plan.turns} turns, "
-        f"one every {plan.every_ms / 1000:g} s, {plan.all_ms / 1000:g} s in all"
+        plan = plan_rolling_restart(fleet)
+    except ValueError as error:
+        click.echo(f"nickelslip: turns: {error}", err=True)
+        raise SystemExit(EXIT_BAD_ARGUMENTS) from None
+    click.echo(json.dumps(json_of(plan)) if as_json else text_of(plan, server_count))
+
+
+def json_of(plan: RestartPlan) -> dict[str, Any]:
+    """Return the plan under the keys of `--json`."""
+    return {
+        "at_once": plan.batch_size,
+        "bound_by": BOUND_WORDS[plan.bound],
+        "turns": plan.batch_count,
+        "every_ms": plan.batch_interval_ms,
+        "all_ms": plan.total_ms,
+    }
+
+
+def text_of(plan: RestartPlan, server_count: int) -> str:
+    """Return the plan in words."""
+    return (
+        f"{plan.batch_size} of {server_count} at once (bound by {BOUND_WORDS[plan.bound]}), {plan.batch_count} turns, "
+        f"one every {plan.batch_interval_ms / 1000:g} s, {plan.total_ms / 1000:g} s in all"
     )
--- a/nickelslip/startup/crash_loop.py
+++ b/nickelslip/startup/crash_loop.py
@@ -1,7 +1,6 @@
-"""Servers that die in their first seconds, again and again.
+"""Crash loops: how long a server waits before it starts again when it keeps exiting early.
 
-Owns what is made of the times of earlier starts: how long this one waits before it comes up. Free of I/O and clock; the
-file is kept by crash_file.py. It must never keep a server down that has run well, nor for longer than the bound.
+Arithmetic and seeded chance only: nothing here reads a clock or does I/O. The record is kept by crash_loop_file.py.
 """
 
 from __future__ import annotations
@@ -9,34 +8,45 @@
 import random
 from dataclasses import dataclass, replace
 
-EARLY_MS = 20_000.0  # a start that did not last so long died early
-LEAST_MS, MOST_MS = 500.0, 60_000.0  # the first pause, and the longest
-FREE = 1  # early deaths in a row for which nobody waits: a restart by hand is at once
-ROW_MOST = 32  # no more of them are counted
+EARLY_EXIT_MS = 20_000.0  # a start that lasted for less exited early
+MIN_DELAY_MS = 500.0
+MAX_DELAY_MS = 60_000.0
+EXITS_WITHOUT_DELAY = 1  # so that a restart by hand is immediate
+MAX_COUNTED_EXITS = 32
+MIN_JITTER_FRACTION = 0.5  # of the delay that was doubled; servers that exit together do not come back together
 
 
 @dataclass(frozen=True)
-class Starts:
-    """What is known of earlier starts: how many in a row died early, and when the latest began (Unix milliseconds) and
-    whether it is known to have lasted. `begun` of 0: none is known."""
-
-    row: int = 0
-    begun: float = 0.0
-    lasted: bool = True
-
-    def again(self, now: float) -> Starts:
-        """A start begins now. The one before died early unless it was marked as having lasted; a clock that went back
-        proves nothing."""
-        died = self.begun > 0 and not self.lasted
-        return Starts(min(ROW_MOST, self.row + 1) if died else 0, now, False)
-
-    def well(self) -> Starts:
-        """It has lasted, or was told to leave."""
-        return replace(self, row=0, lasted=True)
-
-    def pause_ms(self, chance: random.Random) -> float:
-        """How long this start waits: doubled with each early death in a row, and drawn, so that many that die together
-        do not come back together."""
-        if self.row <= FREE:
+class StartRecord:
+    """What is known of a server's starts.
+
+    Attributes:
+        consecutive_early_exits: How many starts in a row exited early before the latest one.
+        started_at_ms: When the latest start began, in Unix milliseconds; 0 where none is known.
+        is_stable: Whether the latest start is known to have lasted, or to have been told to stop.
+    """
+
+    consecutive_early_exits: int = 0
+    started_at_ms: float = 0.0
+    is_stable: bool = True
+
+    def with_new_start(self, now_ms: float) -> StartRecord:
+        """Return the record once another start begins now.
+
+        The one before exited early unless it was marked as stable. The time between them is not looked at, since a
+        clock may go back.
+        """
+        exited_early = self.started_at_ms > 0 and not self.is_stable
+        early_exits = min(MAX_COUNTED_EXITS, self.consecutive_early_exits + 1) if exited_early else 0
+        return StartRecord(early_exits, now_ms, is_stable=False)
+
+    def marked_stable(self) -> StartRecord:
+        """Return the record once the latest start has lasted, or was told to stop."""
+        return replace(self, consecutive_early_exits=0, is_stable=True)
+
+    def delay_ms(self, random_source: random.Random) -> float:
+        """Return how long the latest start waits: doubled with each early exit in a row, with jitter."""
+        if self.consecutive_early_exits <= EXITS_WITHOUT_DELAY:
             return 0.0
-        return chance.uniform(0.5, 1.0) * min(MOST_MS, LEAST_MS * 2.0 ** (self.row - FREE - 1))
+        doublings = self.consecutive_early_exits - EXITS_WITHOUT_DELAY - 1
+        return random_source.uniform(MIN_JITTER_FRACTION, 1.0) * min(MAX_DELAY_MS, MIN_DELAY_MS * 2.0**doublings)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -15,7 +15,7 @@
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.processes import program
 from nickelslip.emulator.schedule import zone_of
-from nickelslip.startup.crash_loop_file import NAME
+from nickelslip.startup.crash_loop_file import FILE_NAME
 
 pytestmark = pytest.mark.anyio
 COLD = {"cold": True, "machine": MachineKind(cold_from=0.3, cold_ms=2000.0, cold_calls=2.5)}
@@ -132,9 +132,9 @@
             await fleet.kill("n1")
         assert took[3] > took[2] > max(took[:2]) and took[3] > 500, took
         await fleet.start("n1")
-        await fleet.await_that(lambda: json.loads((starts / NAME).read_text())["row"] == 4)
+        await fleet.await_that(lambda: json.loads((starts / FILE_NAME).read_text())["row"] == 4)
         assert await fleet.leave("n1"), "one that waits is told to leave, and does"
-        assert json.loads((starts / NAME).read_text())["row"] == 0
+        assert json.loads((starts / FILE_NAME).read_text())["row"] == 0
         await asyncio.sleep(1.0)
         assert fleet.share(begin, fleet.history.clock() - 1000) > 0.8
         await over(fleet)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""How a server comes up: the state machine in simulated steps, spread, pauses, crash loops and turns."""
+"""How a server starts: the state machine in simulated steps, jitter, backoff, crash loops and rolling restarts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from hypothesis import strategies as st
 
 from nickelslip.startup.backoff import Backoff
-from nickelslip.startup.crash_loop import MOST_MS, Starts
-from nickelslip.startup.crash_loop_file import NAME, CrashFile
+from nickelslip.startup.commands import json_of
+from nickelslip.startup.crash_loop import MAX_DELAY_MS, StartRecord
+from nickelslip.startup.crash_loop_file import FILE_NAME, CrashLoopFile
 from nickelslip.startup.phase_jitter import next_in_phase, phase_of
-from nickelslip.startup.rolling_restart import Measured, turns
+from nickelslip.startup.rolling_restart import FleetMeasurement, RestartBound, plan_rolling_restart
 from nickelslip.startup.slow_start import (
     BACKOFF_SPAN_MS,
     DIRECTORY_ENTRY_LIFETIME_MS,
@@ -253,13 +254,13 @@
 
 
 def test_early_deaths_in_a_row_come_back_ever_less_often_and_a_restart_by_hand_at_once():
-    chance, starts, now, waits = random.Random(1), Starts(), 1e12, []
+    chance, starts, now, waits = random.Random(1), StartRecord(), 1e12, []
     for _ in range(12):
-        starts = starts.again(now)
-        waits.append(starts.pause_ms(chance))
+        starts = starts.with_new_start(now)
+        waits.append(starts.delay_ms(chance))
         now += waits[-1] + 1000
-    assert waits[:2] == [0.0, 0.0] and 0 < waits[2] < waits[5] < waits[8] and max(waits) <= MOST_MS
-    assert starts.well().again(now).pause_ms(chance) == 0.0
+    assert waits[:2] == [0.0, 0.0] and 0 < waits[2] < waits[5] < waits[8] and max(waits) <= MAX_DELAY_MS
+    assert starts.marked_stable().with_new_start(now).delay_ms(chance) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -278,12 +279,13 @@
 def test_a_file_of_starts_that_cannot_be_understood_keeps_nothing_down(tmp_path, text):
     warned = []
     log = type("Log", (), {"warning": lambda self, *words, **more: warned.append(more)})()
-    (tmp_path / NAME).write_text(text, encoding="latin-1")
-    file = CrashFile(str(tmp_path), log)
-    assert file.read() == Starts() and warned
-    file.write(Starts(3, 5.0, False))
-    assert file.read() == Starts(3, 5.0, False)
-    CrashFile(str(tmp_path / "gone"), log).write(Starts())
+    (tmp_path / FILE_NAME).write_text(text, encoding="latin-1")
+    file = CrashLoopFile(str(tmp_path), log)
+    assert file.read() == StartRecord() and warned
+    file.write(StartRecord(3, 5.0, False))
+    assert file.read() == StartRecord(3, 5.0, False)
+    assert (tmp_path / FILE_NAME).read_text() == '{"version": 1, "row": 3, "begun": 5.0, "lasted": false}'
+    CrashLoopFile(str(tmp_path / "gone"), log).write(StartRecord())
     assert len(warned) == 2
 
 
@@ -291,15 +293,24 @@
 
 
 def test_turns_are_bound_by_cores_or_by_calls_and_refused_where_not_one_may_go():
-    told = Measured(servers=100, load=0.6, cold_from=0.2, cold_ms=18_000.0, away_ms=3000.0)
-    plan = turns(told)
-    assert (plan.at_once, plan.bound_by, plan.turns) == (35, "cores", 3) and plan.all_ms == pytest.approx(63_000.0)
-    crowded = Measured(100, 0.6, 0.2, 18_000.0, 3000.0, calls=200.0, calls_survived=240.0, cold_calls=3.0)
-    assert turns(crowded).bound_by == "calls" and turns(crowded).at_once == 20
+    told = FleetMeasurement(
+        server_count=100, load_fraction=0.6, cold_speed_fraction=0.2, warm_up_ms=18_000.0, downtime_ms=3000.0
+    )
+    plan = plan_rolling_restart(told)
+    assert (plan.batch_size, plan.bound, plan.batch_count) == (35, RestartBound.CORES, 3)
+    assert plan.total_ms == pytest.approx(63_000.0)
+    assert json_of(plan) == {"at_once": 35, "bound_by": "cores", "turns": 3, "every_ms": 21_000.0, "all_ms": 63_000.0}
+    crowded = FleetMeasurement(
+        100, 0.6, 0.2, 18_000.0, 3000.0, concurrent_calls=200.0, max_concurrent_calls=240.0, cold_call_multiple=3.0
+    )
+    plan = plan_rolling_restart(crowded)
+    assert plan.bound is RestartBound.CALLS and plan.batch_size == 20 and json_of(plan)["bound_by"] == "calls"
     for bad in (
-        Measured(3, 0.8, 0.2, 1.0, 1.0),
-        Measured(0, 0.1, 0.2, 1.0, 1.0),
-        Measured(10, 0.1, 0.2, 1.0, 1.0, calls=50.0, calls_survived=50.0, cold_calls=2.0),
+        FleetMeasurement(3, 0.8, 0.2, 1.0, 1.0),
+        FleetMeasurement(0, 0.1, 0.2, 1.0, 1.0),
+        FleetMeasurement(
+            10, 0.1, 0.2, 1.0, 1.0, concurrent_calls=50.0, max_concurrent_calls=50.0, cold_call_multiple=2.0
+        ),
     ):
         with pytest.raises(ValueError):
-            turns(bad)
+            plan_rolling_restart(bad)
