--- a/nickelslip/server/directory_reporter.py
+++ b/nickelslip/server/directory_reporter.py
@@ -1,7 +1,7 @@
-"""The report to the directory.
+"""Reports to the directory: the datagrams that keep this server listed.
 
-Owns the one datagram that keeps this server listed. When one is due is the start's to say. It must never wait for the
-directory or depend on it: a report that cannot be sent is passed over, and the next one follows in its time.
+When a report is due is decided by the slow start. A report that cannot be sent is skipped, and the next one follows
+when it is due; nothing here waits for the directory.
 """
 
 from __future__ import annotations
@@ -15,72 +15,95 @@
 
 from nickelslip.configuration.config import Address
 
-if TYPE_CHECKING:  # types only: a start is spared what it does not need
+if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
     from nickelslip.server.interfaces import ReportSource
 
-
-def family_of(address: Address) -> socket.AddressFamily:
-    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+HEALTHY_WORD = "open"
+UNHEALTHY_WORD = "closed"
 
 
 class DirectoryReporter:
-    """The directory, as this server reports to it."""
+    """The directory, as this server reports to it.
 
-    def __init__(self, around: ReportSource) -> None:
-        self._around = around
-        self._reached = True
-        self._again = anyio.Event()
-        self._sock: socket.socket | None = None  # kept: where descriptors run short a report must not need one
+    Args:
+        source: Whose reports these are, and when they are due.
+    """
+
+    def __init__(self, source: ReportSource) -> None:
+        self._source = source
+        self._is_reachable = True
+        self._schedule_changed = anyio.Event()
+        self._socket: socket.socket | None = None  # kept open: a report must not need a descriptor when none is left
 
     def change_endpoint(self) -> None:
-        """What is due may have changed. A new address alone brings no report out of turn: a new configuration comes to
-        all servers in the same moment."""
-        self._again.set()
+        """Look again at when a report is due.
+
+        A new address alone makes no report due: all servers get a new configuration in the same moment.
+        """
+        self._schedule_changed.set()
 
     def report_health_change(self) -> None:
-        """The health has changed: report at once."""
-        self._around.slow_start.health_changed(self._around.clock())
-        self._again.set()
+        """Report at once, because the health has changed."""
+        self._source.slow_start.health_changed(self._source.clock())
+        self._schedule_changed.set()
 
     async def run(self) -> None:
         """Report from the moment when the worker pool is there to the end."""
-        with suppress(OSError):
-            self._socket(family_of(self._around.generation.config.directory))  # before callers come
+        with suppress(OSError):  # opened before clients take the descriptors; else at the first report
+            self._socket_for(self._address)
         try:
-            await self._run()
+            await self._report_when_due()
         finally:
-            if self._sock is not None:
-                self._sock.close()
+            if self._socket is not None:
+                self._socket.close()
 
-    async def _run(self) -> None:
+    async def _report_when_due(self) -> None:
+        slow_start = self._source.slow_start
         while True:
-            self._again = anyio.Event()
-            now, coming_up = self._around.clock(), self._around.slow_start
-            if coming_up.next_report_at_ms <= now:
+            self._schedule_changed = anyio.Event()
+            now_ms = self._source.clock()
+            if slow_start.next_report_at_ms <= now_ms:
                 self._report()
-                coming_up.report_sent(now)
-                self._around.update_slow_start()
-            wait = coming_up.next_report_at_ms - self._around.clock()
-            with anyio.move_on_after(None if wait == inf else max(0.0, wait) / 1000):
-                await self._again.wait()
-
-    def _socket(self, family: int) -> socket.socket:
-        """The one from which reports go out, to whatever address."""
-        if self._sock is None or self._sock.family != family:
-            fresh = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-            if self._sock is not None:
-                self._sock.close()
-            self._sock = fresh
-        return self._sock
+                slow_start.report_sent(now_ms)
+                self._source.update_slow_start()
+            wait_ms = slow_start.next_report_at_ms - self._source.clock()
+            with anyio.move_on_after(None if wait_ms == inf else max(0.0, wait_ms) / 1000):
+                await self._schedule_changed.wait()
+
+    @property
+    def _address(self) -> Address:
+        return self._source.generation.config.directory
 
     def _report(self) -> None:
-        address = self._around.generation.config.directory
-        report = f"PULSE {self._around.generation.config.name} {'open' if self._around.is_healthy else 'closed'}"
-        detail = None
+        error_text = None
         try:
-            self._socket(family_of(address)).sendto(report.encode(), address)
+            self._socket_for(self._address).sendto(self._encode_report(), self._address)
         except OSError as error:
-            detail = error.strerror
-        if (detail is None) is not self._reached:
-            self._reached = detail is None
-            self._around.log.info("directory_reachability", is_reachable=self._reached, detail=detail)
+            error_text = error.strerror
+        self._log_reachability(error_text)
+
+    def _encode_report(self) -> bytes:
+        health_word = HEALTHY_WORD if self._source.is_healthy else UNHEALTHY_WORD
+        return f"PULSE {self._source.generation.config.name} {health_word}".encode()
+
+    def _socket_for(self, address: Address) -> socket.socket:
+        """Return the socket from which reports go out; it is replaced where the address is of another family."""
+        family = family_of(address)
+        if self._socket is None or self._socket.family != family:
+            new_socket = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+            if self._socket is not None:
+                self._socket.close()
+            self._socket = new_socket
+        return self._socket
+
+    def _log_reachability(self, error_text: str | None) -> None:
+        """Log a change of whether reports can be sent; `error_text` is None where this one was."""
+        is_reachable = error_text is None
+        if is_reachable is not self._is_reachable:
+            self._is_reachable = is_reachable
+            self._source.log.info("directory_reachability", is_reachable=is_reachable, detail=error_text)
+
+
+def family_of(address: Address) -> socket.AddressFamily:
+    """Return the address family of a numeric address."""
+    return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -112,4 +112,4 @@
         place.config["lookup"] = f"127.0.0.1:{await place.directory_up()}"
         place.node.reload()
         await until(lambda: place.reports, 1.0)
-        assert place.node.directory_reporter._reached and place.clean is None
+        assert place.node.directory_reporter._is_reachable and place.clean is None
