--- a/benchmarks/jittered.py
+++ b/benchmarks/jittered.py
@@ -16,7 +16,7 @@
 import anyio
 
 sys.path.insert(0, os.getcwd())
-from nickelslip.server import directory_reporter, worker_pool_link  # noqa: E402
+from nickelslip.server import directory_reporter, worker_pool_connection  # noqa: E402
 
 FIRST_MS, MOST_MS = 250.0, 2000.0
 
@@ -41,7 +41,7 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(anyio, name)
 
-    worker_pool_link.anyio = Anyio()  # type: ignore[assignment]
+    worker_pool_connection.anyio = Anyio()  # type: ignore[assignment]
     directory_reporter.DirectoryReporter.run = run  # type: ignore[method-assign]
 
 
--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -2,7 +2,8 @@
 
 A command is unconfirmed from its writing until the worker pool answers a query that was written after it. What is
 unconfirmed when a link breaks may or may not have arrived. Once the next link has brought all missed notifications,
-`resend_decision` says for each such command whether it is sent again; that is the only place that decides it.
+`resend_decision` says for each such command whether it is sent again. A start that it leaves alone is sent again in
+one case only: by `take_runs_to_start_again`, when nobody waits for the answer and the worker pool cannot stop runs.
 """
 
 from __future__ import annotations
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,9 +8,8 @@
 import anyio
 import pytest
 
-from nickelslip.server import worker_pool_link
 from nickelslip.server.close_reasons import CloseReason
-from nickelslip.server.worker_pool_link import LinkState
+from nickelslip.server.worker_pool_connection import LinkState
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -35,7 +34,7 @@
         place.pool.seq += 1
         notice = {"op": "finished", "seq": 1, "id": A, "end": "fine", "ms": 20.0, "body": b64encode(b"once").decode()}
         place.pool.notices.append(notice)
-        stream = place.node.worker_pool._stream
+        stream = place.node.worker_pool._connection._stream
         if order == "before":
             unread(place, **notice)
         stream.end_with(CloseReason.RESET)  # in the same step: the task that was woken finds it ended
@@ -69,7 +68,7 @@
         old = place.pool
         old.measures = False  # what was written on it is not proven, so that the move waits
         await place.move()
-        await until(lambda: place.node.worker_pool._state is worker_pool_link.LinkState.MOVING)
+        await until(lambda: place.node.worker_pool._connection.state is LinkState.MOVING)
         await caller.ask(B, "pay")  # told to nobody yet
         await old.cut()
         await until(lambda: place.pool.told("spawn", B))
@@ -94,7 +93,7 @@
             await place.move()
         newest = place.pool
         if not back:  # until it is being replaced the first link is up, and rightly takes what comes
-            await until(lambda: place.node.worker_pool._state is not LinkState.UP or newest.binds())
+            await until(lambda: place.node.worker_pool._connection.state is not LinkState.UP or newest.binds())
         await caller.ask(A)
         await until(lambda: newest.told("spawn", A))
         await newest.finish(A)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,7 +18,7 @@
 import pytest
 
 from nickelslip.admission.controller import AdmissionController
-from nickelslip.server import load_balancer_connection, resp, worker_pool_link
+from nickelslip.server import load_balancer_connection, resp, worker_pool_connection
 from nickelslip.server.close_reasons import CloseReason
 from nickelslip.server.server import Phase
 from nickelslip.server.streams import BUFFER_BYTES
@@ -460,7 +460,7 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A, "pay")
-        place.node.worker_pool._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        place.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
         place.node.worker_pool.resume_with_reply(place.node.requests[int(A, 16)], b"reply")
         await until(lambda: place.pool.told("supply", A))
         assert place.pool.links == 2 and len(place.pool.told("spawn", A)) == 1
@@ -516,7 +516,7 @@
         old, told = place.pool, dict(place.config)
         old.measures = False  # so that the move waits for its proof
         await place.move()
-        await until(lambda: place.node.worker_pool._state is worker_pool_link.LinkState.MOVING)
+        await until(lambda: place.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
         place.pool, place.config = old, told
         place.node.reload()
         await caller.ask(A)
@@ -545,7 +545,7 @@
 async def test_an_address_overtaken_just_as_its_connection_came_about_is_not_bound(monkeypatch):
     async with Place() as place:
         caller = await (await place.up()).caller()
-        connect, overtaken = worker_pool_link.connect, []
+        connect, overtaken = worker_pool_connection.connect, []
 
         async def connect_and_be_overtaken(*values):
             stream = await connect(*values)
@@ -558,7 +558,7 @@
         await place.pool.down()
         await caller.ask(A)
         newest = await place.another_pool()
-        monkeypatch.setattr(worker_pool_link, "connect", connect_and_be_overtaken)
+        monkeypatch.setattr(worker_pool_connection, "connect", connect_and_be_overtaken)
         await place.move()
         await until(lambda: newest.told("spawn", A) and place.node.worker_pool.is_up)
         assert overtaken and not overtaken[0].binds()
@@ -652,7 +652,7 @@
 
 
 async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
-    monkeypatch.setattr(worker_pool_link, "MAX_QUERIES_WITHOUT_READ", 3)
+    monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
     async with Place() as place:
         caller = await (await place.up()).caller()
         place.pool.measures = False
