--- a/nickelslip/startup/__init__.py
+++ b/nickelslip/startup/__init__.py
@@ -1,1 +1,1 @@
-"""How one server comes up among hundreds that do the same, with no word between them."""
+"""The start of one server among hundreds that start at the same time and do not communicate."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,12 +4,16 @@
 import json
 import os
 from base64 import b64encode
+from types import SimpleNamespace
 
 import anyio
 import pytest
 
+from nickelslip.admission.interface import RequestState, RetrySafety
 from nickelslip.server.close_reasons import CloseReason
+from nickelslip.server.command_delivery import PendingCommand, ResendDecision, resend_decision
 from nickelslip.server.worker_pool_connection import LinkState
+from nickelslip.server.worker_pool_protocol import ResumeWithoutCall, ResumeWithReply, StartRun
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -112,3 +116,44 @@
         place.node.reload()
         await until(lambda: place.reports, 1.0)
         assert place.node.directory_reporter._is_reachable and place.clean is None
+
+
+START, REPLY, SKIP = StartRun(A, "read", b""), ResumeWithReply(A, b"reply"), ResumeWithoutCall(A, 7)
+AGAIN, OVER, LEAVE = ResendDecision.SEND_AGAIN, ResendDecision.START_OVER, ResendDecision.LEAVE
+
+
+@pytest.mark.parametrize(
+    ("command", "changed", "can_stop_runs", "decision"),
+    (
+        (START, {}, True, AGAIN),
+        (START, {}, False, AGAIN),
+        (START, {"safety": RetrySafety.IDEMPOTENCY_KEY}, True, LEAVE),
+        (START, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
+        (START, {"notified": True}, True, LEAVE),  # it has arrived
+        (START, {"run_is_out": False}, True, LEAVE),
+        (START, {"state": RequestState.CANCELLED}, True, LEAVE),
+        (REPLY, {}, True, OVER),
+        (REPLY, {}, False, LEAVE),
+        (REPLY, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
+        (REPLY, {"notified": True}, True, LEAVE),
+        (REPLY, {"state": RequestState.ORPHANED}, True, LEAVE),
+        (SKIP, {"state": RequestState.DEGRADED}, True, AGAIN),
+        (SKIP, {"state": RequestState.DEGRADED, "safety": RetrySafety.NON_IDEMPOTENT}, False, AGAIN),
+        (SKIP, {"state": RequestState.DEGRADED, "seq": 8}, True, LEAVE),  # it stands at a later call
+        (SKIP, {}, True, LEAVE),
+    ),
+)
+def test_a_command_that_may_be_lost_is_sent_again_only_where_arriving_twice_does_no_harm(
+    command, changed, can_stop_runs, decision
+):
+    facts = {"state": RequestState.RUNNING, "run_is_out": True, "notified": False, "seq": 7}
+    facts |= {"safety": RetrySafety.IDEMPOTENT} | changed
+    request = SimpleNamespace(
+        state=facts["state"],
+        run_is_out=facts["run_is_out"],
+        notified=facts["notified"],
+        call=SimpleNamespace(seq=facts["seq"]),
+        received=SimpleNamespace(traffic_class="read"),
+        generation=SimpleNamespace(retry_safety_by_class={"read": facts["safety"]}),
+    )
+    assert resend_decision(PendingCommand(command, request), can_stop_runs) is decision
