--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -60,7 +60,7 @@
     server.log.info("serving", version=nickelslip.__version__, name=config.name, listen=listen)
     ended_in_order = anyio.run(server.run, backend_options={"use_uvloop": True})
     if ended_in_order and crash_loop_guard is not None:
-        crash_loop_guard.well()
+        crash_loop_guard.mark_stable()
     sys.exit(EXIT_SUCCESS if ended_in_order else EXIT_FAILED)
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,13 +4,16 @@
 import json
 import os
 from base64 import b64encode
+from types import SimpleNamespace
 
 import anyio
 import pytest
 
-from nickelslip.server import worker_pool_link
+from nickelslip.admission.interface import RequestState, RetrySafety
 from nickelslip.server.close_reasons import CloseReason
-from nickelslip.server.worker_pool_link import LinkState
+from nickelslip.server.command_delivery import PendingCommand, ResendDecision, resend_decision
+from nickelslip.server.worker_pool_connection import LinkState
+from nickelslip.server.worker_pool_protocol import ResumeWithoutCall, ResumeWithReply, StartRun
 from tests.helpers import A, B, Place, until
 
 pytestmark = pytest.mark.anyio
@@ -35,7 +38,7 @@
         place.pool.seq += 1
         notice = {"op": "finished", "seq": 1, "id": A, "end": "fine", "ms": 20.0, "body": b64encode(b"once").decode()}
         place.pool.notices.append(notice)
-        stream = place.node.worker_pool._stream
+        stream = place.node.worker_pool._connection._stream
         if order == "before":
             unread(place, **notice)
         stream.end_with(CloseReason.RESET)  # in the same step: the task that was woken finds it ended
@@ -69,7 +72,7 @@
         old = place.pool
         old.measures = False  # what was written on it is not proven, so that the move waits
         await place.move()
-        await until(lambda: place.node.worker_pool._state is worker_pool_link.LinkState.MOVING)
+        await until(lambda: place.node.worker_pool._connection.state is LinkState.MOVING)
         await caller.ask(B, "pay")  # told to nobody yet
         await old.cut()
         await until(lambda: place.pool.told("spawn", B))
@@ -94,7 +97,7 @@
             await place.move()
         newest = place.pool
         if not back:  # until it is being replaced the first link is up, and rightly takes what comes
-            await until(lambda: place.node.worker_pool._state is not LinkState.UP or newest.binds())
+            await until(lambda: place.node.worker_pool._connection.state is not LinkState.UP or newest.binds())
         await caller.ask(A)
         await until(lambda: newest.told("spawn", A))
         await newest.finish(A)
@@ -112,4 +115,45 @@
         place.config["lookup"] = f"127.0.0.1:{await place.directory_up()}"
         place.node.reload()
         await until(lambda: place.reports, 1.0)
-        assert place.node.directory_reporter._reached and place.clean is None
+        assert place.node.directory_reporter._is_reachable and place.clean is None
+
+
+START, REPLY, SKIP = StartRun(A, "read", b""), ResumeWithReply(A, b"reply"), ResumeWithoutCall(A, 7)
+AGAIN, OVER, LEAVE = ResendDecision.SEND_AGAIN, ResendDecision.START_OVER, ResendDecision.LEAVE
+
+
+@pytest.mark.parametrize(
+    ("command", "changed", "can_stop_runs", "decision"),
+    (
+        (START, {}, True, AGAIN),
+        (START, {}, False, AGAIN),
+        (START, {"safety": RetrySafety.IDEMPOTENCY_KEY}, True, LEAVE),
+        (START, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
+        (START, {"notified": True}, True, LEAVE),  # it has arrived
+        (START, {"run_is_out": False}, True, LEAVE),
+        (START, {"state": RequestState.CANCELLED}, True, LEAVE),
+        (REPLY, {}, True, OVER),
+        (REPLY, {}, False, LEAVE),
+        (REPLY, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
+        (REPLY, {"notified": True}, True, LEAVE),
+        (REPLY, {"state": RequestState.ORPHANED}, True, LEAVE),
+        (SKIP, {"state": RequestState.DEGRADED}, True, AGAIN),
+        (SKIP, {"state": RequestState.DEGRADED, "safety": RetrySafety.NON_IDEMPOTENT}, False, AGAIN),
+        (SKIP, {"state": RequestState.DEGRADED, "seq": 8}, True, LEAVE),  # it stands at a later call
+        (SKIP, {}, True, LEAVE),
+    ),
+)
+def test_a_command_that_may_be_lost_is_sent_again_only_where_arriving_twice_does_no_harm(
+    command, changed, can_stop_runs, decision
+):
+    facts = {"state": RequestState.RUNNING, "run_is_out": True, "notified": False, "seq": 7}
+    facts |= {"safety": RetrySafety.IDEMPOTENT} | changed
+    request = SimpleNamespace(
+        state=facts["state"],
+        run_is_out=facts["run_is_out"],
+        notified=facts["notified"],
+        call=SimpleNamespace(seq=facts["seq"]),
+        received=SimpleNamespace(traffic_class="read"),
+        generation=SimpleNamespace(retry_safety_by_class={"read": facts["safety"]}),
+    )
+    assert resend_decision(PendingCommand(command, request), can_stop_runs) is decision
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -18,8 +18,8 @@
     encode_file,
 )
 from nickelslip.configuration.store import HistoryStore
-from nickelslip.startup.crash_loop import Starts
-from nickelslip.startup.crash_loop_file import CrashFile
+from nickelslip.startup.crash_loop import StartRecord
+from nickelslip.startup.crash_loop_file import CrashLoopFile
 
 DATA = Path(__file__).parent / "data"
 HISTORY = (DATA / "history").read_bytes()
@@ -98,7 +98,7 @@
 
 def test_a_stored_starts_file_is_read_and_written_with_the_same_bytes(tmp_path):
     log = structlog.get_logger()
-    starts = CrashFile(str(DATA), log).read()
-    assert starts == Starts(2, 1764720000123.5, True)
-    CrashFile(str(tmp_path), log).write(starts)
+    starts = CrashLoopFile(str(DATA), log).read()
+    assert starts == StartRecord(2, 1764720000123.5, True)
+    CrashLoopFile(str(tmp_path), log).write(starts)
     assert (tmp_path / "starts.json").read_bytes() == (DATA / "starts.json").read_bytes()
