--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -20,10 +20,12 @@
 from nickelslip.admission.controller import AdmissionController, SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
 from nickelslip.configuration.change_lifecycle import RECORDS_MOST, Changes
-from nickelslip.configuration.document import Checker, Document, checked, config_from
+from nickelslip.configuration.document import Document, DocumentChecker
+from nickelslip.configuration.document_conversion import config_from
+from nickelslip.configuration.document_reader import complete
 from nickelslip.configuration.generations import Generation, digest_of
-from nickelslip.configuration.json5_reader import Read, read_text
-from nickelslip.configuration.layers import merged
+from nickelslip.configuration.json5_reader import ParsedDocument, parse_document
+from nickelslip.configuration.layers import merge
 from nickelslip.configuration.plan import plan_of
 
 SEED = 7
@@ -48,8 +50,8 @@
 
 def whole_of(document: Document) -> Document:
     """A whole document, checked as one that was pushed."""
-    whole, faults = checked(Checker(Read(document, "document")).part())
-    if faults and any(fault.gravity.name == "FAULT" for fault in faults):
+    whole, faults = complete(DocumentChecker(ParsedDocument(document, "document")).check())
+    if faults and any(fault.severity.name == "FAULT" for fault in faults):
         raise ValueError(str(faults[0]))
     return whole
 
@@ -66,8 +68,8 @@
     def push(self, part: Document) -> None:
         """Read, check, plan, stage, adopt and confirm a part laid over what is in force, as `apply` does."""
         self.now += 1000.0
-        found = Checker(Read(part, "document")).part()
-        whole, _ = checked(merged(self.changes.in_force.document, found))
+        found = DocumentChecker(ParsedDocument(part, "document")).check()
+        whole, _ = complete(merge(self.changes.in_force.document, found))
         change = self.changes.draft(self.now, config_from(whole), whole, "benchmark")
         AdmissionController(
             Generation(0, change.config).settings, 0, 0.0
@@ -111,13 +113,13 @@
     document = own_document(tenants, grades=grades)
     text = encoded(document)
     whole = whole_of(document)
-    other, _ = checked(merged(whole, part_for(0)))
+    other, _ = complete(merge(whole, part_for(0)))
     old, new = Generation(1, config_from(whole)).settings, Generation(2, config_from(other)).settings
     control = AdmissionController(old, SEED, 0.0)
     changing, number = Changing(whole), iter(range(1, 1000))
     return ConfigurationCost(
         text_bytes=len(text),
-        parse_ms=processor_ms(lambda: read_text(text, "settings", places=False), repeats),
+        parse_ms=processor_ms(lambda: parse_document(text, "settings", with_positions=False), repeats),
         check_ms=processor_ms(lambda: whole_of(document), repeats),
         build_ms=processor_ms(lambda: config_from(whole), repeats),
         plan_ms=processor_ms(lambda: plan_of(whole, other), repeats),
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 
 from benchmarks.capacity.texts import ROOT, Ports, encoded, own_document, platform_value, tenant
-from nickelslip.configuration.schema import NAMED_MOST
-from nickelslip.configuration.validation import BYTES_MOST
+from nickelslip.configuration.schema import MAX_NAMES
+from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES
 from nickelslip.server import resp
 
 READY_MOST_S, LEAVE_MOST_S, ANSWER_MOST_S = 20.0, 6.0, 10.0
@@ -166,7 +166,7 @@
     text = encoded(own_document(tenants, ports, path) if changes else platform_value(tenants, ports))
     file = folder / f"config{ports.listen}.json"
     file.write_bytes(text)
-    lifted = len(text) > BYTES_MOST or (changes and tenants > NAMED_MOST["customers"])
+    lifted = len(text) > MAX_DOCUMENT_BYTES or (changes and tenants > MAX_NAMES["customers"])
     program = ["-m", "benchmarks.capacity.unbounded"] if lifted else ["deploy/serve.py"]
     begun = time.monotonic()
     with (folder / "log").open("ab") as log:
--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from math import ceil
 
-from nickelslip.configuration.commands import NODES_AT_ONCE
 from nickelslip.configuration.config import ChangeRules
-from nickelslip.configuration.rollout import Course, Do, Order, Rollout, Terms
+from nickelslip.configuration.rollout import Action, Instruction, Rollout, RolloutPolicy, RolloutStatus
+from nickelslip.configuration.rollout_runner import MAX_CONCURRENT_TARGETS, ROLLOUT_STATUS_WORDS
 
 STEP_MS = 50.0  # between the command's looks at its nodes
 MOST_MS = 600_000.0
@@ -35,29 +35,29 @@
 
 def spread(servers: int, apply_ms: float, status_ms: float) -> Spread:
     """One roll-out over so many servers."""
-    terms, probation_ms = Terms(), ChangeRules().probation_ms
+    terms, probation_ms = RolloutPolicy(), ChangeRules().probation_ms
     plan = Rollout([f"n{number}" for number in range(servers)], terms, 0.0)
-    waiting: list[Order] = []
-    out: list[tuple[float, str, Do]] = []  # replies, by when they come
+    waiting: list[Instruction] = []
+    out: list[tuple[float, str, Action]] = []  # replies, by when they come
     in_force: dict[str, float] = {}
     now = 0.0
-    while not plan.over and now < MOST_MS:
-        waiting += plan.step(now)
+    while not plan.is_finished and now < MOST_MS:
+        waiting += plan.advance(now)
         until = now + STEP_MS
         while True:
-            while waiting and len(out) < NODES_AT_ONCE:
+            while waiting and len(out) < MAX_CONCURRENT_TARGETS:
                 order = waiting.pop(0)
-                took = status_ms if order.do is Do.LOOK else apply_ms
-                heapq.heappush(out, (now + took, order.node, order.do))
+                took = status_ms if order.action is Action.CHECK_STATUS else apply_ms
+                heapq.heappush(out, (now + took, order.target, order.action))
             if not out or out[0][0] > until:
                 break
             now, node, do = heapq.heappop(out)
-            if do is Do.PUSH:
+            if do is Action.APPLY:
                 in_force.setdefault(node, now)
             step = "confirmed" if now >= in_force.get(node, now) + probation_ms else "on_probation"
-            plan.told(now, node, do, _reply(step), DIGEST)
+            plan.record_reply(now, node, do, _reply(step), DIGEST)
         now = until
-    course = plan.course.name.lower() if plan.over else Course.GOING.name.lower()
+    course = ROLLOUT_STATUS_WORDS[plan.status if plan.is_finished else RolloutStatus.IN_PROGRESS]
     return Spread(course, now / 1000, tuple(sorted(at / 1000 for at in in_force.values())))
 
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -12,8 +12,8 @@
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import FEW_TENANTS, Measured, Series
 from nickelslip.configuration.control_protocol import FRAME_MOST
-from nickelslip.configuration.schema import NAMED_MOST
-from nickelslip.configuration.validation import BYTES_MOST
+from nickelslip.configuration.schema import MAX_NAMES
+from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES
 
 SERVER, CALLER, DIRECTORY = "Server", "Caller", "Directory"
 RECORDS, CONTROL, COMMAND = "Records service", "Control machine", "Operator's command"
@@ -154,9 +154,7 @@
         _from(measured, SERVER, "a settings document checked", "tenants_check_ms", tenants, "ms"),
         _from(measured, SERVER, "two documents compared (plan)", "tenants_plan_ms", tenants, "ms"),
         _from(measured, SERVER, "decisions on one request, by tenants", "tenants_decision_us", tenants, "us"),
-        _from(
-            measured, SERVER, "decisions on one request, by grades", "grades_decision_us", NAMED_MOST["grades"], "us"
-        ),
+        _from(measured, SERVER, "decisions on one request, by grades", "grades_decision_us", MAX_NAMES["grades"], "us"),
         _from(measured, SERVER, "a decision on one event, by held items", "held_decision_us", HELD_MOST, "us"),
         _from(
             measured,
@@ -217,7 +215,7 @@
             "tenants in a document",
             tenants,
             "tenants",
-            NAMED_MOST["customers"],
+            MAX_NAMES["customers"],
             how="a bound of the schema",
             kind=BOUND,
         ),
@@ -228,7 +226,7 @@
             "tenants_text_bytes",
             tenants,
             "bytes",
-            BYTES_MOST,
+            MAX_DOCUMENT_BYTES,
             how="a bound of the reader",
             kind=BOUND,
         ),
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -26,7 +26,7 @@
 from benchmarks.capacity.texts import lifted_bounds
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_client import ask_once
-from nickelslip.configuration.rollout import Terms
+from nickelslip.configuration.rollout import RolloutPolicy
 
 HELD_CORES, RATE_CORES = 2, 64
 REST_S = 1.2
@@ -317,7 +317,7 @@
     @staticmethod
     def _looks() -> float:
         """Looks of a roll-out at one node while a change is on its shortest probation."""
-        return ChangeRules().probation_ms / Terms().look_ms
+        return ChangeRules().probation_ms / RolloutPolicy().status_check_interval_ms
 
 
 async def confirmed(server: real.Server) -> tuple[dict[str, object], float]:
--- a/benchmarks/capacity/texts.py
+++ b/benchmarks/capacity/texts.py
@@ -15,7 +15,8 @@
 from unittest.mock import patch
 
 from nickelslip.configuration.config import config_from_platform
-from nickelslip.configuration.document import Document, document_of
+from nickelslip.configuration.document import Document
+from nickelslip.configuration.document_conversion import document_of
 
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLE = ROOT / "examples" / "config.json"
@@ -86,8 +87,8 @@
 def lifted_bounds() -> Iterator[None]:
     """Read texts and name tenants beyond today's bounds."""
     with ExitStack() as stack:
-        stack.enter_context(patch("nickelslip.configuration.json5_reader.BYTES_MOST", LIFTED_BYTES))
-        stack.enter_context(patch("nickelslip.configuration.loading.BYTES_MOST", LIFTED_BYTES))
+        stack.enter_context(patch("nickelslip.configuration.json5_reader.MAX_DOCUMENT_BYTES", LIFTED_BYTES))
+        stack.enter_context(patch("nickelslip.configuration.loading.MAX_DOCUMENT_BYTES", LIFTED_BYTES))
         names = {"grades": LIFTED_NAMES, "customers": LIFTED_NAMES}
-        stack.enter_context(patch.dict("nickelslip.configuration.schema.NAMED_MOST", names))
+        stack.enter_context(patch.dict("nickelslip.configuration.schema.MAX_NAMES", names))
         yield
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -1,41 +1,49 @@
-"""`nickelslip config`: the operators' commands.
+"""`nickelslip config`: the commands by which operators check, apply, confirm and roll back configurations.
 
-Owns arguments, what is printed and the exit codes. It decides nothing of a change: documents are checked by
-document.py and again by the server that is asked, and a roll-out's course is rollout.py's.
+The names of commands and options, the printed texts and the keys of ``--json`` are read by scripts and stay.
 """
 
 from __future__ import annotations
 
 import os
-import secrets
-import sys
 import time
-from collections.abc import Awaitable, Callable, Sequence
+from collections.abc import Callable
 from functools import partial
-from typing import Any, NoReturn
+from typing import Any
 
 import anyio
 import anyio.to_thread
 import click
-import orjson
 
+from nickelslip.configuration.command_output import (
+    EXIT_CODES_HELP,
+    ExitCode,
+    exit_with,
+    exit_with_faults,
+    fault_line,
+    print_result,
+)
 from nickelslip.configuration.control_client import ServerUnreachableError, ask_once
-from nickelslip.configuration.document import part_of
-from nickelslip.configuration.json5_reader import read_text
-from nickelslip.configuration.layers import layered, merged, paths_of
+from nickelslip.configuration.document_reader import read_part
+from nickelslip.configuration.json5_reader import parse_document
+from nickelslip.configuration.layers import LayeredDocument, apply_layers, merge, values_by_path
 from nickelslip.configuration.loading import load_layers, read_file
 from nickelslip.configuration.plan import Plan, plan_of, shown
-from nickelslip.configuration.rollout import Course, Do, Order, Place, Rollout, Terms
-from nickelslip.configuration.schema import each_word
-from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
-
-DONE, FAILED, FAULTY, DENIED, UNDONE, UNREACHED = 0, 1, 2, 3, 4, 5
-CODES = (
-    "Exit codes: 0 done; 1 failed; 2 a fault in the arguments or a document; 3 denied by the server; "
-    "4 the change was undone; 5 no answer in time."
+from nickelslip.configuration.rollout import Rollout, RolloutPolicy, RolloutStatus
+from nickelslip.configuration.rollout_runner import (
+    ROLLOUT_STATUS_TEXTS,
+    ROLLOUT_STATUS_WORDS,
+    TARGET_STATE_WORDS,
+    run_rollout,
 )
-POLL_S = 0.5
-NODES_AT_ONCE = 16
+from nickelslip.configuration.schema import all_fields
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, has_errors
+
+POLL_INTERVAL_S = 0.5
+REPLY_TIMEOUT_MS = 10_000.0
+MAX_REPLY_TIMEOUT_MS = 5000.0  # of one reply in a rollout
+DIGEST_LENGTH = 12  # characters of a digest that the history shows
+NO_DIFFERENCES = ["nothing differs"]
 
 SOCKET = click.option(
     "--socket",
@@ -53,128 +61,103 @@
 FILES = click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 
 
-@click.group(help="Check, stage, apply, confirm and undo configurations.", epilog=CODES)
+@click.group(help="Check, stage, apply, confirm and undo configurations.", epilog=EXIT_CODES_HELP)
 def config() -> None:
-    """The commands."""
-
-
-def _out(value: dict[str, Any], as_json: bool, lines: Sequence[str]) -> None:
-    if as_json:
-        click.echo(orjson.dumps(value, default=list).decode())
-    else:
-        for line in lines:
-            click.echo(line)
-
+    """Group the commands."""
 
-def _stop(code: int, value: dict[str, Any], as_json: bool, lines: Sequence[str]) -> NoReturn:
-    if as_json:
-        click.echo(orjson.dumps(value, default=list).decode())
-    else:
-        for line in lines:
-            click.echo(f"nickelslip: {line}", err=True)
-    sys.exit(code)
-
-
-def _faulty(faults: Sequence[Fault], left_out: int, as_json: bool) -> NoReturn:
-    lines = [f"{fault.gravity.value}: {fault}" for fault in faults]
-    if left_out:
-        lines.append(f"and {left_out} more")
-    _stop(
-        FAULTY,
-        {"ok": False, "code": "faulty", "faults": [each.as_dict() for each in faults], "left_out": left_out},
-        as_json,
-        lines,
-    )
 
-
-def _part(files: Sequence[str], as_json: bool) -> dict[str, Any]:
-    """What the files say, one laid over the other, checked word by word."""
+def _read_part(files: tuple[str, ...], as_json: bool) -> dict[str, Any]:
+    """Return what the files give, one merged over the other, each field checked; faults end the program."""
     part: dict[str, Any] = {}
     faults: list[Fault] = []
     for file in files:
         try:
-            found, more = part_of(read_text(read_file(file), file), {})
-        except InvalidDocumentError as faulty:
-            faults += faulty.faults
+            layer, layer_faults = read_part(parse_document(read_file(file), file), {})
+        except InvalidDocumentError as error:
+            faults += error.faults
             continue
-        part, faults = merged(part, found), faults + more
-    if errors_of(faults):
-        _faulty(faults, 0, as_json)
+        part = merge(part, layer)
+        faults = faults + layer_faults
+    if has_errors(faults):
+        exit_with_faults(faults, 0, as_json)
     for warning in faults:
-        click.echo(f"{warning.gravity.value}: {warning}", err=True)
+        click.echo(fault_line(warning), err=True)
     return part
 
 
-def _ask(path: str, do: str, as_json: bool, wait_ms: float = 10_000.0, **fields: Any) -> dict[str, Any]:
-    """The server's reply; one that denies, or none, ends the program."""
+def _ask(path: str, command: str, as_json: bool, timeout_ms: float = REPLY_TIMEOUT_MS, **fields: Any) -> dict[str, Any]:
+    """Return the server's reply; a rejection, or no reply in time, ends the program."""
     try:
-        reply = anyio.run(partial(ask_once, path, do, wait_ms, **fields))
-    except ServerUnreachableError as fault:
-        _stop(UNREACHED, {"ok": False, "code": "unreachable", "text": str(fault)}, as_json, [str(fault)])
+        reply = anyio.run(partial(ask_once, path, command, timeout_ms, **fields))
+    except ServerUnreachableError as error:
+        value = {"ok": False, "code": "unreachable", "text": str(error)}
+        exit_with(ExitCode.UNREACHABLE, value, as_json, [str(error)])
     if reply.get("ok") is not True:
-        lines = [str(reply.get("text"))] + [
-            f"{each.get('path')}: {each.get('text')}" for each in reply.get("faults", [])
-        ]
-        _stop(FAULTY if reply.get("code") == "faulty" else DENIED, reply, as_json, lines)
+        code = ExitCode.FAULTY if reply.get("code") == "faulty" else ExitCode.REJECTED
+        lines = [str(reply.get("text"))]
+        lines += [f"{fault.get('path')}: {fault.get('text')}" for fault in reply.get("faults", [])]
+        exit_with(code, reply, as_json, lines)
     return reply
 
 
+def _spaced(word: str) -> str:
+    """Return a word of the control protocol as text."""
+    return word.replace("_", " ")
+
+
 @config.command(help="Check files as they stand, layer over layer, without a server.")
 @FILES
 @click.option("--origins", is_flag=True, help="Print every value with where it comes from.")
 @JSON
 def check(files: tuple[str, ...], origins: bool, as_json: bool) -> None:
-    """All faults in one go."""
+    """Check files and print all of their faults."""
     try:
-        told = load_layers(files, os.environ)
-    except InvalidDocumentError as faulty:
-        _faulty(faulty.faults, faulty.left_out, as_json)
-    lines = [f"{fault.gravity.value}: {fault}" for fault in told.warnings]
-    if origins:
+        layered = load_layers(files, os.environ)
+    except InvalidDocumentError as error:
+        exit_with_faults(error.faults, error.omitted_count, as_json)
+    value = {
+        "ok": True,
+        "warnings": [fault.as_dict() for fault in layered.warnings],
+        "document": layered.document,
+        "origins": {".".join(path): origin for path, origin in layered.origins.items()},
+    }
+    print_result(value, as_json, _check_lines(layered, origins))
+
+
+def _check_lines(layered: LayeredDocument, with_origins: bool) -> list[str]:
+    lines = [fault_line(fault) for fault in layered.warnings]
+    if with_origins:
         lines += [
-            f"{'.'.join(path)} = {shown(value)}  ({told.origin(path)})"
-            for path, value in paths_of(told.document).items()
+            f"{'.'.join(path)} = {shown(value)}  ({layered.origin_of(path)})"
+            for path, value in values_by_path(layered.document).items()
         ]
-    settings = told.config.settings
+    settings = layered.config.settings
     lines.append(
-        f"{told.config.name}: {len(settings.traffic_classes)} service grades, {len(settings.tenants)} customers, "
+        f"{layered.config.name}: {len(settings.traffic_classes)} service grades, {len(settings.tenants)} customers, "
         f"{settings.core_count} cores; in order"
     )
-    _out(
-        {
-            "ok": True,
-            "warnings": [each.as_dict() for each in told.warnings],
-            "document": told.document,
-            "origins": {".".join(path): origin for path, origin in told.origins.items()},
-        },
-        as_json,
-        lines,
-    )
+    return lines
 
 
 @config.command(help="Print every word of the schema, its kind and when a change of it acts.")
 @JSON
 def words(as_json: bool) -> None:
-    """The reference."""
+    """Print every field of the schema."""
     rows = [
         {
             "path": path,
-            "kind": word.kind.value,
-            "effect": word.effect.value,
-            "says": word.says,
-            "choices": list(word.choices),
-            "default": repr(word.default),
+            "kind": field.type.value,
+            "effect": field.effect.value,
+            "says": field.description,
+            "choices": list(field.choices),
+            "default": repr(field.default),
         }
-        for path, word in each_word()
+        for path, field in all_fields()
     ]
-    _out(
-        {"ok": True, "words": rows},
-        as_json,
-        [
-            f"{row['path']}: {row['kind']}; {row['says'] or '-'}; {row['effect']}; default {row['default']}"
-            for row in rows
-        ],
-    )
+    lines = [
+        f"{row['path']}: {row['kind']}; {row['says'] or '-'}; {row['effect']}; default {row['default']}" for row in rows
+    ]
+    print_result({"ok": True, "words": rows}, as_json, lines)
 
 
 @config.command(help="Print the plan from what a server has in force, or from a first file, to these files.")
@@ -184,29 +167,37 @@
 @WHOLE
 @JSON
 def diff(files: tuple[str, ...], path: str | None, before: str | None, whole: bool, as_json: bool) -> None:
-    """A dry run."""
+    """Print what would change, without changing it."""
     if before is not None:
-        try:
-            first = read_text(read_file(before), before)
-            old = layered([first], {})
-            new = layered([*([] if whole else [first]), *(read_text(read_file(file), file) for file in files)], {})
-        except InvalidDocumentError as faulty:
-            _faulty(faulty.faults, faulty.left_out, as_json)
-        plan: Plan = plan_of(old.document, new.document)
-        _out({"ok": True, "plan": plan.as_dict()}, as_json, list(map(str, plan.differences)) or ["nothing differs"])
+        plan = _plan_between_files(before, files, whole, as_json)
+        lines = [str(difference) for difference in plan.differences] or NO_DIFFERENCES
+        print_result({"ok": True, "plan": plan.as_dict()}, as_json, lines)
         return
     if path is None:
         raise click.UsageError("name a server by --socket, or a file by --from")
-    reply = _ask(path, "diff", as_json, document=_part(files, as_json), whole=whole)
-    _out(reply, as_json, reply["lines"] or ["nothing differs"])
+    reply = _ask(path, "diff", as_json, document=_read_part(files, as_json), whole=whole)
+    print_result(reply, as_json, reply["lines"] or NO_DIFFERENCES)
 
 
-def _push(do: str, path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> dict[str, Any]:
+def _plan_between_files(before: str, files: tuple[str, ...], whole: bool, as_json: bool) -> Plan:
+    try:
+        first = parse_document(read_file(before), before)
+        old = apply_layers([first], {})
+        layers = [] if whole else [first]
+        layers += [parse_document(read_file(file), file) for file in files]
+        new = apply_layers(layers, {})
+    except InvalidDocumentError as error:
+        exit_with_faults(error.faults, error.omitted_count, as_json)
+    return plan_of(old.document, new.document)
+
+
+def _push(command: str, path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> dict[str, Any]:
+    """Send the files to a server to be staged or applied, and return its reply."""
     return _ask(
         path,
-        do,
+        command,
         as_json,
-        document=_part(files, as_json),
+        document=_read_part(files, as_json),
         whole=whole,
         force=force,
         origin=f"{os.environ.get('USER', 'operator')}: {', '.join(map(os.path.basename, files))}",
@@ -220,16 +211,11 @@
 @FORCE
 @JSON
 def stage(path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> None:
-    """One change waits."""
+    """Stage a change."""
     reply = _push("stage", path, files, whole, force, as_json)
-    _out(
-        reply,
-        as_json,
-        [
-            f"change {reply['change']['number']} is staged",
-            *(f"warning: {each['path']}: {each['text']}" for each in reply["warnings"]),
-        ],
-    )
+    lines = [f"change {reply['change']['number']} is staged"]
+    lines += [f"warning: {warning['path']}: {warning['text']}" for warning in reply["warnings"]]
+    print_result(reply, as_json, lines)
 
 
 @config.command(help="Apply what is staged, or with files stage and apply these.")
@@ -243,32 +229,39 @@
 def apply(
     path: str, files: tuple[str, ...], whole: bool, force: bool, wait: bool, wait_ms: float, as_json: bool
 ) -> None:
-    """Puts it in force, on probation."""
+    """Apply a change and begin its canary period."""
     reply = _push("apply", path, files, whole, force, as_json) if files else _ask(path, "apply", as_json)
     change = reply["change"]
     if not wait or change["step"] == "confirmed":
-        _out(reply, as_json, [f"change {change['number']} is in force, {change['step'].replace('_', ' ')}"])
+        line = f"change {change['number']} is in force, {_spaced(change['step'])}"
+        print_result(reply, as_json, [line])
         return
-    until = time.monotonic() + wait_ms / 1000
-    while time.monotonic() < until:
+    _wait_for_confirmation(path, change, wait_ms, as_json)
+
+
+def _wait_for_confirmation(path: str, change: dict[str, Any], timeout_ms: float, as_json: bool) -> None:
+    """Ask for the status until the change is confirmed; its rollback or the timeout ends the program."""
+    deadline_s = time.monotonic() + timeout_ms / 1000
+    while time.monotonic() < deadline_s:
         status = _ask(path, "status", as_json)
         if status["digest"] != change["digest"]:
-            why = (status.get("verdict") or {}).get("reason", "undone")
-            _stop(UNDONE, {**status, "ok": False, "code": "undone"}, as_json, [f"undone: {why}"])
+            reason = (status.get("verdict") or {}).get("reason", "undone")
+            value = {**status, "ok": False, "code": "undone"}
+            exit_with(ExitCode.ROLLED_BACK, value, as_json, [f"undone: {reason}"])
         if status["step"] == "confirmed":
-            _out(status, as_json, [f"change {change['number']} is confirmed"])
+            print_result(status, as_json, [f"change {change['number']} is confirmed"])
             return
-        time.sleep(POLL_S)
-    _stop(UNREACHED, {"ok": False, "code": "late"}, as_json, ["still on probation"])
+        time.sleep(POLL_INTERVAL_S)
+    exit_with(ExitCode.UNREACHABLE, {"ok": False, "code": "late"}, as_json, ["still on probation"])
 
 
 @config.command(help="End the probation: what is in force stays.")
 @SOCKET
 @JSON
 def confirm(path: str, as_json: bool) -> None:
-    """An operator's word."""
+    """Confirm the change in its canary period."""
     reply = _ask(path, "confirm", as_json)
-    _out(reply, as_json, ["confirmed"])
+    print_result(reply, as_json, ["confirmed"])
 
 
 @config.command(help="Undo what is on probation; where nothing is, go back to an earlier generation.")
@@ -276,55 +269,56 @@
 @click.option("--generation", type=int, help="The confirmed generation to go back to; else the one before.")
 @JSON
 def rollback(path: str, generation: int | None, as_json: bool) -> None:
-    """The way back."""
+    """Roll back a change."""
     reply = _ask(path, "rollback", as_json, generation=generation)
-    _out(reply, as_json, [f"change {reply['change']['number']}: {reply['change']['step'].replace('_', ' ')}"])
+    change = reply["change"]
+    print_result(reply, as_json, [f"change {change['number']}: {_spaced(change['step'])}"])
 
 
 @config.command(help="Take the staged change out.")
 @SOCKET
 @JSON
 def drop(path: str, as_json: bool) -> None:
-    """Nothing is staged after it."""
-    _out(_ask(path, "drop", as_json), as_json, ["taken out"])
+    """Discard the staged change."""
+    print_result(_ask(path, "drop", as_json), as_json, ["taken out"])
 
 
 @config.command(help="Say what is in force, on probation and staged.")
 @SOCKET
 @JSON
 def status(path: str, as_json: bool) -> None:
-    """One look."""
+    """Print the status of a server."""
     reply = _ask(path, "status", as_json)
     lines = [
         f"{reply['name']}: {reply['phase']}, {reply['in_hand']} in hand",
-        f"generation {reply['generation']} from {reply['origin']}, {reply['step'].replace('_', ' ')}; "
+        f"generation {reply['generation']} from {reply['origin']}, {_spaced(reply['step'])}; "
         f"{reply['confirmed']} would be in force after a restart",
     ]
     if reply["verdict"]:
-        lines.append(f"verdict: {reply['verdict']['standing'].replace('_', ' ')}: {reply['verdict']['reason']}")
+        lines.append(f"verdict: {_spaced(reply['verdict']['standing'])}: {reply['verdict']['reason']}")
     if reply["staged"]:
         lines.append(f"staged: change {reply['staged']['number']} from {reply['staged']['origin']}")
     if reply["history_behind"]:
         lines.append(f"the history lacks {reply['history_behind']} records: its disk cannot be written")
-    _out(reply, as_json, lines)
+    print_result(reply, as_json, lines)
 
 
 @config.command(help="List the latest steps of generations.")
 @SOCKET
 @JSON
 def history(path: str, as_json: bool) -> None:
-    """The oldest first."""
+    """Print the history, the oldest record first."""
     reply = _ask(path, "history", as_json)
-    _out(
-        reply,
-        as_json,
-        [
-            f"{time.strftime('%Y-%m-%d %H:%M:%S', time.localtime(each['since_ms'] / 1000))}  {each['generation']:>4}  "
-            f"{each['event']:<12} {each['digest'][:12]}  {each['origin']}"
-            + (f": {each['reason']}" if each["reason"] else "")
-            for each in reply["records"]
-        ],
+    print_result(reply, as_json, [_record_line(record) for record in reply["records"]])
+
+
+def _record_line(record: dict[str, Any]) -> str:
+    moment = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(record["since_ms"] / 1000))
+    line = (
+        f"{moment}  {record['generation']:>4}  {record['event']:<12} {record['digest'][:DIGEST_LENGTH]}  "
+        f"{record['origin']}"
     )
+    return f"{line}: {record['reason']}" if record["reason"] else line
 
 
 @config.command(
@@ -354,84 +348,45 @@
     watch_ms: float,
     as_json: bool,
 ) -> None:
-    """The fleet."""
-    terms = Terms(
-        waves=waves or Terms.waves,
-        lost_most=lost_most,
-        silent_ms=silent_ms,
-        watch_ms=watch_ms,
-        answer_ms=min(5000.0, silent_ms),
+    """Apply a change on several servers in waves."""
+    policy = RolloutPolicy(
+        wave_fractions=waves or RolloutPolicy.wave_fractions,
+        max_unreachable_count=lost_most,
+        unreachable_after_ms=silent_ms,
+        max_canary_period_ms=watch_ms,
+        reply_timeout_ms=min(MAX_REPLY_TIMEOUT_MS, silent_ms),
     )
     try:
-        plan = Rollout(nodes, terms, 0.0)
-    except ValueError as fault:
-        raise click.UsageError(str(fault)) from None
-    part = _part([file], as_json)
-    tell: Callable[[str], None] = (lambda line: None) if as_json else click.echo
-    anyio.run(partial(roll_out, plan, terms, part, os.path.basename(file), tell))
-    places = {name: {"place": place.name.lower(), "why": why} for name, (place, why) in plan.places().items()}
-    value = {"ok": plan.course is Course.DONE, "course": plan.course.name.lower(), "why": plan.why, "nodes": places}
-    if plan.course is Course.DONE:
-        _out(value, as_json, ["every wave is good"])
-    else:
-        _stop(
-            UNDONE if plan.course is Course.UNDONE else FAILED,
-            value,
-            as_json,
-            [
-                f"{plan.course.value}: {plan.why}",
-                *(f"{name}: {each['place']} {each['why']}" for name, each in places.items()),
-            ],
-        )
-
-
-async def roll_out(
-    plan: Rollout,
-    terms: Terms,
-    part: dict[str, Any],
-    origin: str,
-    tell: Callable[[str], None],
-    ask: Callable[..., Awaitable[dict[str, Any]]] = ask_once,
-) -> None:
-    """Carry a roll-out through to its end: every order with a bound, so many at once."""
-    digests: dict[str, str] = {}
-    origin = f"roll-out {secrets.token_hex(4)}: {origin}"  # by which a node knows what is to be undone
-    seats = anyio.Semaphore(NODES_AT_ONCE)
-    begun, shown_before = time.monotonic(), dict[str, Place]()
-
-    def now() -> float:
-        return (time.monotonic() - begun) * 1000
-
-    async def carry_out(order: Order) -> None:
-        reply: dict[str, Any] | None = None
-        async with seats:
-            try:
-                if order.do is Do.PUSH:
-                    reply = await ask(
-                        order.node,
-                        "apply",
-                        terms.answer_ms,
-                        document=part,
-                        origin=origin,
-                        until_ms=time.time() * 1000 + terms.answer_ms,
-                    )
-                    digests[order.node] = (reply.get("change") or {}).get("digest", "")
-                elif order.do is Do.LOOK:
-                    reply = await ask(order.node, "status", terms.answer_ms)
-                else:
-                    reply = await ask(order.node, "rollback", terms.answer_ms, **{"from": origin})
-            except ServerUnreachableError:
-                reply = None
-        plan.told(now(), order.node, order.do, reply, digests.get(order.node, ""))
-
-    async with anyio.create_task_group() as tasks:
-        while not plan.over:
-            for order in plan.step(now()):
-                tasks.start_soon(carry_out, order)
-            for name, (place, why) in plan.places().items():
-                if shown_before.get(name) is not place:
-                    shown_before[name] = place
-                    if place is not Place.WAITING:
-                        tell(f"wave {plan.wave + 1}: {name}: {place.name.lower().replace('_', ' ')} {why}".rstrip())
-            await anyio.sleep(0.05)
-        tasks.cancel_scope.cancel()
+        state_machine = Rollout(nodes, policy, 0.0)
+    except ValueError as error:
+        raise click.UsageError(str(error)) from None
+    part = _read_part((file,), as_json)
+    report: Callable[[str], None] = (lambda line: None) if as_json else click.echo
+    anyio.run(partial(run_rollout, state_machine, policy, part, os.path.basename(file), report))
+    _print_rollout_result(state_machine, as_json)
+
+
+def _print_rollout_result(state_machine: Rollout, as_json: bool) -> None:
+    """Print how a rollout ended; one that was not completed ends the program."""
+    status = state_machine.status
+    targets = {
+        name: {"place": TARGET_STATE_WORDS[state], "why": reason}
+        for name, (state, reason) in state_machine.target_states().items()
+    }
+    value = {
+        "ok": status is RolloutStatus.COMPLETED,
+        "course": ROLLOUT_STATUS_WORDS[status],
+        "why": state_machine.reason,
+        "nodes": targets,
+    }
+    if status is RolloutStatus.COMPLETED:
+        print_result(value, as_json, ["every wave is good"])
+        return
+    lines = [f"{ROLLOUT_STATUS_TEXTS[status]}: {state_machine.reason}"]
+    lines += [f"{name}: {target['place']} {target['why']}" for name, target in targets.items()]
+    exit_with(
+        ExitCode.ROLLED_BACK if status is RolloutStatus.ROLLED_BACK else ExitCode.FAILED,
+        value,
+        as_json,
+        lines,
+    )
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -15,7 +15,7 @@
 from nickelslip.settings import Fields, MalformedSettingsError, gauge_names, settings_of
 
 Address = tuple[str, int]
-NOWHERE: Address = ("", 0)
+UNKNOWN_ADDRESS: Address = ("", 0)
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
     reload_all: bool = False  # SIGHUP takes the whole file as a change, and not the peers' addresses alone
 
     @property
-    def on(self) -> bool:
+    def accepts_changes(self) -> bool:
         return bool(self.socket) or self.reload_all
 
 
@@ -57,21 +57,21 @@
     starts: str = ""  # a folder where starts that died early are remembered; empty: they are not
 
 
-def address_from(text: str, name: str) -> Address:
+def parse_address(text: str, name: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise MalformedSettingsError(f"{name}: host:port is needed")
     return host.strip("[]"), int(port)
 
 
-def seed_from(text: str) -> int:
+def parse_seed(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError:
         raise MalformedSettingsError("seed: hex digits are needed") from None
 
 
-def told_by(environment: Mapping[str, str]) -> dict[str, str]:
+def environment_overrides(environment: Mapping[str, str]) -> dict[str, str]:
     """What the platform says by its environment, which wins over its file."""
     pairs = (("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN"))
     return {name: environment[variable] for name, variable in pairs if environment.get(variable)}
@@ -84,7 +84,7 @@
     the file's. The first fault is raised, or all are put on the list, and then the value is not to be used."""
     if not isinstance(value, dict):
         raise MalformedSettingsError("configuration: an object is needed")
-    told: dict[str, Any] = {**value, **told_by(environment)}
+    told: dict[str, Any] = {**value, **environment_overrides(environment)}
     top = Fields(told, "", faults)
     limits = top.inside("limits")
 
@@ -92,14 +92,14 @@
         known = len(faults or ())
         text = top.text(name)
         if len(faults or ()) > known:
-            return NOWHERE
+            return UNKNOWN_ADDRESS
         try:
-            return address_from(text, name)
+            return parse_address(text, name)
         except MalformedSettingsError as fault:
             if faults is None:
                 raise
             faults.append(fault)
-            return NOWHERE
+            return UNKNOWN_ADDRESS
 
     settings = settings_of(told.get("settings"), faults)
     calls = any(grade.makes_calls for grade in settings.traffic_classes)
@@ -109,7 +109,7 @@
             raise MalformedSettingsError("name: one word is needed")
         faults.append(MalformedSettingsError("name: one word is needed"))
     try:
-        seed = seed_from(top.text("seed"))
+        seed = parse_seed(top.text("seed"))
     except MalformedSettingsError as fault:
         if faults is None:
             raise
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -15,7 +15,7 @@
 
 from nickelslip.admission.interface import RetrySafety, Settings
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.descriptors import CHANGES, Shares, shares_of
+from nickelslip.configuration.descriptors import CONTROL_DESCRIPTORS, DescriptorShares, descriptor_shares
 
 RESULTS_PART = 1 / 4  # of this process's memory, for results that repeats may still ask for
 ENTRY_KB = 6.0  # an entry of the table in this process, with a result of the largest size
@@ -56,10 +56,10 @@
         return max(grade.timeout_ms for grade in self.config.settings.traffic_classes)
 
     @cached_property
-    def descriptor_shares(self) -> Shares:
+    def descriptor_shares(self) -> DescriptorShares:
         """Of this process's descriptors."""
-        theirs = CHANGES if self.config.changes.on else 0
-        return shares_of(self.config.descriptors - theirs, self.config.settings.dependency_concurrency_share)
+        theirs = CONTROL_DESCRIPTORS if self.config.changes.accepts_changes else 0
+        return descriptor_shares(self.config.descriptors - theirs, self.config.settings.dependency_concurrency_share)
 
     @cached_property
     def latency_objectives_ms(self) -> Mapping[str, float]:
--- a/nickelslip/configuration/json5_reader.py
+++ b/nickelslip/configuration/json5_reader.py
@@ -1,7 +1,7 @@
-"""The text of a document: bytes to plain values, with the place of each.
+"""Reads the text of a document: bytes to plain values, with the position of each.
 
-Owns the bounds on a text (size, depth, number of values), the two readers (plain JSON at once, JSON5 by its library)
-and the finding of doubled keys and of figures that are none. It does no I/O and knows no word of the schema.
+JSON5 is read by its library, which also gives positions but is slow; plain JSON without positions is read by the
+standard library. The size, the nesting and the number of values are bounded. The module knows no field of the schema.
 """
 
 from __future__ import annotations
@@ -10,166 +10,225 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelslip.configuration.validation import BYTES_MOST, Fault, InvalidDocumentError, Path
+from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES, Fault, InvalidDocumentError, Path
 
-JSON5_MOST = 64 * 1024  # of one that needs the slower reader, whose time is bounded so
-DEPTH_MOST = 16
-VALUES_MOST = 50_000
-OPEN, CLOSE = b"[{", b"]}"
+MAX_JSON5_BYTES = 64 * 1024  # bounds the time that the JSON5 library takes
+MAX_DEPTH = 16
+MAX_VALUES = 50_000
+QUOTES = b"\"'"
+OPENING_BRACKETS = b"[{"
+CLOSING_BRACKETS = b"]}"
+BACKSLASH = ord("\\")
+NEWLINE = ord("\n")
+SLASH = ord("/")
 
 
 @dataclass
-class Read:
-    """A text as it was read: its value, and the line and column of each path where they are known."""
+class ParsedDocument:
+    """A document as it was read.
+
+    Attributes:
+        value: The plain value.
+        source: Where it was read from.
+        positions: Line and column of each path, both from 1 on, where they are known.
+    """
 
     value: Any
     source: str
-    places: dict[Path, tuple[int, int]] = field(default_factory=dict)
+    positions: dict[Path, tuple[int, int]] = field(default_factory=dict)
 
-    def fault(self, path: Path, text: str) -> Fault:
-        """A fault at a path, or at the nearest one above it whose place is known."""
+    def fault_at(self, path: Path, text: str) -> Fault:
+        """Return a fault at a path, with the position of the nearest path above it whose position is known."""
         known = path
-        while known and known not in self.places:
+        while known and known not in self.positions:
             known = known[:-1]
-        line, column = self.places.get(known, (0, 0))
+        line, column = self.positions.get(known, (0, 0))
         return Fault(path, text, self.source, line, column)
 
 
-class _Strange(Exception):
-    """Plain JSON holds something that only the reader with places can report."""
+class UnsupportedJsonError(Exception):
+    """Plain JSON holds a duplicate key or a number that is none."""
 
 
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
-        raise _Strange("a key is there twice")
+        raise UnsupportedJsonError("a key is there twice")
     return value
 
 
-def _constant(name: str) -> Any:
-    raise _Strange(f"{name} is no figure")
-
-
-def depth_of(data: bytes) -> int:
-    """The deepest nesting of brackets outside of texts; what cannot be told apart counts as deeper, never less."""
-    deepest = depth = at = 0
-    while at < len(data):
-        byte = data[at]
-        if byte in b"\"'":
-            at += 1
-            while at < len(data) and data[at] not in (byte, 10):
-                at += 2 if data[at] == 92 else 1
-        elif byte == 47 and data[at + 1 : at + 2] == b"/":
-            end = data.find(b"\n", at)
-            at = len(data) if end < 0 else end
-        elif byte == 47 and data[at + 1 : at + 2] == b"*":
-            end = data.find(b"*/", at + 2)
-            at = len(data) if end < 0 else end + 1
-        elif byte in OPEN:
+def _reject_constant(name: str) -> Any:
+    raise UnsupportedJsonError(f"{name} is no figure")
+
+
+def _end_of_string(data: bytes, start: int) -> int:
+    """Return the position of the quote, or the newline, that ends the string starting here."""
+    position = start + 1
+    while position < len(data) and data[position] not in (data[start], NEWLINE):
+        position += 2 if data[position] == BACKSLASH else 1
+    return position
+
+
+def _end_of_comment(data: bytes, start: int) -> int | None:
+    """Return the position of the last byte of the comment starting here; None if none starts here."""
+    opening = data[start : start + 2]
+    if opening == b"//":
+        end = data.find(b"\n", start)
+        return len(data) if end < 0 else end
+    if opening == b"/*":
+        end = data.find(b"*/", start + 2)
+        return len(data) if end < 0 else end + 1
+    return None
+
+
+def nesting_depth(data: bytes) -> int:
+    """Return the deepest nesting of brackets outside of strings and comments.
+
+    Where the text is malformed the result may be too large, never too small.
+    """
+    deepest = 0
+    depth = 0
+    position = 0
+    while position < len(data):
+        byte = data[position]
+        if byte in QUOTES:
+            position = _end_of_string(data, position)
+        elif byte == SLASH:
+            end = _end_of_comment(data, position)
+            position = position if end is None else end
+        elif byte in OPENING_BRACKETS:
             depth += 1
             deepest = max(deepest, depth)
-        elif byte in CLOSE:
+        elif byte in CLOSING_BRACKETS:
             depth -= 1
-        at += 1
+        position += 1
     return deepest
 
 
-def read_text(data: bytes, source: str, places: bool = True) -> Read:
-    """The value of a text in JSON5, of which plain JSON is a part. With places, so that faults can be named by line
-    and column, the slower reader is used wherever the text is short enough for it. Raises Faulty."""
-    if len(data) > BYTES_MOST:
-        raise InvalidDocumentError([Fault((), f"over {BYTES_MOST} bytes", source)])
-    if depth_of(data) > DEPTH_MOST:
-        raise InvalidDocumentError([Fault((), f"nested deeper than {DEPTH_MOST}", source)])
-    plain: Exception | None = None
+def _invalid(text: str, source: str, line: int = 0, column: int = 0) -> InvalidDocumentError:
+    """Return the error of a text that cannot be read at all."""
+    return InvalidDocumentError([Fault((), text, source, line, column)])
+
+
+def parse_document(data: bytes, source: str, with_positions: bool = True) -> ParsedDocument:
+    """Return the value of a text in JSON5, of which plain JSON is a part.
+
+    Args:
+        data: The text.
+        source: Where it was read from, for the faults.
+        with_positions: Whether positions are wanted. They are left out of plain JSON that is too long for the JSON5
+            library, or where the library is not installed.
+
+    Raises:
+        InvalidDocumentError: The text is malformed, or over one of the bounds.
+    """
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise _invalid(f"over {MAX_DOCUMENT_BYTES} bytes", source)
+    if nesting_depth(data) > MAX_DEPTH:
+        raise _invalid(f"nested deeper than {MAX_DEPTH}", source)
+    json_error: Exception | None = None
     value: Any = None
     try:
-        value = json.loads(data, object_pairs_hook=_pairs, parse_constant=_constant)
-    except (ValueError, RecursionError, _Strange) as error:
-        plain = error
-    if plain is None and not places:
-        return Read(value, source)
-    if len(data) > JSON5_MOST:
-        if plain is None:
-            return Read(value, source)
-        raise InvalidDocumentError([Fault((), f"not plain JSON, and over {JSON5_MOST} bytes: {plain}", source)])
+        value = json.loads(data, object_pairs_hook=_unique_keys, parse_constant=_reject_constant)
+    except (ValueError, RecursionError, UnsupportedJsonError) as error:
+        json_error = error
+    if json_error is None and (not with_positions or len(data) > MAX_JSON5_BYTES):
+        return ParsedDocument(value, source)
+    if len(data) > MAX_JSON5_BYTES:
+        raise _invalid(f"not plain JSON, and over {MAX_JSON5_BYTES} bytes: {json_error}", source)
     try:
-        return _with_places(data, source)
+        return _parse_json5(data, source)
     except ImportError:
-        if plain is None:
-            return Read(value, source)
-        if isinstance(plain, _Strange):
-            raise InvalidDocumentError([Fault((), str(plain), source)]) from None
-        raise InvalidDocumentError(
-            [Fault((), f"not plain JSON, and JSON5 needs nickelslip[settings]: {plain}", source)]
-        ) from None
+        if json_error is None:
+            return ParsedDocument(value, source)
+        if isinstance(json_error, UnsupportedJsonError):
+            raise _invalid(str(json_error), source) from None
+        raise _invalid(f"not plain JSON, and JSON5 needs nickelslip[settings]: {json_error}", source) from None
 
 
-def _with_places(data: bytes, source: str) -> Read:
-    from json5.loader import ModelLoader, loads  # an extra: only where documents are written by hand
+def _parse_json5(data: bytes, source: str) -> ParsedDocument:
+    """Read a text with the JSON5 library. Raises ImportError where it is not installed."""
+    from json5.loader import ModelLoader, loads  # an optional dependency, for documents written by hand
 
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
-        raise InvalidDocumentError([Fault((), f"not UTF-8: {error.reason} at byte {error.start}", source)]) from None
+        raise _invalid(f"not UTF-8: {error.reason} at byte {error.start}", source) from None
     try:
         model = loads(text, loader=ModelLoader())
-    except Exception as error:  # the library raises several kinds, its lexer's among them, and all mean this
+    except Exception as error:  # the library and its lexer raise several types for a malformed text
         line = getattr(error, "lineno", 0) or 0
         column = (getattr(error, "colno", 0) or 0) if line else 0
-        detail = next((each.strip() for each in str(error).splitlines() if "rror" in each or "xpect" in each), "")
-        raise InvalidDocumentError([Fault((), f"not JSON5: {detail}".rstrip(": "), source, line, column)]) from None
-    walk = _Walk(source)
-    value = walk.value(model.value, ())
-    if walk.faults:
-        raise InvalidDocumentError(walk.faults)
-    return Read(value, source, walk.places)
+        raise _invalid(f"not JSON5: {_detail_of(error)}".rstrip(": "), source, line, column) from None
+    converter = _ModelConverter(source)
+    value = converter.value(model.value, ())
+    if converter.faults:
+        raise InvalidDocumentError(converter.faults)
+    return ParsedDocument(value, source, converter.positions)
+
 
+def _detail_of(error: Exception) -> str:
+    """Return the line of the library's message that says what is wrong."""
+    lines = str(error).splitlines()
+    return next((line.strip() for line in lines if "rror" in line or "xpect" in line), "")
 
-class _Walk:
-    """The library's model of a text to plain values and places, all faults collected."""
+
+class _ModelConverter:
+    """Converts the library's model of a text to plain values and positions.
+
+    Args:
+        source: Where the text was read from.
+
+    Attributes:
+        positions: Line and column of each path.
+        faults: All faults that were found.
+    """
 
     def __init__(self, source: str) -> None:
         self.source = source
-        self.places: dict[Path, tuple[int, int]] = {}
+        self.positions: dict[Path, tuple[int, int]] = {}
         self.faults: list[Fault] = []
-        self._count = 0
+        self._value_count = 0
 
-    def _fault(self, path: Path, node: Any, text: str) -> None:
-        self.faults.append(Fault(path, text, self.source, node.lineno or 0, (node.col_offset or 0) + 1))
+    def _position(self, node: Any) -> tuple[int, int]:
+        return node.lineno or 0, (node.col_offset or 0) + 1
+
+    def _add_fault(self, path: Path, node: Any, text: str) -> None:
+        self.faults.append(Fault(path, text, self.source, *self._position(node)))
 
     def value(self, node: Any, path: Path) -> Any:
-        """The value of a node; its place is kept."""
-        kind = type(node).__name__
-        self._count += 1
-        if self._count > VALUES_MOST:
-            if self._count == VALUES_MOST + 1:
-                self._fault(path, node, f"more than {VALUES_MOST} values")
+        """Return the value of a node and keep its position."""
+        self._value_count += 1
+        if self._value_count > MAX_VALUES:
+            if self._value_count == MAX_VALUES + 1:
+                self._add_fault(path, node, f"more than {MAX_VALUES} values")
             return None
         if node.lineno:
-            self.places.setdefault(path, (node.lineno, (node.col_offset or 0) + 1))
-        if kind == "JSONObject":
-            return self._object(node, path)
-        if kind == "JSONArray":
-            return [self.value(each, (*path, str(at))) for at, each in enumerate(node.values)]
-        if kind == "UnaryOp":
-            inner = self.value(node.value, path)
-            return inner if node.op == "+" or not isinstance(inner, int | float) else -inner
-        if kind in ("NaN", "Infinity"):
-            self._fault(path, node, f"{kind} is no figure")
-            return None
-        if kind in ("NullLiteral",):
-            return None
-        return node.characters if hasattr(node, "characters") else node.value
+            self.positions.setdefault(path, self._position(node))
+        match type(node).__name__:
+            case "JSONObject":
+                return self._object(node, path)
+            case "JSONArray":
+                return [self.value(item, (*path, str(index))) for index, item in enumerate(node.values)]
+            case "UnaryOp":
+                operand = self.value(node.value, path)
+                return operand if node.op == "+" or not isinstance(operand, int | float) else -operand
+            case "NaN" | "Infinity" as constant:
+                self._add_fault(path, node, f"{constant} is no figure")
+                return None
+            case "NullLiteral":
+                return None
+            case _:
+                return node.characters if hasattr(node, "characters") else node.value
 
     def _object(self, node: Any, path: Path) -> dict[str, Any]:
-        out: dict[str, Any] = {}
+        value: dict[str, Any] = {}
         for pair in node.key_value_pairs:
-            name = str(getattr(pair.key, "characters", None) or getattr(pair.key, "name", ""))
-            inner = (*path, name)
-            if name in out:
-                self._fault(inner, pair.key, "this key is there twice")
+            key = str(getattr(pair.key, "characters", None) or getattr(pair.key, "name", ""))
+            key_path = (*path, key)
+            if key in value:
+                self._add_fault(key_path, pair.key, "this key is there twice")
                 continue
-            self.places[inner] = (pair.key.lineno or 0, (pair.key.col_offset or 0) + 1)
-            out[name] = self.value(pair.value, inner)
-        return out
+            self.positions[key_path] = self._position(pair.key)
+            value[key] = self.value(pair.value, key_path)
+        return value
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -1,168 +1,201 @@
-"""Layers: defaults, file, overlays and environment into one whole document, the origin of each value kept.
+"""Layers: defaults, files and environment merged into one complete document that knows the origin of each value.
 
-Owns the order of layers, the merging of sections and named sections, and what may be said by the environment. It
-does no I/O: texts and the environment are handed in. A later layer wins word by word; a name set to null in a later
-layer is taken out.
+The order is: defaults, the files one after the other, the environment. A later layer wins key by key; a name that a
+later layer sets to null is removed. The module does no I/O.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelslip.configuration.config import Config, told_by
-from nickelslip.configuration.document import (
-    Document,
-    checked,
-    config_from,
-    is_platforms,
-    part_of,
-    shaped,
-    wrong,
-)
-from nickelslip.configuration.json5_reader import Read
-from nickelslip.configuration.schema import NAMED, SECTIONS, Kind, Word, word_at
-from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, errors_of
+from nickelslip.configuration.config import Config, environment_overrides
+from nickelslip.configuration.document import Document, is_platform_form
+from nickelslip.configuration.document_conversion import config_from
+from nickelslip.configuration.document_reader import complete, read_part
+from nickelslip.configuration.field_values import normalized, value_fault
+from nickelslip.configuration.json5_reader import ParsedDocument
+from nickelslip.configuration.schema import NAMED_SECTIONS, SECTIONS, Field, FieldType, field_at
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, has_errors
 
-PREFIX = "NICKELSLIP_SET_"  # then the path in capitals, with two underscores between: _SET_MACHINE__CORES
-DEFAULT = "default"
+VARIABLE_PREFIX = "NICKELSLIP_SET_"  # then the path in capitals: NICKELSLIP_SET_MACHINE__CORES
+PATH_SEPARATOR = "__"
+DEFAULT_ORIGIN = "default"
+JSON_TYPES = (FieldType.NUMBER, FieldType.INTEGER, FieldType.BOOLEAN, FieldType.STRING_LIST)
 
 
 @dataclass(frozen=True)
-class Layered:
-    """A whole document, the Config that it makes, where each value came from, and what should be known of it."""
+class LayeredDocument:
+    """The result of merging all layers.
+
+    Attributes:
+        config: The ``Config`` of the document.
+        document: The complete document.
+        origins: Where each value that was given came from.
+        warnings: Faults that do not forbid its use.
+    """
 
     config: Config
     document: Document
     origins: Mapping[Path, str] = field(default_factory=dict)
     warnings: tuple[Fault, ...] = ()
 
-    def origin(self, path: Path) -> str:
-        return self.origins.get(path, DEFAULT)
+    def origin_of(self, path: Path) -> str:
+        """Return where the value of a path came from."""
+        return self.origins.get(path, DEFAULT_ORIGIN)
+
+
+@dataclass
+class _Layers:
+    """What the layers merged so far give."""
+
+    part: Document = field(default_factory=dict)
+    faults: list[Fault] = field(default_factory=list)
+    origins: dict[Path, str] = field(default_factory=dict)
 
+    def add(self, part: Document, faults: list[Fault], origins: Mapping[Path, str]) -> None:
+        """Merge a layer over those before it."""
+        self.part = merge(self.part, part)
+        self.faults = self.faults + faults
+        self.origins.update(origins)
 
-def merged(under: Document, over: Document) -> Document:
-    """One part laid over another; neither is changed."""
-    out = {section: dict(inner) for section, inner in under.items()}
-    for section, inner in over.items():
-        if section not in NAMED:
-            out[section] = {**out.get(section, {}), **inner}
+    def raise_errors(self) -> None:
+        """Raise InvalidDocumentError if there is a fault that forbids the use of the document."""
+        if has_errors(self.faults):
+            raise InvalidDocumentError(self.faults)
+
+
+def merge(under: Document, over: Document) -> Document:
+    """Return one part merged over another; neither is changed."""
+    merged = {section: dict(values) for section, values in under.items()}
+    for section, values in over.items():
+        if section not in NAMED_SECTIONS:
+            merged[section] = {**merged.get(section, {}), **values}
             continue
-        names = out.setdefault(section, {})
-        for name, words in inner.items():
-            if words is None:
+        names = merged.setdefault(section, {})
+        for name, fields in values.items():
+            if fields is None:
                 names.pop(name, None)
             else:
-                names[name] = {**(names.get(name) or {}), **words}
-    return out
+                names[name] = {**(names.get(name) or {}), **fields}
+    return merged
+
+
+def _paths_of_part(part: Document) -> Iterator[Path]:
+    """Yield the path of every value that a part gives."""
+    for section, values in part.items():
+        for name, value in values.items():
+            if section in NAMED_SECTIONS:
+                yield from ((section, name, key) for key in value or {})
+            else:
+                yield (section, name)
+
+
+def _origins_in(parsed: ParsedDocument, part: Document) -> dict[Path, str]:
+    """Return the origin of each value of a part that was read from a document."""
+    origins: dict[Path, str] = {}
+    for path in _paths_of_part(part):
+        line, column = parsed.positions.get(path, (0, 0))
+        origins[path] = f"{parsed.source}:{line}:{column}" if line else parsed.source
+    return origins
 
 
-def _note(origins: dict[Path, str], part: Document, read: Read) -> None:
-    """Each value of a part comes from its place in the text."""
-    for section, inner in part.items():
-        for name, value in inner.items():
-            paths = [(section, name)] if section not in NAMED else [(section, name, word) for word in value or {}]
-            for path in paths:
-                line, column = read.places.get(path, (0, 0))
-                origins[path] = f"{read.source}:{line}:{column}" if line else read.source
+def _value_of_variable(field: Field, text: str) -> Any:
+    """Return a variable's text as a value of the field's type; what cannot be one stays a text, which is a fault."""
+    if field.type not in JSON_TYPES and text != "null":
+        return text
+    try:
+        return json.loads(text)
+    except ValueError:
+        return text
 
 
-def _value_from(word: Word, text: str) -> Any:
-    """An environment's text as a value of the word's kind; what cannot be one stays a text, and is then a fault."""
-    if word.kind in (Kind.NUMBER, Kind.WHOLE, Kind.FLAG, Kind.TEXTS) or text == "null":
-        try:
-            return json.loads(text)
-        except ValueError:
-            return text
-    return text
+def _set_value(part: Document, path: Path, value: Any) -> None:
+    section = part
+    for key in path[:-1]:
+        section = section.setdefault(key, {})
+    section[path[-1]] = value
 
 
-def from_environment(environment: Mapping[str, str]) -> tuple[Document, list[Fault], dict[Path, str]]:
-    """The part that the environment says, its faults, and the variable of each path."""
+def read_environment(environment: Mapping[str, str]) -> tuple[Document, list[Fault], dict[Path, str]]:
+    """Return the part that the environment gives, its faults, and the variable of each path."""
     part: Document = {}
     faults: list[Fault] = []
     origins: dict[Path, str] = {}
-    for name, text in told_by(environment).items():
-        part.setdefault("node", {})[name] = text
+    for name, text in environment_overrides(environment).items():
+        _set_value(part, ("node", name), text)
         origins[("node", name)] = f"environment:ROUTER_{name.upper()}"
     for variable in sorted(environment):
-        if not variable.startswith(PREFIX):
+        if not variable.startswith(VARIABLE_PREFIX):
             continue
         source = f"environment:{variable}"
-        path = tuple(step.lower() for step in variable[len(PREFIX) :].split("__"))
-        word = word_at(path)
-        if word is None:
-            faults.append(Fault(path, "unknown", source, gravity=Severity.WARNING))
+        path = tuple(key.lower() for key in variable[len(VARIABLE_PREFIX) :].split(PATH_SEPARATOR))
+        field = field_at(path)
+        if field is None:
+            faults.append(Fault(path, "unknown", source, severity=Severity.WARNING))
             continue
-        value = _value_from(word, environment[variable])
-        if (fault := wrong(word, value)) is not None:
+        value = _value_of_variable(field, environment[variable])
+        fault = value_fault(field, value)
+        if fault is not None:
             faults.append(Fault(path, fault, source))
             continue
-        inner = part
-        for step in path[:-1]:
-            inner = inner.setdefault(step, {})
-        inner[path[-1]] = shaped(word, value)
+        _set_value(part, path, normalized(field, value))
         origins[path] = source
     return part, faults, origins
 
 
-def layered(texts: list[Read], environment: Mapping[str, str]) -> Layered:
-    """All layers into one. Raises Faulty with the faults of all of them."""
-    part: Document = {}
-    faults: list[Fault] = []
-    origins: dict[Path, str] = {}
-    platform = bool(texts) and is_platforms(texts[0].value)
-    for at, read in enumerate(texts):
-        if at and is_platforms(read.value):
-            faults.append(Fault((), "only the first layer may have the platform's form", read.source))
+def apply_layers(documents: list[ParsedDocument], environment: Mapping[str, str]) -> LayeredDocument:
+    """Merge all layers and check the result.
+
+    Raises:
+        InvalidDocumentError: The layers, or the complete document, have faults; it holds all of them.
+    """
+    layers = _Layers()
+    for index, parsed in enumerate(documents):
+        if index and is_platform_form(parsed.value):
+            fault = Fault((), "only the first layer may have the platform's form", parsed.source)
+            layers.add({}, [fault], {})
             continue
-        layer, found = part_of(read, environment)
-        part, faults = merged(part, layer), faults + found
-        _note(origins, layer, read)
-    said, found, variables = from_environment(environment)
-    part, faults = merged(part, said), faults + found
-    origins.update(variables)
-    if errors_of(faults):
-        raise InvalidDocumentError(faults)
-    whole, found = checked(part)
-    found = [_placed(fault, origins) for fault in found]
-    if platform and len(texts) == 1:  # the platform's file alone is taken as it always was
-        found = [fault._replace(gravity=Severity.WARNING) for fault in found]
-    faults += found
-    if errors_of(faults):
-        raise InvalidDocumentError(faults)
-    return Layered(
-        config_from(whole),
-        whole,
-        {path: origin for path, origin in origins.items() if _there(whole, path)},
-        tuple(faults),
-    )
-
-
-def _placed(fault: Fault, origins: Mapping[Path, str]) -> Fault:
-    """A fault of the whole at the place from which its value came."""
-    source, _, place = origins.get(fault.path, "").partition(":")
-    line, _, column = place.partition(":")
+        part, faults = read_part(parsed, environment)
+        layers.add(part, faults, _origins_in(parsed, part))
+    layers.add(*read_environment(environment))
+    layers.raise_errors()
+    whole, faults = complete(layers.part)
+    faults = [_with_origin(fault, layers.origins) for fault in faults]
+    if len(documents) == 1 and is_platform_form(documents[0].value):
+        # The platform's own file was accepted before these checks existed
+        faults = [fault._replace(severity=Severity.WARNING) for fault in faults]
+    layers.add({}, faults, {})
+    layers.raise_errors()
+    origins = {path: origin for path, origin in layers.origins.items() if _contains(whole, path)}
+    return LayeredDocument(config_from(whole), whole, origins, tuple(layers.faults))
+
+
+def _with_origin(fault: Fault, origins: Mapping[Path, str]) -> Fault:
+    """Return a fault of the complete document with the position from which its value came."""
+    origin = origins.get(fault.path, "")
+    source, _, position = origin.partition(":")
+    line, _, column = position.partition(":")
     if not line.isdigit() or not column.isdigit():
         return fault._replace(source=origins.get(fault.path, fault.source))
     return fault._replace(source=source, line=int(line), column=int(column))
 
 
-def _there(whole: Document, path: Path) -> bool:
-    inner: Any = whole
-    for step in path:
-        if not isinstance(inner, Mapping) or step not in inner:
+def _contains(whole: Document, path: Path) -> bool:
+    value: Any = whole
+    for key in path:
+        if not isinstance(value, Mapping) or key not in value:
             return False
-        inner = inner[step]
+        value = value[key]
     return True
 
 
-def paths_of(whole: Document) -> dict[Path, Any]:
-    """Every word of a whole document, with its value."""
-    out: dict[Path, Any] = {(section, name): value for section in SECTIONS for name, value in whole[section].items()}
-    for section in NAMED:
-        for name, words in whole[section].items():
-            out.update({(section, name, word): value for word, value in words.items()})
-    return out
+def values_by_path(whole: Document) -> dict[Path, Any]:
+    """Return every value of a complete document by its path."""
+    values: dict[Path, Any] = {(section, key): value for section in SECTIONS for key, value in whole[section].items()}
+    for section in NAMED_SECTIONS:
+        for name, fields in whole[section].items():
+            values.update({(section, name, key): value for key, value in fields.items()})
+    return values
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -1,8 +1,4 @@
-"""Files of configuration: read whole, within a bound, or not at all.
-
-Owns the reading of files and of the environment for the start, a reload and the command line. It must never hand on
-half of a file: one that is being written while it is read is read again, and refused where that goes on.
-"""
+"""Loading of configuration files: each is read as a whole, within a bound, or not at all."""
 
 from __future__ import annotations
 
@@ -10,61 +6,88 @@
 import os
 import time
 from collections.abc import Mapping, Sequence
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from nickelslip.configuration.config import Config, config_from_platform
-from nickelslip.configuration.validation import BYTES_MOST, Fault, InvalidDocumentError
+from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES, Fault, InvalidDocumentError
 from nickelslip.settings import MalformedSettingsError
 
 if TYPE_CHECKING:
-    from nickelslip.configuration.layers import Layered
+    from nickelslip.configuration.layers import LayeredDocument
 
-TRIES, PAUSE_S = 3, 0.05
+MAX_READ_ATTEMPTS = 3
+READ_RETRY_PAUSE_S = 0.05
+VARIABLE_PREFIX = "NICKELSLIP_SET_"
 
 
 def read_file(path: str) -> bytes:
-    """The bytes of a file. Raises Faulty where it cannot be read, is too large, or changes all the while."""
-    for _ in range(TRIES):
+    """Return the bytes of a file that does not change while it is read.
+
+    Raises:
+        InvalidDocumentError: The file cannot be read, is too large, or changed during every attempt.
+    """
+    for _ in range(MAX_READ_ATTEMPTS):
         try:
             with open(path, "rb") as file:
                 before = os.fstat(file.fileno())
-                data = file.read(BYTES_MOST + 1)
+                data = file.read(MAX_DOCUMENT_BYTES + 1)
                 after = os.fstat(file.fileno())
         except OSError as error:
             raise InvalidDocumentError([Fault((), f"configuration: {path}: {error.strerror}")]) from None
-        if len(data) > BYTES_MOST:
-            raise InvalidDocumentError([Fault((), f"over {BYTES_MOST} bytes", path)])
+        if len(data) > MAX_DOCUMENT_BYTES:
+            raise InvalidDocumentError([Fault((), f"over {MAX_DOCUMENT_BYTES} bytes", path)])
         if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(data) == after.st_size:
             return data
-        time.sleep(PAUSE_S)
+        time.sleep(READ_RETRY_PAUSE_S)
     raise InvalidDocumentError([Fault((), "is being written while it is read", path)])
 
 
-def load_layers(paths: Sequence[str], environment: Mapping[str, str], places: bool = True) -> Layered:
-    """All layers: the files in their order, then the environment. Raises Faulty."""
-    from nickelslip.configuration.json5_reader import read_text
-    from nickelslip.configuration.layers import layered  # the long way: most starts never take it
+def load_layers(paths: Sequence[str], environment: Mapping[str, str], with_positions: bool = True) -> LayeredDocument:
+    """Return the files, in their order, and the environment merged into one document.
+
+    Args:
+        paths: The files.
+        environment: The variables of the process.
+        with_positions: Whether the positions of values in the files are wanted.
+
+    Raises:
+        InvalidDocumentError: A file cannot be read, or the document has faults.
+    """
+    # Imported here because the usual start, from the platform's plain file, needs neither
+    from nickelslip.configuration.json5_reader import parse_document
+    from nickelslip.configuration.layers import apply_layers
 
-    texts, faults = [], []
+    documents = []
+    faults = []
     for path in paths:
         try:
-            texts.append(read_text(read_file(path), path, places))
-        except InvalidDocumentError as faulty:
-            faults += faulty.faults
+            documents.append(parse_document(read_file(path), path, with_positions))
+        except InvalidDocumentError as error:
+            faults += error.faults
     if faults:
         raise InvalidDocumentError(faults)
-    return layered(texts, environment)
+    return apply_layers(documents, environment)
+
+
+def _is_plain_platform_form(value: Any) -> bool:
+    return isinstance(value, dict) and "version" not in value and "settings" in value
+
+
+def load_config(paths: Sequence[str], environment: Mapping[str, str]) -> Config:
+    """Return the configuration for the start of a server or for a reload.
 
+    The platform's plain file is decoded directly, without defaults, origins and positions.
 
-def load(paths: Sequence[str], environment: Mapping[str, str]) -> Config:
-    """The configuration with which a server starts, or which it reads again. The platform's plain file takes the
-    short way, without defaults, origins or places. Raises Malformed, with every fault and its place."""
-    if len(paths) == 1 and not any(name.startswith("NICKELSLIP_SET_") for name in environment):
+    Raises:
+        MalformedSettingsError: The configuration has faults; the text holds them with their positions.
+    """
+    has_overrides = any(variable.startswith(VARIABLE_PREFIX) for variable in environment)
+    if len(paths) == 1 and not has_overrides:
         data = read_file(paths[0])
         try:
             value = json.loads(data)
-            if isinstance(value, dict) and "version" not in value and "settings" in value:
+            if _is_plain_platform_form(value):
                 return config_from_platform(value, environment)
         except (ValueError, RecursionError, MalformedSettingsError):
-            pass  # the long way names all faults by their places
+            pass  # read again below, where every fault is found with its position
     return load_layers(paths, environment).config
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from nickelslip.configuration.document import Document
-from nickelslip.configuration.layers import paths_of
-from nickelslip.configuration.schema import COMES_AND_GOES, NAMED, NEVER_COMPARED, Effect, word_at
+from nickelslip.configuration.layers import values_by_path
+from nickelslip.configuration.schema import NAME_EFFECTS, NAMED_SECTIONS, NEVER_COMPARED, Effect, field_at
 from nickelslip.configuration.validation import Path
 
 ABSENT = None
@@ -99,18 +99,18 @@
 def plan_of(old: Document, new: Document) -> Plan:
     """What leads from one whole document to another."""
     out: list[Difference] = []
-    for section in NAMED:
+    for section in NAMED_SECTIONS:
         before, after = old[section], new[section]
         for name in [*before, *(each for each in after if each not in before)]:
             if (name in before) is not (name in after):
                 out.append(
                     Difference(
-                        (section, name), before.get(name, ABSENT), after.get(name, ABSENT), COMES_AND_GOES[section]
+                        (section, name), before.get(name, ABSENT), after.get(name, ABSENT), NAME_EFFECTS[section]
                     )
                 )
-    was, now = paths_of(old), paths_of(new)
+    was, now = values_by_path(old), values_by_path(new)
     for path in now:
-        word = word_at(path)
+        word = field_at(path)
         if path not in was or word is None or path in NEVER_COMPARED:
             continue
         before, after = was[path], now[path]
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -1,8 +1,8 @@
-"""A staged roll-out over several nodes: a canary, then waves, stopped and undone at the first node that undoes.
+"""The state machine of a staged rollout: a canary, then waves, rolled back at the first target that rolls back.
 
-Owns the place of each node in the roll-out, which wave is under way, and what follows from each reply or silence. It
-has no clock and does no I/O: the shell carries orders out and tells what came of them. A node that is down or answers
-late is neither counted as good nor waited for without a bound.
+``Rollout`` decides what is done next with each target (the control socket of one server) and what follows from each
+reply. It has no clock and does no I/O: ``rollout_runner`` carries its instructions out and records the replies. A
+target that is down or answers late is neither counted as confirmed nor waited for without a bound.
 """
 
 from __future__ import annotations
@@ -11,253 +11,373 @@
 from dataclasses import dataclass
 from enum import Enum
 from math import ceil, inf
-from typing import Any
-
-
-class Place(Enum):
-    """The place of one node."""
-
-    WAITING = "its wave has not come"
-    ASKED = "told to apply, and has not answered"
-    WATCHED = "the change is on probation there"
-    GOOD = "the change is confirmed there"
-    BAD = "it undid the change, or refused it"
-    LOST = "it did not answer in time"
-    TO_REVERT = "is to go back"
-    REVERTING = "told to go back, and has not answered"
-    REVERTED = "gone back"
-    STUCK = "could not be told to go back"
-
-
-class Course(Enum):
-    """The course of the whole."""
-
-    GOING = "waves are under way"
-    UNDOING = "a node undid the change, or too many are lost: all go back"
-    DONE = "every wave is good"
-    UNDONE = "no node has the change any more"
-    STUCK = "some node could not be told to go back"
-
-
-class Do(Enum):
-    """What the shell is to do with a node."""
-
-    PUSH = "apply the document"
-    LOOK = "ask for its status"
-    REVERT = "go back, if the document is still in force"
+from typing import Any, NamedTuple
+
+
+class TargetState(Enum):
+    """The state of one target."""
+
+    PENDING = "its wave has not begun"
+    APPLYING = "it is asked to apply the document"
+    IN_CANARY_PERIOD = "it has applied the document and watches it"
+    CONFIRMED = "it has confirmed the document"
+    FAILED = "it has rolled back or rejected the document"
+    UNREACHABLE = "it did not answer in time"
+    ROLLBACK_PENDING = "it is to roll back"
+    ROLLING_BACK = "it is asked to roll back"
+    ROLLED_BACK = "it has rolled back"
+    ROLLBACK_FAILED = "it could not be asked to roll back"
+
+
+class RolloutStatus(Enum):
+    """The status of the whole rollout."""
+
+    IN_PROGRESS = "waves are under way"
+    ROLLING_BACK = "a target failed or too many are unreachable; all roll back"
+    COMPLETED = "every wave is confirmed"
+    ROLLED_BACK = "no target has the document any more"
+    ROLLBACK_FAILED = "some target could not be asked to roll back"
+
+
+class Action(Enum):
+    """What is to be done with a target."""
+
+    APPLY = "apply the document"
+    CHECK_STATUS = "ask for the status"
+    ROLL_BACK = "roll back, if the document is still in force"
+
+
+TRANSITIONS: dict[TargetState, tuple[TargetState, ...]] = {
+    TargetState.PENDING: (TargetState.APPLYING,),
+    TargetState.APPLYING: (
+        TargetState.IN_CANARY_PERIOD,
+        TargetState.CONFIRMED,
+        TargetState.FAILED,
+        TargetState.UNREACHABLE,
+        TargetState.ROLLBACK_PENDING,
+    ),
+    TargetState.IN_CANARY_PERIOD: (
+        TargetState.CONFIRMED,
+        TargetState.FAILED,
+        TargetState.UNREACHABLE,
+        TargetState.ROLLBACK_PENDING,
+    ),
+    TargetState.CONFIRMED: (TargetState.ROLLBACK_PENDING,),
+    TargetState.FAILED: (),
+    TargetState.UNREACHABLE: (TargetState.ROLLBACK_PENDING,),
+    TargetState.ROLLBACK_PENDING: (TargetState.ROLLING_BACK,),
+    TargetState.ROLLING_BACK: (
+        TargetState.ROLLED_BACK,
+        TargetState.ROLLBACK_FAILED,
+        TargetState.ROLLBACK_PENDING,
+    ),
+    TargetState.ROLLED_BACK: (),
+    TargetState.ROLLBACK_FAILED: (),
+}
+ACTIONS: dict[TargetState, Action] = {
+    TargetState.APPLYING: Action.APPLY,
+    TargetState.IN_CANARY_PERIOD: Action.CHECK_STATUS,
+    TargetState.ROLLBACK_PENDING: Action.ROLL_BACK,
+}
+UNDECIDED = (TargetState.APPLYING, TargetState.IN_CANARY_PERIOD)
+MAY_HAVE_DOCUMENT = (TargetState.CONFIRMED, TargetState.UNREACHABLE, *UNDECIDED)
+DONE_WITH_ROLLBACK = (
+    TargetState.PENDING,
+    TargetState.FAILED,
+    TargetState.ROLLED_BACK,
+    TargetState.ROLLBACK_FAILED,
+)
+FINISHED = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK, RolloutStatus.ROLLBACK_FAILED)
+
+# Codes of the control protocol
+REJECTION_CODES = ("faulty", "restart", "undone", "unproven", "improper", "leaving", "history", "none")
+UNCHANGED_CODE = "nothing"
+TOO_LATE_CODE = "late"
+NOT_IN_FORCE_CODES = ("overtaken", "none")
+
+MAX_REASON_LENGTH = 200  # characters of a target's own words
+MAX_LISTED_TARGETS = 5
 
 
-MOVES: dict[Place, tuple[Place, ...]] = {
-    Place.WAITING: (Place.ASKED,),
-    Place.ASKED: (Place.WATCHED, Place.GOOD, Place.BAD, Place.LOST, Place.TO_REVERT),
-    Place.WATCHED: (Place.GOOD, Place.BAD, Place.LOST, Place.TO_REVERT),
-    Place.GOOD: (Place.TO_REVERT,),
-    Place.BAD: (),
-    Place.LOST: (Place.TO_REVERT,),
-    Place.TO_REVERT: (Place.REVERTING,),
-    Place.REVERTING: (Place.REVERTED, Place.STUCK, Place.TO_REVERT),
-    Place.REVERTED: (),
-    Place.STUCK: (),
-}
-OPEN = (Place.ASKED, Place.WATCHED)
-FINAL_UNDONE = (Place.WAITING, Place.BAD, Place.REVERTED, Place.STUCK)
-REFUSALS = ("faulty", "restart", "undone", "unproven", "improper", "leaving", "history", "none")
+@dataclass(frozen=True)
+class RolloutPolicy:
+    """How a rollout proceeds.
+
+    Attributes:
+        wave_fractions: Rising fractions of all targets that have been asked by the end of each wave. A wave has at
+            least one target, so the first of 0 is a canary.
+        max_unreachable_count: Targets that may be unreachable before all are rolled back.
+        reply_timeout_ms: Timeout of one reply.
+        unreachable_after_ms: Time without a reply after which a target is unreachable.
+        status_check_interval_ms: Time between two status checks of a target.
+        max_canary_period_ms: Time after which a target that is still in its canary period counts as unreachable.
+        rollback_timeout_ms: Timeout of the whole rollback.
+    """
+
+    wave_fractions: tuple[float, ...] = (0.0, 0.1, 0.5, 1.0)
+    max_unreachable_count: int = 0
+    reply_timeout_ms: float = 5000.0
+    unreachable_after_ms: float = 15_000.0
+    status_check_interval_ms: float = 500.0
+    max_canary_period_ms: float = 180_000.0
+    rollback_timeout_ms: float = 30_000.0
 
 
 @dataclass(frozen=True)
-class Terms:
-    """How a roll-out goes on. Times in milliseconds; waves as parts of all nodes, rising, each at least one node."""
+class Instruction:
+    """One action to be carried out now at one target."""
 
-    waves: tuple[float, ...] = (0.0, 0.1, 0.5, 1.0)  # the first is the canary: one node
-    lost_most: int = 0  # nodes that may be lost in all before the roll-out is undone
-    answer_ms: float = 5000.0  # for one reply
-    silent_ms: float = 15_000.0  # without a reply, after which a node is lost
-    look_ms: float = 500.0  # between looks
-    watch_ms: float = 180_000.0  # the longest probation that is waited for
-    revert_ms: float = 30_000.0  # for the whole of going back
+    target: str
+    action: Action
 
 
-@dataclass(frozen=True)
-class Order:
-    """One thing to do now with one node."""
+class TargetReport(NamedTuple):
+    """The state of a target, and the reason for it where there is one."""
 
-    node: str
-    do: Do
+    state: TargetState
+    reason: str
 
 
 @dataclass
-class _Node:
+class _Target:
+    """What is known of one target.
+
+    Attributes:
+        name: Path of its control socket.
+        state: Its state.
+        reason: Why it is in this state, if there is more to say.
+        entered_at_ms: When it entered this state.
+        last_reply_at_ms: When it last replied, or was first asked.
+        next_action_at_ms: When the next action is due.
+        is_action_pending: Whether an action is being carried out.
+    """
+
     name: str
-    place: Place = Place.WAITING
-    heard_ms: float = 0.0  # when it last answered, or was first asked
-    since_ms: float = 0.0
-    next_ms: float = 0.0
-    out: bool = False  # an order of it is being carried out
-    why: str = ""
-    had: bool = False  # its reply said that it has, or had, the change
+    state: TargetState = TargetState.PENDING
+    reason: str = ""
+    entered_at_ms: float = 0.0
+    last_reply_at_ms: float = 0.0
+    next_action_at_ms: float = 0.0
+    is_action_pending: bool = False
 
 
-def sizes_of(count: int, waves: Sequence[float]) -> list[int]:
-    """How many nodes have been asked at the end of each wave; the last takes in all."""
-    out: list[int] = []
-    for part in (*waves, 1.0):
-        size = min(count, max(1, ceil(part * count)))
-        if not out or size > out[-1]:
-            out.append(size)
-    return out
+def wave_ends(target_count: int, wave_fractions: Sequence[float]) -> list[int]:
+    """Return how many targets have been asked by the end of each wave; the last wave takes in all."""
+    ends: list[int] = []
+    for fraction in (*wave_fractions, 1.0):
+        end = min(target_count, max(1, ceil(fraction * target_count)))
+        if not ends or end > ends[-1]:
+            ends.append(end)
+    return ends
 
 
 class Rollout:
-    """One roll-out of one document."""
+    """One rollout of one document.
 
-    def __init__(self, nodes: Sequence[str], terms: Terms, now: float) -> None:
-        if not nodes or len(set(nodes)) != len(nodes):
-            raise ValueError("each node is named once, and there is at least one")
-        self._terms, self._now = terms, now
-        self._nodes = {name: _Node(name) for name in nodes}
-        self._sizes = sizes_of(len(nodes), terms.waves)
-        self.wave = -1
-        self.course = Course.GOING
-        self.why = ""
-        self._undoing_since = inf
-        self._next_wave()
+    Args:
+        targets: The paths of the control sockets, in the order of the waves.
+        policy: How to proceed.
+        now_ms: The present moment.
 
-    # State
+    Attributes:
+        wave: Index of the present wave.
+        status: Status of the whole.
+        reason: Why all are rolled back.
 
-    def _enter(self, node: _Node, place: Place, now: float, why: str = "") -> None:
-        """The one place where a node changes its place."""
-        if place not in MOVES[node.place]:
-            raise RuntimeError(f"{node.name} cannot go from {node.place.name} to {place.name}")
-        node.place, node.since_ms, node.why = place, now, why
+    Raises:
+        ValueError: There is no target, or one is named twice.
+    """
 
-    def places(self) -> dict[str, tuple[Place, str]]:
-        """The place of each node, and why."""
-        return {node.name: (node.place, node.why) for node in self._nodes.values()}
+    def __init__(self, targets: Sequence[str], policy: RolloutPolicy, now_ms: float) -> None:
+        if not targets or len(set(targets)) != len(targets):
+            raise ValueError("each node is named once, and there is at least one")
+        self._policy = policy
+        self._targets = {name: _Target(name) for name in targets}
+        self._wave_ends = wave_ends(len(targets), policy.wave_fractions)
+        self.wave = -1
+        self.status = RolloutStatus.IN_PROGRESS
+        self.reason = ""
+        self._rollback_began_at_ms = inf
+        self._begin_next_wave(now_ms)
+
+    def _enter(self, target: _Target, state: TargetState, now_ms: float, reason: str = "") -> None:
+        """Move a target to another state; the only place that does so."""
+        if state not in TRANSITIONS[target.state]:
+            raise RuntimeError(f"{target.name} cannot go from {target.state.name} to {state.name}")
+        target.state = state
+        target.entered_at_ms = now_ms
+        target.reason = reason
+
+    def target_states(self) -> dict[str, TargetReport]:
+        """Return the state of each target and the reason for it."""
+        return {target.name: TargetReport(target.state, target.reason) for target in self._targets.values()}
 
     @property
-    def over(self) -> bool:
-        return self.course in (Course.DONE, Course.UNDONE, Course.STUCK)
+    def is_finished(self) -> bool:
+        """Whether nothing is left to be done."""
+        return self.status in FINISHED
+
+    def _asked_targets(self) -> list[_Target]:
+        """Return the targets of all waves up to the present one."""
+        return list(self._targets.values())[: self._wave_ends[self.wave]]
 
-    def _next_wave(self) -> None:
+    def _begin_next_wave(self, now_ms: float) -> None:
         self.wave += 1
-        for node in list(self._nodes.values())[: self._sizes[self.wave]]:
-            if node.place is Place.WAITING:
-                self._enter(node, Place.ASKED, self._now)
-                node.heard_ms = node.next_ms = self._now
-
-    # Time
-
-    def step(self, now: float) -> list[Order]:
-        """What time alone brings about, and what is to be done now. Each order is answered by one call of `told`."""
-        self._now = now
-        for node in self._nodes.values():
-            self._silence(node, now)
-        if self.course is Course.GOING:
-            self._judge_wave(now)
-        if self.course is Course.UNDOING:
-            self._judge_undoing(now)
-        orders: list[Order] = []
-        for node in self._nodes.values():
-            if node.out or now < node.next_ms or self.over:
-                continue
-            do = {Place.ASKED: Do.PUSH, Place.WATCHED: Do.LOOK, Place.TO_REVERT: Do.REVERT}.get(node.place)
-            if do is None:
-                continue
-            if do is Do.REVERT:
-                self._enter(node, Place.REVERTING, now)
-            node.out, node.next_ms = True, now + self._terms.look_ms
-            orders.append(Order(node.name, do))
-        return orders
-
-    def _silence(self, node: _Node, now: float) -> None:
-        if node.place in OPEN and now - node.heard_ms > self._terms.silent_ms:
-            self._enter(node, Place.LOST, now, "no answer in time")
-        elif node.place is Place.WATCHED and now - node.since_ms > self._terms.watch_ms:
-            self._enter(node, Place.LOST, now, "its probation does not end")
-
-    def _judge_wave(self, now: float) -> None:
-        asked = list(self._nodes.values())[: self._sizes[self.wave]]
-        bad = next((node for node in asked if node.place is Place.BAD), None)
-        lost = [node for node in asked if node.place is Place.LOST]
-        if bad is not None:
-            self._undo(now, f"{bad.name}: {bad.why}")
-        elif len(lost) > self._terms.lost_most:
-            self._undo(now, f"{len(lost)} lost: {', '.join(node.name for node in lost[:5])}")
-        elif not any(node.place in OPEN for node in asked):
-            new = asked[self._sizes[self.wave - 1] if self.wave else 0 :]
-            if not any(node.place is Place.GOOD for node in new):
-                self._undo(now, "a whole wave is lost")
-            elif self.wave + 1 < len(self._sizes):
-                self._next_wave()
-            else:
-                self.course = Course.DONE
-
-    def _undo(self, now: float, why: str) -> None:
-        self.course, self.why, self._undoing_since = Course.UNDOING, why, now
-        for node in self._nodes.values():
-            if node.place in (Place.GOOD, Place.LOST, *OPEN):  # one that said nothing may have it
-                self._enter(node, Place.TO_REVERT, now, node.why)
-                node.next_ms = now
-
-    def _judge_undoing(self, now: float) -> None:
-        if now - self._undoing_since > self._terms.revert_ms:
-            for node in self._nodes.values():
-                if node.place is Place.TO_REVERT:
-                    self._enter(node, Place.REVERTING, now)
-                if node.place is Place.REVERTING:
-                    self._enter(node, Place.STUCK, now, "no answer while going back")
-        if all(node.place in FINAL_UNDONE for node in self._nodes.values()):
-            stuck = any(node.place is Place.STUCK for node in self._nodes.values())
-            self.course = Course.STUCK if stuck else Course.UNDONE
-
-    # What came of orders
-
-    def told(self, now: float, name: str, do: Do, reply: dict[str, Any] | None, digest: str) -> None:
-        """The reply to an order, or None where none came in time. `digest`: of the document at this node, as its own
-        reply to the push named it."""
-        node = self._nodes[name]
-        node.out = False
+        for target in self._asked_targets():
+            if target.state is TargetState.PENDING:
+                self._enter(target, TargetState.APPLYING, now_ms)
+                target.last_reply_at_ms = now_ms
+                target.next_action_at_ms = now_ms
+
+    # The passing of time
+
+    def advance(self, now_ms: float) -> list[Instruction]:
+        """Apply what follows from the time alone and return what is to be done now.
+
+        Each instruction has to be answered by one call of ``record_reply``.
+        """
+        for target in self._targets.values():
+            self._check_timeouts(target, now_ms)
+        if self.status is RolloutStatus.IN_PROGRESS:
+            self._check_wave(now_ms)
+        if self.status is RolloutStatus.ROLLING_BACK:
+            self._check_rollback(now_ms)
+        if self.is_finished:
+            return []
+        return [
+            self._instruct(target, ACTIONS[target.state], now_ms)
+            for target in self._targets.values()
+            if not target.is_action_pending and now_ms >= target.next_action_at_ms and target.state in ACTIONS
+        ]
+
+    def _instruct(self, target: _Target, action: Action, now_ms: float) -> Instruction:
+        if action is Action.ROLL_BACK:
+            self._enter(target, TargetState.ROLLING_BACK, now_ms)
+        target.is_action_pending = True
+        target.next_action_at_ms = now_ms + self._policy.status_check_interval_ms
+        return Instruction(target.name, action)
+
+    def _check_timeouts(self, target: _Target, now_ms: float) -> None:
+        """Declare a target unreachable that has not replied, or not come to a decision, in time."""
+        silent_ms = now_ms - target.last_reply_at_ms
+        in_state_ms = now_ms - target.entered_at_ms
+        if target.state in UNDECIDED and silent_ms > self._policy.unreachable_after_ms:
+            self._enter(target, TargetState.UNREACHABLE, now_ms, "no answer in time")
+        elif target.state is TargetState.IN_CANARY_PERIOD and in_state_ms > self._policy.max_canary_period_ms:
+            self._enter(target, TargetState.UNREACHABLE, now_ms, "its probation does not end")
+
+    def _check_wave(self, now_ms: float) -> None:
+        """Roll back where a target failed or too many are unreachable; go on once the wave is decided."""
+        asked = self._asked_targets()
+        failed = next((target for target in asked if target.state is TargetState.FAILED), None)
+        if failed is not None:
+            self._roll_back(now_ms, f"{failed.name}: {failed.reason}")
+            return
+        unreachable = [target.name for target in asked if target.state is TargetState.UNREACHABLE]
+        if len(unreachable) > self._policy.max_unreachable_count:
+            self._roll_back(now_ms, f"{len(unreachable)} lost: {', '.join(unreachable[:MAX_LISTED_TARGETS])}")
+            return
+        if any(target.state in UNDECIDED for target in asked):
+            return
+        new_in_wave = asked[self._wave_ends[self.wave - 1] if self.wave else 0 :]
+        if not any(target.state is TargetState.CONFIRMED for target in new_in_wave):
+            self._roll_back(now_ms, "a whole wave is lost")
+        elif self.wave + 1 < len(self._wave_ends):
+            self._begin_next_wave(now_ms)
+        else:
+            self.status = RolloutStatus.COMPLETED
+
+    def _roll_back(self, now_ms: float, reason: str) -> None:
+        """Begin to roll back every target that has the document, or may have it."""
+        self.status = RolloutStatus.ROLLING_BACK
+        self.reason = reason
+        self._rollback_began_at_ms = now_ms
+        for target in self._targets.values():
+            if target.state in MAY_HAVE_DOCUMENT:
+                self._enter(target, TargetState.ROLLBACK_PENDING, now_ms, target.reason)
+                target.next_action_at_ms = now_ms
+
+    def _check_rollback(self, now_ms: float) -> None:
+        """End the rollback once every target is done with it, or its time is over."""
+        if now_ms - self._rollback_began_at_ms > self._policy.rollback_timeout_ms:
+            for target in self._targets.values():
+                self._give_up_rollback(target, now_ms)
+        states = [target.state for target in self._targets.values()]
+        if not all(state in DONE_WITH_ROLLBACK for state in states):
+            return
+        if TargetState.ROLLBACK_FAILED in states:
+            self.status = RolloutStatus.ROLLBACK_FAILED
+        else:
+            self.status = RolloutStatus.ROLLED_BACK
+
+    def _give_up_rollback(self, target: _Target, now_ms: float) -> None:
+        if target.state is TargetState.ROLLBACK_PENDING:
+            self._enter(target, TargetState.ROLLING_BACK, now_ms)
+        if target.state is TargetState.ROLLING_BACK:
+            self._enter(target, TargetState.ROLLBACK_FAILED, now_ms, "no answer while going back")
+
+    # Replies
+
+    def record_reply(
+        self,
+        now_ms: float,
+        name: str,
+        action: Action,
+        reply: dict[str, Any] | None,
+        digest: str,
+    ) -> None:
+        """Record what came of an instruction.
+
+        Args:
+            now_ms: The present moment.
+            name: The target of the instruction.
+            action: The action of the instruction.
+            reply: The target's reply, or None if none came in time.
+            digest: Digest of the document at this target, as its reply to ``Action.APPLY`` gave it.
+        """
+        target = self._targets[name]
+        target.is_action_pending = False
         if reply is None:
-            if node.place is Place.REVERTING:
-                self._enter(node, Place.TO_REVERT, now, "no answer")
+            if target.state is TargetState.ROLLING_BACK:
+                self._enter(target, TargetState.ROLLBACK_PENDING, now_ms, "no answer")
             return
-        node.heard_ms = now
-        if do is Do.PUSH and node.place is Place.ASKED:
-            self._pushed(node, now, reply)
-        elif do is Do.LOOK and node.place is Place.WATCHED:
-            self._looked(node, now, reply, digest)
-        elif do is Do.REVERT and node.place is Place.REVERTING:
-            self._reverted(node, now, reply)
-
-    def _pushed(self, node: _Node, now: float, reply: dict[str, Any]) -> None:
+        target.last_reply_at_ms = now_ms
+        if action is Action.APPLY and target.state is TargetState.APPLYING:
+            self._record_apply(target, now_ms, reply)
+        elif action is Action.CHECK_STATUS and target.state is TargetState.IN_CANARY_PERIOD:
+            self._record_status(target, now_ms, reply, digest)
+        elif action is Action.ROLL_BACK and target.state is TargetState.ROLLING_BACK:
+            self._record_rollback(target, now_ms, reply)
+
+    def _record_apply(self, target: _Target, now_ms: float, reply: dict[str, Any]) -> None:
+        code = reply.get("code")
         if reply.get("ok") is True:
-            node.had = True
-            step = (reply.get("change") or {}).get("step")
-            self._enter(node, Place.GOOD if step == "confirmed" else Place.WATCHED, now)
-        elif reply.get("code") == "nothing":
-            self._enter(node, Place.GOOD, now, "it has the document already")
-        elif reply.get("code") == "late":
-            self._enter(node, Place.LOST, now, "it answered too late")
-        elif reply.get("code") in REFUSALS:
-            self._enter(node, Place.BAD, now, str(reply.get("text", "refused"))[:200])
-        else:
-            node.why = str(reply.get("text", "busy"))[:200]  # busy: asked again until it is lost
-            if now - node.since_ms > self._terms.silent_ms:
-                self._enter(node, Place.LOST, now, node.why)
-
-    def _looked(self, node: _Node, now: float, reply: dict[str, Any], digest: str) -> None:
+            is_confirmed = (reply.get("change") or {}).get("step") == "confirmed"
+            self._enter(target, TargetState.CONFIRMED if is_confirmed else TargetState.IN_CANARY_PERIOD, now_ms)
+        elif code == UNCHANGED_CODE:
+            self._enter(target, TargetState.CONFIRMED, now_ms, "it has the document already")
+        elif code == TOO_LATE_CODE:
+            self._enter(target, TargetState.UNREACHABLE, now_ms, "it answered too late")
+        elif code in REJECTION_CODES:
+            self._enter(target, TargetState.FAILED, now_ms, str(reply.get("text", "refused"))[:MAX_REASON_LENGTH])
+        else:  # busy: asked again until it is unreachable
+            target.reason = str(reply.get("text", "busy"))[:MAX_REASON_LENGTH]
+            if now_ms - target.entered_at_ms > self._policy.unreachable_after_ms:
+                self._enter(target, TargetState.UNREACHABLE, now_ms, target.reason)
+
+    def _record_status(self, target: _Target, now_ms: float, reply: dict[str, Any], digest: str) -> None:
         if reply.get("ok") is not True:
             return
         current = reply.get("current") or {}
         if reply.get("digest") != digest:
             verdict = (reply.get("verdict") or {}).get("reason", "it is not in force any more")
-            self._enter(node, Place.BAD, now, str(verdict)[:200])
+            self._enter(target, TargetState.FAILED, now_ms, str(verdict)[:MAX_REASON_LENGTH])
         elif reply.get("step") == "confirmed" and current.get("step") != "on_probation":
-            self._enter(node, Place.GOOD, now)
+            self._enter(target, TargetState.CONFIRMED, now_ms)
 
-    def _reverted(self, node: _Node, now: float, reply: dict[str, Any]) -> None:
-        """Gone back; or another document is in force than the one to go back from, which is as good."""
-        if reply.get("ok") is True or reply.get("code") in ("overtaken", "none"):
-            self._enter(node, Place.REVERTED, now)
+    def _record_rollback(self, target: _Target, now_ms: float, reply: dict[str, Any]) -> None:
+        """Record a rollback; that another document is in force by now is as good."""
+        if reply.get("ok") is True or reply.get("code") in NOT_IN_FORCE_CODES:
+            self._enter(target, TargetState.ROLLED_BACK, now_ms)
         else:
-            self._enter(node, Place.TO_REVERT, now, str(reply.get("text", ""))[:200])
+            self._enter(target, TargetState.ROLLBACK_PENDING, now_ms, str(reply.get("text", ""))[:MAX_REASON_LENGTH])
--- a/nickelslip/configuration/validation.py
+++ b/nickelslip/configuration/validation.py
@@ -1,7 +1,7 @@
-"""Faults of a document: what is wrong, where, and how grave it is.
+"""Faults of a configuration document: what is wrong, where, and whether the document may still be used.
 
-Owns the one form in which every stage of reading reports. It must never raise for a single fault: whoever reads
-collects all of them, so that an operator mends a document in one go.
+Every stage of reading collects all of its faults instead of raising at the first one, so that an operator can correct a
+document in one go.
 """
 
 from __future__ import annotations
@@ -12,8 +12,9 @@
 from nickelslip.settings import MalformedSettingsError
 
 Path = tuple[str, ...]
-BYTES_MOST = 512 * 1024  # of a text
-FAULTS_MOST = 100  # reported of one document: the rest is a number
+MAX_DOCUMENT_BYTES = 512 * 1024
+MAX_FAULTS = 100  # reported of one document; further ones are only counted
+MAX_FAULTS_IN_MESSAGE = 3
 
 
 class Severity(Enum):
@@ -24,41 +25,58 @@
 
 
 class Fault(NamedTuple):
-    """One thing that is wrong. Line and column count from 1; 0: not known."""
+    """One thing that is wrong.
+
+    Attributes:
+        path: Path of the key in the document; empty for the whole document.
+        text: What is wrong.
+        source: File or environment variable it comes from.
+        line: Line from 1 on; 0 if unknown.
+        column: Column from 1 on; 0 if unknown.
+        severity: Whether it forbids the use of the document.
+    """
 
     path: Path
     text: str
     source: str = ""
     line: int = 0
     column: int = 0
-    gravity: Severity = Severity.FAULT
+    severity: Severity = Severity.FAULT
 
     def __str__(self) -> str:
         place = f"{self.source}:{self.line}:{self.column}" if self.line else self.source
         return ": ".join(part for part in (place, ".".join(self.path), self.text) if part)
 
     def as_dict(self) -> dict[str, object]:
-        """For machines; the keys are stable."""
+        """Return the fault for clients; the keys are stable."""
         return {
             "path": ".".join(self.path),
             "text": self.text,
             "source": self.source,
             "line": self.line,
             "column": self.column,
-            "gravity": self.gravity.value,
+            "gravity": self.severity.value,
         }
 
 
 class InvalidDocumentError(MalformedSettingsError):
-    """A document that cannot be used, with all that is wrong with it."""
+    """A document cannot be used.
+
+    Args:
+        faults: All that is wrong with it, warnings included.
+
+    Attributes:
+        faults: The first ``MAX_FAULTS`` of them.
+        omitted_count: How many more there are.
+    """
 
     def __init__(self, faults: list[Fault]) -> None:
-        self.faults = faults[:FAULTS_MOST]
-        self.left_out = max(0, len(faults) - FAULTS_MOST)
-        graver = [fault for fault in self.faults if fault.gravity is Severity.FAULT] or self.faults
-        super().__init__("; ".join(map(str, graver[:3])) or "faulty")
+        self.faults = faults[:MAX_FAULTS]
+        self.omitted_count = max(0, len(faults) - MAX_FAULTS)
+        severe = [fault for fault in self.faults if fault.severity is Severity.FAULT] or self.faults
+        super().__init__("; ".join(map(str, severe[:MAX_FAULTS_IN_MESSAGE])) or "faulty")
 
 
-def errors_of(faults: list[Fault]) -> bool:
-    """Whether one of them forbids the use of the document."""
-    return any(fault.gravity is Severity.FAULT for fault in faults)
+def has_errors(faults: list[Fault]) -> bool:
+    """Return whether one of the faults forbids the use of the document."""
+    return any(fault.severity is Severity.FAULT for fault in faults)
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -21,17 +21,19 @@
 from nickelslip.configuration.canary_analysis import CanaryAnalysis, CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import Change, Changes, Denial, Denied, Start, Step, start_of
 from nickelslip.configuration.config import Config, with_new_peer_addresses
-from nickelslip.configuration.document import Checker, Document, checked, config_from, document_of
+from nickelslip.configuration.document import Document, DocumentChecker
+from nickelslip.configuration.document_conversion import config_from, document_of
+from nickelslip.configuration.document_reader import complete
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import Record
-from nickelslip.configuration.json5_reader import Read
-from nickelslip.configuration.layers import merged
+from nickelslip.configuration.json5_reader import ParsedDocument
+from nickelslip.configuration.layers import merge
 from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
 from nickelslip.configuration.request_metrics import BUCKET_MS, MetricsBucket, RequestMetrics
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.store import Store
-from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, has_errors
 from nickelslip.server.server import Phase, Server
 from nickelslip.settings import MalformedSettingsError
 
@@ -56,11 +58,11 @@
 
 def whole_of(part: Document) -> Document:
     """The whole document of a part in our own words that may come from anywhere. Raises Faulty."""
-    checker = Checker(Read(part, "document"))
-    found = checker.part()
-    if not errors_of(checker.faults):
-        whole, faults = checked(found)
-        if not errors_of(faults):
+    checker = DocumentChecker(ParsedDocument(part, "document"))
+    found = checker.check()
+    if not has_errors(checker.faults):
+        whole, faults = complete(found)
+        if not has_errors(faults):
             return whole
         raise InvalidDocumentError(faults)
     raise InvalidDocumentError(checker.faults)
@@ -311,13 +313,13 @@
         part = request.get("document")
         if not isinstance(part, dict):
             raise InvalidDocumentError([Fault((), "a document is needed")])
-        checker = Checker(Read(part, "document"))
-        found = checker.part()
-        if errors_of(checker.faults):
+        checker = DocumentChecker(ParsedDocument(part, "document"))
+        found = checker.check()
+        if has_errors(checker.faults):
             raise InvalidDocumentError(checker.faults)
         base: Document = {} if request.get("whole") is True else self.changes.in_force.document
-        whole, faults = checked(merged(base, found))
-        if errors_of(faults):
+        whole, faults = complete(merge(base, found))
+        if has_errors(faults):
             raise InvalidDocumentError(faults)
         return whole, checker.faults + faults
 
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -155,5 +155,5 @@
                 "faulty",
                 str(faulty),
                 faults=[each.as_dict() for each in faulty.faults],
-                left_out=faulty.left_out,
+                left_out=faulty.omitted_count,
             )
--- a/nickelslip/server/load_balancer_listener.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -112,7 +112,7 @@
         all are accepted, so that those that were are read before others crowd them out."""
         shares = self.host.generation.descriptor_shares
         for _ in range(most):
-            if len(self._connections) >= shares.balancers + shares.lingering and not self._cut_lingering():
+            if len(self._connections) >= shares.load_balancers + shares.lingering and not self._cut_lingering():
                 return True
             try:
                 sock, _ = self._listener.accept()
@@ -160,7 +160,7 @@
 
     def _has_free_place(self) -> bool:
         """Whether one more connection fits; those that linger have places of their own."""
-        return len(self._connections) - len(self._parting) < self.host.generation.descriptor_shares.balancers
+        return len(self._connections) - len(self._parting) < self.host.generation.descriptor_shares.load_balancers
 
     def _make_room(self) -> bool:
         """Begin to end one connection on which nothing is owed; returns whether there was one.
@@ -217,7 +217,7 @@
         Its sender may be slow without ill intent. Only a part of the places and buffers is given to such messages, so
         that senders who never finish theirs leave the rest to others.
         """
-        most = min(self.host.generation.descriptor_shares.balancers, self.host.buffers.most) // SLOW_WRITERS_ONE_IN
+        most = min(self.host.generation.descriptor_shares.load_balancers, self.host.buffers.most) // SLOW_WRITERS_ONE_IN
         if connection in self.slow_writers or len(self.slow_writers) >= max(1, most):
             return False
         self.slow_writers.add(connection)
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -22,7 +22,7 @@
 
 import nickelslip
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.loading import load
+from nickelslip.configuration.loading import load_config
 from nickelslip.server.load_balancer_listener import LoadBalancerListener, bind
 from nickelslip.server.server import Server
 from nickelslip.settings import MalformedSettingsError
@@ -85,7 +85,7 @@
 def loaded(paths: tuple[str, ...]) -> Config:
     """The configuration in these files; faults are said, and end the process."""
     try:
-        return load(paths, os.environ)
+        return load_config(paths, os.environ)
     except MalformedSettingsError as fault:
         for each in getattr(fault, "faults", None) or [fault]:
             say(str(each))
@@ -108,7 +108,7 @@
     except OSError as error:
         say(f"listen: {config.listen[0]}:{config.listen[1]}: {error.strerror}")
         sys.exit(FAILED)
-    node = _node(config, partial(load, paths, os.environ))
+    node = _node(config, partial(load_config, paths, os.environ))
     node.listeners.append(LoadBalancerListener(node, listener))
     if lasting is not None:
         node.background_tasks.append(lasting.run)
@@ -123,7 +123,7 @@
 
 def _node(config: Config, read: Callable[[], Config]) -> Server:
     """The node, and where the configuration has changes taken while it serves, what takes them."""
-    if not config.changes.on:
+    if not config.changes.accepts_changes:
         return Server(config, read)
     from importlib.util import find_spec
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -18,8 +18,8 @@
 from benchmarks.capacity.summary import summary_of
 from benchmarks.capacity.texts import encoded, lifted_bounds, own_document
 from nickelslip.configuration.control_client import ask_once
-from nickelslip.configuration.json5_reader import read_text
-from nickelslip.configuration.schema import NAMED_MOST
+from nickelslip.configuration.json5_reader import parse_document
+from nickelslip.configuration.schema import MAX_NAMES
 from nickelslip.configuration.validation import InvalidDocumentError
 
 SIZES = (100.0, 700.0, 5_000.0, 37_000.0)
@@ -143,15 +143,15 @@
 
 
 def test_the_bounds_are_lifted_only_inside():
-    most = NAMED_MOST["customers"]
+    most = MAX_NAMES["customers"]
     text = encoded(own_document(most + 1))
     big = text + b" " * (600 * 1024)
     with lifted_bounds():
         assert len(hollow.whole_of(own_document(most + 1))["customers"]) == most + 1
-        assert read_text(big, "settings", places=False).value["version"] == 1
-    assert NAMED_MOST["customers"] == most
+        assert parse_document(big, "settings", with_positions=False).value["version"] == 1
+    assert MAX_NAMES["customers"] == most
     with pytest.raises(InvalidDocumentError):
-        read_text(big, "settings", places=False)
+        parse_document(big, "settings", with_positions=False)
 
 
 def test_a_hollow_change_is_in_force_and_kept_as_in_a_server():
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -25,12 +25,11 @@
 from nickelslip.configuration import control_client, history, loading, store
 from nickelslip.configuration.change_lifecycle import Denial, Denied, start_of
 from nickelslip.configuration.commands import config as config_command
-from nickelslip.configuration.commands import roll_out
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_protocol import Frames, framed
 from nickelslip.configuration.request_metrics import RequestMetrics
-from nickelslip.configuration.rollout import Course, Rollout, Terms
-from nickelslip.configuration.rollout import Place as Place_
+from nickelslip.configuration.rollout import Rollout, RolloutPolicy, RolloutStatus, TargetState
+from nickelslip.configuration.rollout_runner import run_rollout
 from nickelslip.configuration.store import Store
 from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server import control_socket
@@ -494,16 +493,22 @@
             "verdict": {"reason": "grade payout"},
         }
 
-    terms = Terms(waves=(0.0, 1.0), look_ms=50.0, silent_ms=400.0, answer_ms=50.0, revert_ms=600.0)
+    terms = RolloutPolicy(
+        wave_fractions=(0.0, 1.0),
+        status_check_interval_ms=50.0,
+        unreachable_after_ms=400.0,
+        reply_timeout_ms=50.0,
+        rollback_timeout_ms=600.0,
+    )
     plan = Rollout(["n0", "n1", "n2", "n3"], terms, 0.0)
     with anyio.fail_after(8):
-        await roll_out(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
-    places = {name: place for name, (place, _) in plan.places().items()}
-    assert plan.course is Course.STUCK and places == {
-        "n0": Place_.REVERTED,
-        "n1": Place_.BAD,
-        "n2": Place_.STUCK,
-        "n3": Place_.REVERTED,
+        await run_rollout(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
+    places = {name: place for name, (place, _) in plan.target_states().items()}
+    assert plan.status is RolloutStatus.ROLLBACK_FAILED and places == {
+        "n0": TargetState.ROLLED_BACK,
+        "n1": TargetState.FAILED,
+        "n2": TargetState.ROLLBACK_FAILED,
+        "n3": TargetState.ROLLED_BACK,
     }
     assert ("n1", "rollback") not in told and len({*origins.values()}) == 1
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,15 +13,15 @@
 from nickelslip.configuration.canary_analysis import CanaryAnalysis, CanaryStatus, CanaryVerdict
 from nickelslip.configuration.change_lifecycle import Changes, Denial, Denied, Step, start_of
 from nickelslip.configuration.config import config_from_platform
-from nickelslip.configuration.document import config_from, document_of
+from nickelslip.configuration.document_conversion import config_from, document_of
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import Event, Record
-from nickelslip.configuration.json5_reader import read_text
-from nickelslip.configuration.layers import layered, merged
+from nickelslip.configuration.json5_reader import parse_document
+from nickelslip.configuration.layers import apply_layers, merge
 from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
 from nickelslip.configuration.request_metrics import BUCKET_MS, RequestMetrics
-from nickelslip.configuration.rollout import Course, Do, Place, Rollout, Terms
+from nickelslip.configuration.rollout import Action, Rollout, RolloutPolicy, RolloutStatus, TargetState
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.validation import InvalidDocumentError
 from tests.test_config import GOOD
@@ -39,8 +39,8 @@
 
 
 def ours(*overlays, environment=None):
-    texts = [read_text(each.encode(), f"{at}.json5") for at, each in enumerate((OURS, *overlays))]
-    return layered(texts, environment or {})
+    texts = [parse_document(each.encode(), f"{at}.json5") for at, each in enumerate((OURS, *overlays))]
+    return apply_layers(texts, environment or {})
 
 
 def faults_of(*overlays, environment=None):
@@ -73,7 +73,7 @@
     assert found["machine.cores"] == (4, 12) and "grades.payout.repeat" in found
     assert found["grades.balance.credits"][0] == 5
     near = next(each for each in faults_of(bad) if each.path[-1] == "credits")
-    assert "nearest is credit" in near.text and near.gravity.value == "warning"
+    assert "nearest is credit" in near.text and near.severity.value == "warning"
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
         ("{a:" * 30 + "1" + "}" * 30, "nested deeper"),
         ("{machine: ", "not JSON5"),
         ("{machine: {cores: true}}", "whole"),
-        (" " * (json5_reader.BYTES_MOST + 1), "over"),
+        (" " * (json5_reader.MAX_DOCUMENT_BYTES + 1), "over"),
         ("\x00\xff", "not JSON5"),
         ("{version: 9}", "version"),
         ("7", "object"),
@@ -108,7 +108,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 def test_any_bytes_are_read_or_refused(data):
     try:
-        read_text(data, "x")
+        parse_document(data, "x")
     except InvalidDocumentError as faulty:
         assert faulty.faults
 
@@ -121,9 +121,9 @@
     )
     assert (told.config.name, told.config.settings.core_count, told.config.settings.memory_kb) == ("n7", 4, 9000.0)
     assert not told.config.settings.tenants and len(told.config.settings.traffic_classes) == 3
-    assert told.origin(("machine", "cores")) == "1.json5:1:12"
-    assert told.origin(("machine", "run_factor")) == "default"
-    assert told.origin(("machine", "memory_kb")).endswith("MEMORY_KB")
+    assert told.origin_of(("machine", "cores")) == "1.json5:1:12"
+    assert told.origin_of(("machine", "run_factor")) == "default"
+    assert told.origin_of(("machine", "memory_kb")).endswith("MEMORY_KB")
     assert faults_of(environment={"NICKELSLIP_SET_MACHINE__CORES": "many"})[0].path == ("machine", "cores")
 
 
@@ -151,7 +151,7 @@
 
 
 def a_change(changes, now, over, forced=False):
-    whole = merged(changes.in_force.document, read_text(over.encode(), "x").value)
+    whole = merge(changes.in_force.document, parse_document(over.encode(), "x").value)
     return changes.draft(now, config_from(whole), whole, "test", forced)
 
 
@@ -434,42 +434,48 @@
 def rolled(behave, count=10, lost_most=0):
     """A roll-out over nodes that answer as `behave(node, order, now)` says; its end, and which nodes were told."""
     names = [f"n{at}" for at in range(count)]
-    plan, now, pushed, waiting = Rollout(names, Terms(lost_most=lost_most), 0.0), 0.0, [], []
-    while not plan.over and now < 300_000:
-        for order in plan.step(now):
-            if order.do is Do.PUSH:
-                pushed.append(order.node)
-            reply = behave(order.node, order.do, now)
+    plan, now, pushed, waiting = Rollout(names, RolloutPolicy(max_unreachable_count=lost_most), 0.0), 0.0, [], []
+    while not plan.is_finished and now < 300_000:
+        for order in plan.advance(now):
+            if order.action is Action.APPLY:
+                pushed.append(order.target)
+            reply = behave(order.target, order.action, now)
             waiting.append((now + (5000.0 if reply is None else 20.0), order, reply))
         now += 50.0
         for _due, order, reply in [each for each in waiting if each[0] <= now]:
-            plan.told(now, order.node, order.do, reply, "d1")
+            plan.record_reply(now, order.target, order.action, reply, "d1")
         waiting = [each for each in waiting if each[0] > now]
     return plan, pushed, now
 
 
 def well(node, do, now):
-    if do is Do.PUSH:
+    if do is Action.APPLY:
         return {"ok": True, "change": {"step": "on_probation"}}
     return {"ok": True, "digest": "d1", "step": "confirmed", "current": None}
 
 
 def test_a_good_roll_out_goes_canary_first_and_reaches_all():
     plan, pushed, _ = rolled(well)
-    assert plan.course is Course.DONE and pushed[0] == "n0" and len(pushed) == 10
-    assert {place for place, _ in plan.places().values()} == {Place.GOOD}
+    assert plan.status is RolloutStatus.COMPLETED and pushed[0] == "n0" and len(pushed) == 10
+    assert {place for place, _ in plan.target_states().values()} == {TargetState.CONFIRMED}
 
 
 def test_the_first_node_that_undoes_stops_it_and_all_go_back():
     def behave(node, do, now):
-        if node == "n3" and do is Do.LOOK:
+        if node == "n3" and do is Action.CHECK_STATUS:
             return {"ok": True, "digest": "d0", "step": "confirmed", "verdict": {"reason": "grade payout"}}
         return well(node, do, now)
 
     plan, pushed, _ = rolled(behave)
-    assert plan.course is Course.UNDONE and "grade payout" in plan.why and set(pushed) <= {f"n{at}" for at in range(5)}
-    assert plan.places()["n3"][0] is Place.BAD and plan.places()["n0"][0] is Place.REVERTED
-    assert plan.places()["n9"][0] is Place.WAITING
+    assert (
+        plan.status is RolloutStatus.ROLLED_BACK
+        and "grade payout" in plan.reason
+        and set(pushed) <= {f"n{at}" for at in range(5)}
+    )
+    assert (
+        plan.target_states()["n3"][0] is TargetState.FAILED and plan.target_states()["n0"][0] is TargetState.ROLLED_BACK
+    )
+    assert plan.target_states()["n9"][0] is TargetState.PENDING
 
 
 def test_a_silent_node_is_not_counted_as_good_nor_waited_for_without_a_bound():
@@ -477,10 +483,18 @@
         return None if node == "n4" else well(node, do, now)
 
     plan, _, now = rolled(silent, lost_most=1)
-    assert plan.course is Course.DONE and plan.places()["n4"][0] is Place.LOST and now < 60_000
+    assert (
+        plan.status is RolloutStatus.COMPLETED
+        and plan.target_states()["n4"][0] is TargetState.UNREACHABLE
+        and now < 60_000
+    )
     plan, _, now = rolled(silent)
-    assert plan.course is Course.STUCK and plan.places()["n4"][0] is Place.STUCK and now < 90_000
-    assert rolled(lambda node, do, now: None, count=3, lost_most=3)[0].course is not Course.DONE
+    assert (
+        plan.status is RolloutStatus.ROLLBACK_FAILED
+        and plan.target_states()["n4"][0] is TargetState.ROLLBACK_FAILED
+        and now < 90_000
+    )
+    assert rolled(lambda node, do, now: None, count=3, lost_most=3)[0].status is not RolloutStatus.COMPLETED
 
 
 def test_json_texts_of_documents_go_round():
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from nickelslip.configuration.descriptors import OWN, shares_of
+from nickelslip.configuration.descriptors import RESERVED_DESCRIPTORS, descriptor_shares
 from nickelslip.server import resp
 from tests.helpers import A, Peer, Place, asking, serving, until
 
@@ -95,9 +95,9 @@
 @pytest.mark.parametrize("calls", (0.0, 0.5, 6.0, 90.0, 1e4))
 async def test_every_limit_is_shared_out_within_itself_with_one_for_each_at_least(calls):
     for descriptors in range(32, 2000):
-        shares = shares_of(descriptors, calls)
-        assert min(shares) >= 1 and sum(shares) + OWN <= descriptors
-        assert shares.balancers >= descriptors / 2 or descriptors < 100  # balancers open half of the limit at most
+        shares = descriptor_shares(descriptors, calls)
+        assert min(shares) >= 1 and sum(shares) + RESERVED_DESCRIPTORS <= descriptors
+        assert shares.load_balancers >= descriptors / 2 or descriptors < 100  # balancers open half of the limit at most
 
 
 FLOODS = {
