--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -35,7 +35,7 @@
 
 def spread(servers: int, apply_ms: float, status_ms: float) -> Spread:
     """One roll-out over so many servers."""
-    terms, probation_ms = RolloutPolicy(), ChangeRules().probation_ms
+    terms, probation_ms = RolloutPolicy(), ChangeRules().canary_period_ms
     plan = Rollout([f"n{number}" for number in range(servers)], terms, 0.0)
     waiting: list[Instruction] = []
     out: list[tuple[float, str, Action]] = []  # replies, by when they come
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -317,7 +317,7 @@
     @staticmethod
     def _looks() -> float:
         """Looks of a roll-out at one node while a change is on its shortest probation."""
-        return ChangeRules().probation_ms / RolloutPolicy().status_check_interval_ms
+        return ChangeRules().canary_period_ms / RolloutPolicy().status_check_interval_ms
 
 
 async def confirmed(server: real.Server) -> tuple[dict[str, object], float]:
--- a/nickelslip/configuration/change_lifecycle.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -146,7 +146,7 @@
         self._changes = 0
         for record in records:
             if record.event is Event.ROLLED_BACK:
-                self._remember_undone(record.digest, record.since_ms + self.rules.held_off_ms)
+                self._remember_undone(record.digest, record.since_ms + self.rules.rejected_after_rollback_ms)
 
     @property
     def rules(self) -> ChangeRules:
@@ -301,9 +301,9 @@
         spent = now - self.current.since_ms
         if verdict.status is CanaryStatus.HARM:
             return Step.ROLLED_BACK
-        if spent >= self.rules.probation_most_ms and verdict.status is not CanaryStatus.SUSPECTED:
+        if spent >= self.rules.max_canary_period_ms and verdict.status is not CanaryStatus.SUSPECTED:
             return Step.CONFIRMED  # nothing speaks against it, though little may speak for it
-        if spent >= self.rules.probation_ms and verdict.status is CanaryStatus.NO_HARM:
+        if spent >= self.rules.canary_period_ms and verdict.status is CanaryStatus.NO_HARM:
             return Step.CONFIRMED
         return None
 
@@ -328,7 +328,7 @@
         change = self._current(Step.ON_PROBATION)
         self.current = None
         self.in_force = self._confirmed[-1]
-        self._remember_undone(change.digest, now + self.rules.held_off_ms)
+        self._remember_undone(change.digest, now + self.rules.rejected_after_rollback_ms)
         self._enter(change, Step.ROLLED_BACK, now, reason)
         return self.in_force.generation, self._record(Event.ROLLED_BACK, change, now, reason)
 
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -1,8 +1,7 @@
-"""What a server is told, as one typed value, and the reading of the platform's own form of it.
+"""A server's configuration as one typed value, and the decoder of the platform's form of it.
 
-Owns `Config` and the names under which the platform tells a server its place, its limits and its settings; the form
-in our own words is read in document.py and ends in the same value. It must never bind, connect, read a file or pick
-a value that nobody gave.
+nickelslip's own form is read by ``document_reader`` and converted by ``document_conversion``; both forms end in the
+same ``Config``. The module does no I/O and chooses no value that was not given.
 """
 
 from __future__ import annotations
@@ -15,32 +14,69 @@
 from nickelslip.settings import Fields, MalformedSettingsError, gauge_names, settings_of
 
 Address = tuple[str, int]
-UNKNOWN_ADDRESS: Address = ("", 0)
+UNKNOWN_ADDRESS: Address = ("", 0)  # stands in for a faulty one while further faults are collected
+MAX_PORT = 65535
+MIN_DESCRIPTORS = 32
+OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override single values: NICKELSLIP_SET_MACHINE__CORES
+NAME_VARIABLE = "ROUTER_NAME"
+LISTEN_VARIABLE = "ROUTER_LISTEN"
 
 
 @dataclass(frozen=True)
 class ChangeRules:
-    """How this server takes changes of its configuration while it serves. Off where no socket is named."""
-
-    socket: str = ""  # a path: the control socket (Unix domain); empty: there is none
+    """How this server takes changes of its configuration while it serves.
+
+    Attributes:
+        socket: Path of the control socket (Unix domain); empty if there is none.
+        socket_mode: Permissions of the control socket.
+        history: Folder of the history, which outlives the server; empty if the history is kept in memory.
+        history_kb: Size over which the history file is rewritten with only what still counts.
+        canary_period_ms: How long a change must do no harm before it is confirmed.
+        max_canary_period_ms: The same, where too little can be told within ``canary_period_ms``.
+        baseline_ms: Length of the span before a change that it is compared with.
+        standard_errors: How many standard errors make a difference that is not chance.
+        rejected_after_rollback_ms: How long a document that was rolled back is rejected unless forced.
+        reload_all: Whether SIGHUP takes the whole file as a change, instead of the peers' addresses alone.
+    """
+
+    socket: str = ""
     socket_mode: int = 0o600
-    history: str = ""  # a folder that outlives the server; empty: history is kept in memory
-    history_kb: float = 1024.0  # after which the file of the history is written anew with what still counts
-    probation_ms: float = 10_000.0  # how long a change must do no harm before it is confirmed
-    probation_most_ms: float = 60_000.0  # where so little can be told that the time is not enough
-    baseline_ms: float = 20_000.0  # how far back the time before a change is looked at
-    standard_errors: float = 4.0  # by so many standard errors worse is no chance
-    held_off_ms: float = 600_000.0  # how long a document that was undone is refused unless forced
-    reload_all: bool = False  # SIGHUP takes the whole file as a change, and not the peers' addresses alone
+    history: str = ""
+    history_kb: float = 1024.0
+    canary_period_ms: float = 10_000.0
+    max_canary_period_ms: float = 60_000.0
+    baseline_ms: float = 20_000.0
+    standard_errors: float = 4.0
+    rejected_after_rollback_ms: float = 600_000.0
+    reload_all: bool = False
 
     @property
     def accepts_changes(self) -> bool:
+        """Whether changes can come in, by the control socket or by SIGHUP."""
         return bool(self.socket) or self.reload_all
 
 
 @dataclass(frozen=True)
 class Config:
-    """One server's configuration."""
+    """One server's configuration.
+
+    The names of the fields are logged where a difference needs a restart.
+
+    Attributes:
+        name: Name of the server, the same after a restart.
+        listen: Where load balancers connect.
+        pool: Address of the worker pool.
+        records: Address of the dependency that requests call, if there is one.
+        directory: Where this server is reported.
+        seed: Seed of the random generators.
+        stop_ms: Time from the signal to stop to the kill.
+        memory_mb: Memory limit of this process.
+        descriptors: File descriptor limit of this process.
+        settings: The settings of the admission control.
+        gauges: Names of the gauges, in the order of the worker pool.
+        changes: The rules for changes.
+        starts: Folder where starts that ended early are recorded; empty if they are not.
+    """
 
     name: str
     listen: Address
@@ -54,17 +90,27 @@
     settings: Settings
     gauges: tuple[str, ...]
     changes: ChangeRules = field(default_factory=ChangeRules)
-    starts: str = ""  # a folder where starts that died early are remembered; empty: they are not
+    starts: str = ""
 
 
 def parse_address(text: str, name: str) -> Address:
+    """Return the host and the port of ``host:port``; an IPv6 host may stand in brackets.
+
+    Args:
+        text: The address.
+        name: Name of its field, for the error.
+
+    Raises:
+        MalformedSettingsError: It is no such address.
+    """
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
+    if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         raise MalformedSettingsError(f"{name}: host:port is needed")
     return host.strip("[]"), int(port)
 
 
 def parse_seed(text: str) -> int:
+    """Return the number of a seed in hex digits. Raises MalformedSettingsError."""
     try:
         return int(text, 16)
     except ValueError:
@@ -72,71 +118,91 @@
 
 
 def environment_overrides(environment: Mapping[str, str]) -> dict[str, str]:
-    """What the platform says by its environment, which wins over its file."""
-    pairs = (("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN"))
-    return {name: environment[variable] for name, variable in pairs if environment.get(variable)}
+    """Return the name and the listening address that the environment gives; they win over every file."""
+    variables = (("name", NAME_VARIABLE), ("listen", LISTEN_VARIABLE))
+    return {name: environment[variable] for name, variable in variables if environment.get(variable)}
 
 
 def config_from_platform(
     value: object, environment: Mapping[str, str], faults: list[MalformedSettingsError] | None = None
 ) -> Config:
-    """The checked configuration of the platform's form; ROUTER_NAME and ROUTER_LISTEN of the environment win over
-    the file's. The first fault is raised, or all are put on the list, and then the value is not to be used."""
+    """Return the checked configuration of a document in the platform's form.
+
+    Args:
+        value: The document.
+        environment: Its variables win over the document's name and listening address.
+        faults: Takes all faults if given; if there are any, the result must not be used.
+
+    Raises:
+        MalformedSettingsError: The first fault, if ``faults`` is not given; in any case if the value is no object.
+    """
     if not isinstance(value, dict):
         raise MalformedSettingsError("configuration: an object is needed")
-    told: dict[str, Any] = {**value, **environment_overrides(environment)}
-    top = Fields(told, "", faults)
+    given: dict[str, Any] = {**value, **environment_overrides(environment)}
+    top = Fields(given, "", faults)
     limits = top.inside("limits")
-
-    def address(name: str) -> Address:
-        known = len(faults or ())
-        text = top.text(name)
-        if len(faults or ()) > known:
-            return UNKNOWN_ADDRESS
-        try:
-            return parse_address(text, name)
-        except MalformedSettingsError as fault:
-            if faults is None:
-                raise
-            faults.append(fault)
-            return UNKNOWN_ADDRESS
-
-    settings = settings_of(told.get("settings"), faults)
-    calls = any(grade.makes_calls for grade in settings.traffic_classes)
-    name = top.text("name")
-    if any(letter.isspace() for letter in name):
-        if faults is None:
-            raise MalformedSettingsError("name: one word is needed")
-        faults.append(MalformedSettingsError("name: one word is needed"))
-    try:
-        seed = parse_seed(top.text("seed"))
-    except MalformedSettingsError as fault:
-        if faults is None:
-            raise
-        seed = 0
-        faults.append(fault)
+    settings = settings_of(given.get("settings"), faults)
+    makes_calls = any(traffic_class.makes_calls for traffic_class in settings.traffic_classes)
+    # The order of the fields is the order in which faults are reported
     return Config(
-        name=name,
-        listen=address("listen"),
-        pool=address("pool"),
-        records=address("records") if calls or told.get("records") else None,
-        directory=address("lookup"),
-        seed=seed,
+        name=_read_name(top, faults),
+        seed=_read_seed(top, faults),
+        listen=_read_address(top, "listen", faults),
+        pool=_read_address(top, "pool", faults),
+        records=_read_address(top, "records", faults) if makes_calls or given.get("records") else None,
+        directory=_read_address(top, "lookup", faults),
         stop_ms=top.number("stop_ms", above=True),
         memory_mb=limits.number("memory_mb", above=True),
-        descriptors=limits.whole("sockets", least=32),
+        descriptors=limits.whole("sockets", least=MIN_DESCRIPTORS),
         settings=settings,
-        gauges=gauge_names(told.get("settings"), faults),
+        gauges=gauge_names(given.get("settings"), faults),
     )
 
 
-def with_new_peer_addresses(now: Config, fresh: Config) -> tuple[Config, list[str]]:
-    """What a running server takes over of a fresh configuration: the addresses of its peers. And the names of the
-    other fields that differ, which need a restart; the seed is drawn anew with each file and means nothing here."""
-    taken = replace(now, pool=fresh.pool, records=fresh.records, directory=fresh.directory)
-    rest = [
-        each.name
-        for each in fields(Config)
-        if each.name != "seed" and getattr(taken, each.name) != getattr(fresh, each.name)
+def _report(error: MalformedSettingsError, faults: list[MalformedSettingsError] | None) -> None:
+    """Add a fault to the list, or raise it if there is none."""
+    if faults is None:
+        raise error
+    faults.append(error)
+
+
+def _read_name(top: Fields, faults: list[MalformedSettingsError] | None) -> str:
+    name = top.text("name")
+    if any(letter.isspace() for letter in name):
+        _report(MalformedSettingsError("name: one word is needed"), faults)
+    return name
+
+
+def _read_seed(top: Fields, faults: list[MalformedSettingsError] | None) -> int:
+    try:
+        return parse_seed(top.text("seed"))
+    except MalformedSettingsError as error:
+        _report(error, faults)
+        return 0
+
+
+def _read_address(top: Fields, name: str, faults: list[MalformedSettingsError] | None) -> Address:
+    fault_count = len(faults or ())
+    text = top.text(name)
+    if len(faults or ()) > fault_count:
+        return UNKNOWN_ADDRESS
+    try:
+        return parse_address(text, name)
+    except MalformedSettingsError as error:
+        _report(error, faults)
+        return UNKNOWN_ADDRESS
+
+
+def with_new_peer_addresses(current: Config, fresh: Config) -> tuple[Config, list[str]]:
+    """Return the current configuration with the peers' addresses of a fresh one.
+
+    The second value holds the names of the other fields that differ, which need a restart. The seed is left out: it is
+    drawn anew with each file.
+    """
+    updated = replace(current, pool=fresh.pool, records=fresh.records, directory=fresh.directory)
+    differing = [
+        config_field.name
+        for config_field in fields(Config)
+        if config_field.name != "seed" and getattr(updated, config_field.name) != getattr(fresh, config_field.name)
     ]
-    return taken, rest
+    return updated, differing
--- a/nickelslip/configuration/descriptors.py
+++ b/nickelslip/configuration/descriptors.py
@@ -1,7 +1,7 @@
-"""How the descriptors of this process are shared out.
+"""Shares of this process's file descriptors for its different connections.
 
-Owns the one sum by which connections of balancers, those that linger, and calls keep out of each other's way, whatever
-the limit is. It does no I/O and never counts what is open: each part keeps to its own share.
+The shares are fixed by the limit, so that no kind of connection can take the descriptors of another one. Each part of
+the server keeps to its own share; nothing is counted here.
 """
 
 from __future__ import annotations
@@ -9,26 +9,39 @@
 from math import ceil
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = (
-    24  # standard streams, event loop, listener, links to the worker pool (three in a move), the report, a file
-)
-CONTROL_DESCRIPTORS = 12  # where they are on: the control socket, its peers, the history
-CALLS_LEAST = 16  # connections for calls that may stand unused
-CALLS_PART, LINGERING_PART = 5, 8  # of what is left one in so many at most is for calls, and for those that linger
-LINGERING_MOST = 16
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, up to three worker pool links, the report, a file
+CONTROL_DESCRIPTORS = 12  # where changes are accepted: the control socket, its clients, the history
+MIN_SHARED_DESCRIPTORS = 8
+IDLE_CALL_CONNECTIONS = 16  # for dependency calls, beyond those in use
+CALL_CONNECTION_DIVISOR = 5  # one in so many is for dependency calls, at most
+CONNECTIONS_PER_CALL = 2
+LINGERING_DIVISOR = 8  # one in so many is for lingering connections, at most
+MAX_LINGERING_CONNECTIONS = 16
 
 
 class DescriptorShares(NamedTuple):
-    """Descriptors at most for each of them."""
+    """The largest numbers of descriptors.
+
+    Attributes:
+        load_balancers: For connections of load balancers.
+        lingering: For their connections that are being closed, which are short-lived.
+        calls: For dependency calls.
+    """
 
     load_balancers: int
-    lingering: int  # beyond the balancers' own, and short-lived
+    lingering: int
     calls: int
 
 
-def descriptor_shares(descriptors: int, calls_out: float) -> DescriptorShares:
-    """The shares of a limit on descriptors, where so many calls may be out in the mean. Each has one at least."""
-    left = max(8, descriptors - RESERVED_DESCRIPTORS)
-    calls = max(1, min(left // CALLS_PART, CALLS_LEAST + 2 * ceil(calls_out)))
-    lingering = max(1, min(left // LINGERING_PART, LINGERING_MOST))
-    return DescriptorShares(max(1, left - calls - lingering), lingering, calls)
+def descriptor_shares(descriptors: int, mean_call_count: float) -> DescriptorShares:
+    """Return the shares of a limit; each is at least 1.
+
+    Args:
+        descriptors: The limit.
+        mean_call_count: Mean number of dependency calls in flight that this server may have.
+    """
+    shared = max(MIN_SHARED_DESCRIPTORS, descriptors - RESERVED_DESCRIPTORS)
+    wanted_by_calls = IDLE_CALL_CONNECTIONS + CONNECTIONS_PER_CALL * ceil(mean_call_count)
+    calls = max(1, min(shared // CALL_CONNECTION_DIVISOR, wanted_by_calls))
+    lingering = max(1, min(shared // LINGERING_DIVISOR, MAX_LINGERING_CONNECTIONS))
+    return DescriptorShares(max(1, shared - calls - lingering), lingering, calls)
--- a/nickelslip/configuration/document_conversion.py
+++ b/nickelslip/configuration/document_conversion.py
@@ -112,11 +112,11 @@
         socket_mode=changes["socket_mode"],
         history=changes["history"],
         history_kb=changes["history_kb"],
-        probation_ms=changes["probation_ms"],
-        probation_most_ms=changes["probation_most_ms"],
+        canary_period_ms=changes["probation_ms"],
+        max_canary_period_ms=changes["probation_most_ms"],
         baseline_ms=changes["baseline_ms"],
         standard_errors=changes["sigmas"],
-        held_off_ms=changes["held_off_ms"],
+        rejected_after_rollback_ms=changes["held_off_ms"],
         reload_all=changes["reload"] == "all",
     )
 
@@ -214,11 +214,11 @@
         "socket_mode": rules.socket_mode,
         "history": rules.history,
         "history_kb": rules.history_kb,
-        "probation_ms": rules.probation_ms,
-        "probation_most_ms": rules.probation_most_ms,
+        "probation_ms": rules.canary_period_ms,
+        "probation_most_ms": rules.max_canary_period_ms,
         "baseline_ms": rules.baseline_ms,
         "sigmas": rules.standard_errors,
-        "held_off_ms": rules.held_off_ms,
+        "held_off_ms": rules.rejected_after_rollback_ms,
         "reload": "all" if rules.reload_all else "peers",
     }
 
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelslip.configuration.config import Config, environment_overrides
+from nickelslip.configuration.config import OVERRIDE_PREFIX, Config, environment_overrides
 from nickelslip.configuration.document import Document, is_platform_form
 from nickelslip.configuration.document_conversion import config_from
 from nickelslip.configuration.document_reader import complete, read_part
@@ -20,7 +20,6 @@
 from nickelslip.configuration.schema import NAMED_SECTIONS, SECTIONS, Field, FieldType, field_at
 from nickelslip.configuration.validation import Fault, InvalidDocumentError, Path, Severity, has_errors
 
-VARIABLE_PREFIX = "NICKELSLIP_SET_"  # then the path in capitals: NICKELSLIP_SET_MACHINE__CORES
 PATH_SEPARATOR = "__"
 DEFAULT_ORIGIN = "default"
 JSON_TYPES = (FieldType.NUMBER, FieldType.INTEGER, FieldType.BOOLEAN, FieldType.STRING_LIST)
@@ -128,10 +127,10 @@
         _set_value(part, ("node", name), text)
         origins[("node", name)] = f"environment:ROUTER_{name.upper()}"
     for variable in sorted(environment):
-        if not variable.startswith(VARIABLE_PREFIX):
+        if not variable.startswith(OVERRIDE_PREFIX):
             continue
         source = f"environment:{variable}"
-        path = tuple(key.lower() for key in variable[len(VARIABLE_PREFIX) :].split(PATH_SEPARATOR))
+        path = tuple(key.lower() for key in variable[len(OVERRIDE_PREFIX) :].split(PATH_SEPARATOR))
         field = field_at(path)
         if field is None:
             faults.append(Fault(path, "unknown", source, severity=Severity.WARNING))
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from nickelslip.configuration.config import Config, config_from_platform
+from nickelslip.configuration.config import OVERRIDE_PREFIX, Config, config_from_platform
 from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES, Fault, InvalidDocumentError
 from nickelslip.settings import MalformedSettingsError
 
@@ -17,7 +17,6 @@
 
 MAX_READ_ATTEMPTS = 3
 READ_RETRY_PAUSE_S = 0.05
-VARIABLE_PREFIX = "NICKELSLIP_SET_"
 
 
 def read_file(path: str) -> bytes:
@@ -81,7 +80,7 @@
     Raises:
         MalformedSettingsError: The configuration has faults; the text holds them with their positions.
     """
-    has_overrides = any(variable.startswith(VARIABLE_PREFIX) for variable in environment)
+    has_overrides = any(variable.startswith(OVERRIDE_PREFIX) for variable in environment)
     if len(paths) == 1 and not has_overrides:
         data = read_file(paths[0])
         try:
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -38,7 +38,7 @@
 from tests.test_configuration import OURS, fill, ours
 
 pytestmark = pytest.mark.anyio
-RULES = ChangeRules(probation_ms=1000.0, probation_most_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
+RULES = ChangeRules(canary_period_ms=1000.0, max_canary_period_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
 SOON = {"grades": {"pay": {"quoted_ms": 400.0, "credit": 2.0}, "book": None}, "machine": {"running_most": 2}}
 
 
@@ -200,7 +200,7 @@
 
 
 async def test_harm_is_undone_by_itself_and_a_change_that_does_none_is_confirmed():
-    async with Place(rules=replace(RULES, probation_most_ms=6000.0)) as place:
+    async with Place(rules=replace(RULES, max_canary_period_ms=6000.0)) as place:
         await place.up()
         chance, begin = random.Random(3), place.node.clock() - 14_500
         quoted = {"payout": 100.0, "balance": 100.0}
