--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -115,7 +115,7 @@
         self._last_change_number = 0
         for record in records:
             if record.event is HistoryEvent.ROLLED_BACK:
-                self._rolled_back.add(record.digest, record.recorded_at_ms + self.rules.held_off_ms)
+                self._rolled_back.add(record.digest, record.recorded_at_ms + self.rules.rejected_after_rollback_ms)
 
     @property
     def rules(self) -> ChangeRules:
@@ -266,9 +266,9 @@
         elapsed_ms = now_ms - self.current.state_entered_at_ms
         if verdict.status is CanaryStatus.HARM:
             return ChangeState.ROLLED_BACK
-        if elapsed_ms >= self.rules.probation_most_ms and verdict.status is not CanaryStatus.SUSPECTED:
+        if elapsed_ms >= self.rules.max_canary_period_ms and verdict.status is not CanaryStatus.SUSPECTED:
             return ChangeState.CONFIRMED
-        if elapsed_ms >= self.rules.probation_ms and verdict.status is CanaryStatus.NO_HARM:
+        if elapsed_ms >= self.rules.canary_period_ms and verdict.status is CanaryStatus.NO_HARM:
             return ChangeState.CONFIRMED
         return None
 
@@ -304,7 +304,7 @@
         change = self._require_current(ChangeState.CANARY)
         self.current = None
         self.in_force = self._confirmed[-1]
-        self._rolled_back.add(change.digest, now_ms + self.rules.held_off_ms)
+        self._rolled_back.add(change.digest, now_ms + self.rules.rejected_after_rollback_ms)
         self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
         record = self._record_change(HistoryEvent.ROLLED_BACK, change, now_ms, reason)
         return Adoption(self.in_force.generation, record)
--- a/nickelslip/configuration/document_parts.py
+++ b/nickelslip/configuration/document_parts.py
@@ -4,10 +4,11 @@
 
 from typing import Any, NamedTuple
 
-from nickelslip.configuration.document import Checker, Document, checked
-from nickelslip.configuration.json5_reader import Read
-from nickelslip.configuration.layers import merged
-from nickelslip.configuration.validation import Fault, InvalidDocumentError, errors_of
+from nickelslip.configuration.document import Document, DocumentChecker
+from nickelslip.configuration.document_reader import complete
+from nickelslip.configuration.json5_reader import ParsedDocument
+from nickelslip.configuration.layers import merge
+from nickelslip.configuration.validation import Fault, InvalidDocumentError, has_errors
 
 SOURCE_NAME = "document"  # under which faults are reported
 
@@ -25,11 +26,11 @@
     Raises:
         InvalidDocumentError: The part, or the whole, is not valid.
     """
-    checker = Checker(Read(part, SOURCE_NAME))
-    found = checker.part()
-    if errors_of(checker.faults):
+    checker = DocumentChecker(ParsedDocument(part, SOURCE_NAME))
+    found = checker.check()
+    if has_errors(checker.faults):
         raise InvalidDocumentError(checker.faults)
-    whole, faults = checked(merged(base, found))
-    if errors_of(faults):
+    whole, faults = complete(merge(base, found))
+    if has_errors(faults):
         raise InvalidDocumentError(faults)
     return CompleteDocument(whole, checker.faults + faults)
--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -15,7 +15,7 @@
 
 from nickelslip.admission.interface import RetrySafety, Settings
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.descriptors import CHANGES, Shares, shares_of
+from nickelslip.configuration.descriptors import CONTROL_DESCRIPTORS, DescriptorShares, descriptor_shares
 
 CACHED_RESPONSES_MEMORY_FRACTION = 1 / 4  # of this process's memory, for responses that retries may still ask for
 CACHED_RESPONSE_KB = 6.0  # an idempotency record in this process, with a response of the maximum size
@@ -68,10 +68,10 @@
         return max(traffic_class.timeout_ms for traffic_class in self.config.settings.traffic_classes)
 
     @cached_property
-    def descriptor_shares(self) -> Shares:
+    def descriptor_shares(self) -> DescriptorShares:
         """How this process's file descriptors are divided."""
-        reserved = CHANGES if self.config.changes.on else 0
-        return shares_of(self.config.descriptors - reserved, self.config.settings.dependency_concurrency_share)
+        reserved = CONTROL_DESCRIPTORS if self.config.changes.accepts_changes else 0
+        return descriptor_shares(self.config.descriptors - reserved, self.config.settings.dependency_concurrency_share)
 
     @cached_property
     def latency_objectives_ms(self) -> Mapping[str, float]:
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from nickelslip.configuration.document import Document
-from nickelslip.configuration.layers import paths_of
-from nickelslip.configuration.schema import COMES_AND_GOES, NAMED, NEVER_COMPARED, Effect, word_at
+from nickelslip.configuration.layers import values_by_path
+from nickelslip.configuration.schema import NAME_EFFECTS, NAMED_SECTIONS, NEVER_COMPARED, Effect, field_at
 from nickelslip.configuration.validation import Path
 
 # The words of the control protocol and of `--json`: they stay when a name in the code changes.
@@ -121,13 +121,13 @@
 def _named_differences(old: Document, new: Document) -> list[Difference]:
     """Return a difference for each name that only one of the documents has in a named section."""
     differences: list[Difference] = []
-    for section in NAMED:
+    for section in NAMED_SECTIONS:
         before = old[section]
         after = new[section]
         added = [name for name in after if name not in before]
         for name in [*before, *added]:
             if (name in before) is not (name in after):
-                effect = COMES_AND_GOES[section]
+                effect = NAME_EFFECTS[section]
                 differences.append(Difference((section, name), before.get(name), after.get(name), effect))
     return differences
 
@@ -135,9 +135,9 @@
 def _field_differences(old: Document, new: Document) -> list[Difference]:
     """Return a difference for each field that both documents have with different values."""
     differences: list[Difference] = []
-    old_values = paths_of(old)
-    for path, after in paths_of(new).items():
-        field = word_at(path)
+    old_values = values_by_path(old)
+    for path, after in values_by_path(new).items():
+        field = field_at(path)
         if path not in old_values or field is None or path in NEVER_COMPARED:
             continue
         before = old_values[path]
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -19,7 +19,8 @@
 )
 from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.document import Document, config_from
+from nickelslip.configuration.document import Document
+from nickelslip.configuration.document_conversion import config_from
 from nickelslip.configuration.document_parts import CompleteDocument, complete_document
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import HistoryRecord
--- a/nickelslip/server/configuration_reloader.py
+++ b/nickelslip/server/configuration_reloader.py
@@ -14,7 +14,8 @@
 from nickelslip.configuration.change_lifecycle import ChangeRejectedError
 from nickelslip.configuration.change_manager import ChangeManager
 from nickelslip.configuration.config import Config, with_new_peer_addresses
-from nickelslip.configuration.document import Document, document_of
+from nickelslip.configuration.document import Document
+from nickelslip.configuration.document_conversion import document_of
 from nickelslip.configuration.generations import digest_of
 from nickelslip.configuration.plan import Difference, plan_of
 from nickelslip.configuration.schema import Effect
--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -65,13 +65,13 @@
     def has_free_descriptor(self) -> bool:
         """Whether one more connection may be accepted at all, if only to be closed."""
         shares = self._context.generation.descriptor_shares
-        return len(self.connections) < shares.balancers + shares.lingering
+        return len(self.connections) < shares.load_balancers + shares.lingering
 
     @property
     def has_free_place(self) -> bool:
         """Whether one more connection can be served; those that linger do not count."""
         served_count = len(self.connections) - len(self.lingering)
-        return served_count < self._context.generation.descriptor_shares.balancers
+        return served_count < self._context.generation.descriptor_shares.load_balancers
 
     def make_room(self) -> bool:
         """Begin to close one idle connection; return whether there was one.
@@ -128,7 +128,7 @@
         Its sender may be slow without ill intent. Only a part of the places and buffers is given to such messages, so
         that senders who never finish theirs leave the rest to others.
         """
-        place_count = self._context.generation.descriptor_shares.balancers
+        place_count = self._context.generation.descriptor_shares.load_balancers
         max_slow_writers = min(place_count, self._context.buffers.max_count) // SLOW_WRITER_DIVISOR
         if connection in self.slow_writers or len(self.slow_writers) >= max(1, max_slow_writers):
             return False
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -189,5 +189,5 @@
                 REJECTION_CODES[RejectionReason.INVALID_DOCUMENT],
                 str(error),
                 faults=[fault.as_dict() for fault in error.faults],
-                left_out=error.left_out,
+                left_out=error.omitted_count,
             )
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -19,7 +19,7 @@
 
 import nickelslip
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.loading import load
+from nickelslip.configuration.loading import load_config
 from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.listening_socket import bind
 from nickelslip.server.load_balancer_listener import LoadBalancerListener
@@ -38,7 +38,7 @@
 def load_or_exit(paths: tuple[str, ...]) -> Config:
     """Return the configuration in these files; print its errors and exit if it has any."""
     try:
-        return load(paths, os.environ)
+        return load_config(paths, os.environ)
     except MalformedSettingsError as error:
         for fault in getattr(error, "faults", None) or [error]:
             _print_error(str(fault))
@@ -51,7 +51,7 @@
     configure_logging(sys.stdout.fileno())
     crash_loop_guard = _wait_out_crash_loop(config)
     listening_socket = _bind_or_exit(config)
-    server = _create_server(config, partial(load, paths, os.environ))
+    server = _create_server(config, partial(load_config, paths, os.environ))
     server.listeners.append(LoadBalancerListener(server, listening_socket))
     if crash_loop_guard is not None:
         server.background_tasks.append(crash_loop_guard.run)
@@ -87,7 +87,7 @@
 
 def _create_server(config: Config, read_config: Callable[[], Config]) -> Server:
     """Return the server, with a configuration manager if the configuration may change while it runs."""
-    if not config.changes.on:
+    if not config.changes.accepts_changes:
         return Server(config, read_config)
     return _create_managed_server(config, read_config)
 
--- a/nickelslip/server/starting_configuration.py
+++ b/nickelslip/server/starting_configuration.py
@@ -6,7 +6,8 @@
 from typing import Any, NamedTuple
 
 from nickelslip.configuration.config import Config
-from nickelslip.configuration.document import Document, config_from, document_of
+from nickelslip.configuration.document import Document
+from nickelslip.configuration.document_conversion import config_from, document_of
 from nickelslip.configuration.document_parts import complete_document
 from nickelslip.configuration.history import HistoryRecord
 from nickelslip.configuration.start_selection import StartSelection, select_start, start_from_files
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -26,12 +26,12 @@
 from nickelslip.configuration import control_client, history, loading, store
 from nickelslip.configuration.change_lifecycle import ChangeRejectedError, RejectionReason
 from nickelslip.configuration.commands import config as config_command
-from nickelslip.configuration.commands import roll_out
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_protocol import FrameDecoder, encode_frame
 from nickelslip.configuration.request_metrics import RequestMetrics
-from nickelslip.configuration.rollout import Course, Rollout, Terms
-from nickelslip.configuration.rollout import Place as Place_
+from nickelslip.configuration.rollout import Rollout, RolloutPolicy, RolloutStatus
+from nickelslip.configuration.rollout import TargetState as Place_
+from nickelslip.configuration.rollout_runner import run_rollout
 from nickelslip.configuration.start_selection import select_start
 from nickelslip.configuration.store import HistoryStore
 from nickelslip.configuration.validation import InvalidDocumentError
@@ -42,7 +42,7 @@
 from tests.test_configuration import OURS, fill, ours
 
 pytestmark = pytest.mark.anyio
-RULES = ChangeRules(probation_ms=1000.0, probation_most_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
+RULES = ChangeRules(canary_period_ms=1000.0, max_canary_period_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
 SOON = {"grades": {"pay": {"quoted_ms": 400.0, "credit": 2.0}, "book": None}, "machine": {"running_most": 2}}
 
 
@@ -205,7 +205,7 @@
 
 
 async def test_harm_is_undone_by_itself_and_a_change_that_does_none_is_confirmed():
-    async with Place(rules=replace(RULES, probation_most_ms=6000.0)) as place:
+    async with Place(rules=replace(RULES, max_canary_period_ms=6000.0)) as place:
         await place.up()
         chance, begin = random.Random(3), place.node.clock() - 14_500
         quoted = {"payout": 100.0, "balance": 100.0}
@@ -501,16 +501,22 @@
             "verdict": {"reason": "grade payout"},
         }
 
-    terms = Terms(waves=(0.0, 1.0), look_ms=50.0, silent_ms=400.0, answer_ms=50.0, revert_ms=600.0)
+    terms = RolloutPolicy(
+        wave_fractions=(0.0, 1.0),
+        status_check_interval_ms=50.0,
+        unreachable_after_ms=400.0,
+        reply_timeout_ms=50.0,
+        rollback_timeout_ms=600.0,
+    )
     plan = Rollout(["n0", "n1", "n2", "n3"], terms, 0.0)
     with anyio.fail_after(8):
-        await roll_out(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
-    places = {name: place for name, (place, _) in plan.places().items()}
-    assert plan.course is Course.STUCK and places == {
-        "n0": Place_.REVERTED,
-        "n1": Place_.BAD,
-        "n2": Place_.STUCK,
-        "n3": Place_.REVERTED,
+        await run_rollout(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
+    places = {name: place for name, (place, _) in plan.target_states().items()}
+    assert plan.status is RolloutStatus.ROLLBACK_FAILED and places == {
+        "n0": Place_.ROLLED_BACK,
+        "n1": Place_.FAILED,
+        "n2": Place_.ROLLBACK_FAILED,
+        "n3": Place_.ROLLED_BACK,
     }
     assert ("n1", "rollback") not in told and len({*origins.values()}) == 1
 
