--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -26,12 +26,18 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
-from math import inf, sqrt
+from math import sqrt
 from typing import NamedTuple
 
+from nickelslip.configuration.expected_completions import (
+    IDLE_CPU_FRACTION,
+    BaselineProfile,
+    displaced_work_of_groups,
+    expected_completions,
+)
 from nickelslip.configuration.metrics_window import BATCH_BUCKET_COUNT, Baseline, MetricsWindow, Variability
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
@@ -44,8 +50,6 @@
 MIN_COMPLETIONS = MIN_EXPECTED_COMPLETIONS / 4
 MAX_CONCLUSIVE_LOAD_RATIO = 1.5  # beyond it the allowance for the load hides too much
 
-IDLE_CPU_FRACTION = 0.7  # under this utilization the work of one group takes nothing from another
-
 
 class CanaryStatus(Enum):
     """What can be said of a change in its canary period."""
@@ -105,75 +109,9 @@
 
 MIN_MISSING_FRACTION = 0.15  # of the expected completions; less is no reason to roll back, however certain it is
 MIN_MISSING_COUNT = 5.0  # requests
-READ_COST_FRACTION = 0.3  # of the mean work of a request, which reading one may cost whatever is decided then
-DEFAULT_WORK_MS = 1.0  # of a request, where the baseline does not tell
-MIN_WORK_MS = 1e-9  # avoids a division by zero
 ANSCOMBE_OFFSET = 0.375
 
 
-class BaselineProfile:
-    """What the expectations are derived from, calculated once for a baseline.
-
-    Args:
-        baseline: The span before the change.
-
-    Attributes:
-        baseline: The same.
-        groups: The pairs of each traffic class and each tenant, by the name of the group.
-        variability: The variability of each group.
-        work_ms: Mean work of a request of each pair. It is taken over the traffic class, since tenants of a class do
-            not differ by more than chance.
-        mean_work_ms: Mean work of a request.
-        received_per_ms: Rate of received requests.
-    """
-
-    def __init__(self, baseline: Baseline) -> None:
-        self.baseline = baseline
-        self.groups = baseline.groups()
-        self.variability = {name: baseline.variability(pairs) for name, pairs in self.groups.items()}
-        self.work_ms = {pair: self._class_work_ms(pair[0]) for pair in baseline.counts}
-        total = baseline.total()
-        self.mean_work_ms = _mean_work_ms(total)
-        self.received_per_ms = total.received / baseline.duration_ms if baseline.duration_ms else 0.0
-
-    def _class_work_ms(self, traffic_class: str) -> float:
-        return _mean_work_ms(self.baseline.sum(pair for pair in self.baseline.counts if pair[0] == traffic_class))
-
-    def additional_work(self, pair: ClassTenantPair, window: MetricsWindow) -> float:
-        """Return the work of a pair per millisecond that was received beyond that of the baseline."""
-        counts_before = self.baseline.counts.get(pair)
-        counts = window.counts.get(pair)
-        received_per_ms = counts.received / window.duration_ms if counts else 0.0
-        received_per_ms_before = counts_before.received / self.baseline.duration_ms if counts_before else 0.0
-        return (received_per_ms - received_per_ms_before) * self.work_ms.get(pair, self.mean_work_ms)
-
-
-def _mean_work_ms(counts: RequestCounts) -> float:
-    """Return the mean work of a request completed in time."""
-    if not counts.completed_in_time or not counts.work_ms:
-        return DEFAULT_WORK_MS
-    return counts.work_ms / counts.completed_in_time
-
-
-def displaced_work_of_groups(
-    profile: BaselineProfile, window: MetricsWindow
-) -> Iterator[tuple[str, set[ClassTenantPair], float]]:
-    """Yield each group with its pairs and the work per millisecond that other load may have displaced.
-
-    That is what was received of other groups beyond the baseline, and the cost of reading all that was received beyond
-    it. Where the cores were partly idle, no work was displaced.
-    """
-    additional = {pair: profile.additional_work(pair, window) for pair in {*profile.baseline.counts, *window.counts}}
-    total = sum(additional.values())
-    received_per_ms = window.total().received / window.duration_ms
-    reading = READ_COST_FRACTION * profile.mean_work_ms * max(0.0, received_per_ms - profile.received_per_ms)
-    for name, pairs in profile.groups.items():
-        if window.cpu_fraction < IDLE_CPU_FRACTION:
-            yield name, pairs, 0.0
-        else:
-            yield name, pairs, max(0.0, total - sum(additional[pair] for pair in pairs)) + reading
-
-
 def check_completed_in_time(
     profile: BaselineProfile,
     window: MetricsWindow,
@@ -203,11 +141,11 @@
 ) -> CanaryVerdict | None:
     """Test one group for requests that are no longer completed in time."""
     baseline = profile.baseline
-    counts_before = baseline.sum(pairs)
+    counts_before = baseline.counts_of(pairs)
     if not counts_before.received or not counts_before.completed_in_time:
         return None
-    counts = window.sum(pairs)
-    expected = _expected_completions(pairs, profile, window, displaced_work)
+    counts = window.counts_of(pairs)
+    expected = expected_completions(pairs, profile, window, displaced_work)
     completed_per_ms = counts.completed_in_time / window.duration_ms
     completed = completed_per_ms * window.duration_ms  # rounded as ``expected`` is, and as it is stored
     if expected - completed < max(MIN_MISSING_COUNT, MIN_MISSING_FRACTION * expected):
@@ -232,35 +170,6 @@
     )
 
 
-def _expected_completions(
-    pairs: set[ClassTenantPair],
-    profile: BaselineProfile,
-    window: MetricsWindow,
-    displaced_work: float,
-) -> float:
-    """Return the requests of a group that the old configuration would have completed in time since the change.
-
-    It is the rate of the baseline, lower in proportion where fewer requests were received, less the displaced work.
-    Where this server advertises a lower weight it is sent fewer requests by its own doing, and the expectation stays.
-    """
-    baseline = profile.baseline
-    counts_before = baseline.sum(pairs)
-    received_per_ms_before = counts_before.received / baseline.duration_ms
-    completed_per_ms_before = counts_before.completed_in_time / baseline.duration_ms
-    received_per_ms = window.sum(pairs).received / window.duration_ms
-    weight_drop = max(1.0, baseline.low_weight / window.weight) if window.weight > 0 else inf
-    if received_per_ms:
-        received_ratio = min(1.0, received_per_ms / received_per_ms_before * weight_drop)
-    else:
-        received_ratio = min(1.0, weight_drop - 1.0)
-    work_ms = (
-        sum(profile.work_ms[pair] * baseline.counts[pair].completed_in_time for pair in pairs)
-        / counts_before.completed_in_time
-    )
-    completed_per_ms = completed_per_ms_before * received_ratio - displaced_work / max(work_ms, MIN_WORK_MS)
-    return max(0.0, completed_per_ms) * window.duration_ms
-
-
 def _count_standard_errors(
     expected: float,
     completed: float,
@@ -424,7 +333,7 @@
         """Return the verdict on all that was recorded since the change.
 
         Args:
-            now_ms: The present moment.
+            now_ms: The present moment; the end of the buckets, so it decides nothing.
             buckets: The whole buckets from ``evaluated_until_ms`` to now, the oldest first.
         """
         for bucket in buckets:
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -101,9 +101,9 @@
     return origins
 
 
-def _value_of_variable(field: Field, text: str) -> Any:
+def _value_of_variable(schema_field: Field, text: str) -> Any:
     """Return a variable's text as a value of the field's type; what cannot be one stays a text, which is a fault."""
-    if field.type not in JSON_TYPES and text != "null":
+    if schema_field.type not in JSON_TYPES and text != "null":
         return text
     try:
         return json.loads(text)
@@ -131,16 +131,16 @@
             continue
         source = f"environment:{variable}"
         path = tuple(key.lower() for key in variable[len(OVERRIDE_PREFIX) :].split(PATH_SEPARATOR))
-        field = field_at(path)
-        if field is None:
+        schema_field = field_at(path)
+        if schema_field is None:
             faults.append(Fault(path, "unknown", source, severity=Severity.WARNING))
             continue
-        value = _value_of_variable(field, environment[variable])
-        fault = value_fault(field, value)
+        value = _value_of_variable(schema_field, environment[variable])
+        fault = value_fault(schema_field, value)
         if fault is not None:
             faults.append(Fault(path, fault, source))
             continue
-        _set_value(part, path, normalized(field, value))
+        _set_value(part, path, normalized(schema_field, value))
         origins[path] = source
     return part, faults, origins
 
--- a/nickelslip/configuration/metrics_window.py
+++ b/nickelslip/configuration/metrics_window.py
@@ -86,7 +86,7 @@
                 groups.setdefault(f"customer {tenant}", set()).add(pair)
         return groups
 
-    def sum(self, pairs: Iterable[ClassTenantPair]) -> RequestCounts:
+    def counts_of(self, pairs: Iterable[ClassTenantPair]) -> RequestCounts:
         """Return the total of these pairs."""
         total = RequestCounts()
         for pair in pairs:
@@ -97,7 +97,7 @@
 
     def total(self) -> RequestCounts:
         """Return the total of all pairs."""
-        return self.sum(self.counts)
+        return self.counts_of(self.counts)
 
 
 class Variability(NamedTuple):
@@ -139,7 +139,7 @@
         The estimate uses the residuals of the count given the requests received in the same batch. Variation of the
         load itself is left out because the comparison allows for it; a burst would otherwise pass for noise.
         """
-        total = self.sum(pairs)
+        total = self.counts_of(pairs)
         batch_count = len(self.buckets) // BATCH_BUCKET_COUNT
         if batch_count < MIN_BATCH_COUNT or not total.completed_in_time or not total.received:
             return Variability(1.0, inf)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,7 +21,8 @@
 from nickelslip.configuration.metrics_window import Baseline
 from nickelslip.configuration.plan import plan_of
 from nickelslip.configuration.request_metrics import BUCKET_MS, RequestMetrics
-from nickelslip.configuration.rollout import Action, Rollout, RolloutPolicy, RolloutStatus, TargetState
+from nickelslip.configuration.rollout import TRANSITIONS, Action, Rollout, RolloutPolicy, RolloutStatus, TargetState
+from nickelslip.configuration.rollout_runner import ROLLOUT_STATUS_TEXTS, ROLLOUT_STATUS_WORDS, TARGET_STATE_WORDS
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.validation import InvalidDocumentError
 from tests.test_config import GOOD
@@ -454,6 +455,14 @@
     return {"ok": True, "digest": "d1", "step": "confirmed", "current": None}
 
 
+def test_every_state_of_a_roll_out_has_the_word_and_text_that_the_command_prints():
+    assert set(TARGET_STATE_WORDS) == set(TargetState) == set(TRANSITIONS)
+    assert set(ROLLOUT_STATUS_WORDS) == set(ROLLOUT_STATUS_TEXTS) == set(RolloutStatus)
+    words = "waiting asked watched good bad lost to_revert reverting reverted stuck"
+    assert [*TARGET_STATE_WORDS.values()] == words.split()
+    assert [*ROLLOUT_STATUS_WORDS.values()] == ["going", "undoing", "done", "undone", "stuck"]
+
+
 def test_a_good_roll_out_goes_canary_first_and_reaches_all():
     plan, pushed, _ = rolled(well)
     assert plan.status is RolloutStatus.COMPLETED and pushed[0] == "n0" and len(pushed) == 10
