--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -15,10 +15,10 @@
 from nickelslip.admission.interface import RequestState, RetrySafety
 from nickelslip.server.requests import FINAL_STATES, Request
 from nickelslip.server.worker_pool_protocol import (
-    Command,
     QueryGauges,
     ResumeWithoutCall,
     ResumeWithReply,
+    RunCommand,
     StartRun,
     StopRun,
 )
@@ -27,13 +27,6 @@
 STOPS_PROVING_NO_RUN = 3  # stops without a notification, each written after the answer to a query
 
 
-class PendingCommand(NamedTuple):
-    """A command, and the request whose run it is for; a query is for none."""
-
-    command: Command
-    request: Request | None
-
-
 class ResendDecision(Enum):
     """What becomes of a command that may have been lost with a link."""
 
@@ -42,10 +35,10 @@
     LEAVE = "it may have arrived, and must not arrive twice"
 
 
-def resend_decision(pending: PendingCommand, can_stop_runs: bool) -> ResendDecision:
+def resend_decision(command: RunCommand, can_stop_runs: bool) -> ResendDecision:
     """Decide, once all missed notifications were read, whether a command that may be lost is sent again."""
-    command, request = pending
-    if request is None or not request.run_is_out or request.state in FINAL_STATES:
+    request = command.request
+    if not request.run_is_out or request.state in FINAL_STATES:
         return ResendDecision.LEAVE
     if isinstance(command, StartRun) and _is_start_repeatable(request):
         return ResendDecision.SEND_AGAIN
@@ -101,15 +94,17 @@
 
     def __init__(self, can_stop_runs: bool) -> None:
         self._can_stop_runs = can_stop_runs
-        self._unconfirmed = deque[PendingCommand](maxlen=MAX_UNCONFIRMED_COMMANDS)  # written on the present link
-        self._possibly_lost: list[PendingCommand] = []  # written on earlier links: the last command of each run
+        self._unconfirmed = deque[RunCommand | QueryGauges](
+            maxlen=MAX_UNCONFIRMED_COMMANDS
+        )  # written on the present link
+        self._possibly_lost: list[RunCommand] = []  # written on earlier links: the last command of each run
         self._unconfirmed_runs: dict[Request, UnconfirmedRun] = {}
         self._answer_count = 0
         self._catch_up_tag = ""  # of the query behind the missed notifications; empty once they were read
 
-    def command_written(self, pending: PendingCommand) -> None:
+    def command_written(self, command: RunCommand | QueryGauges) -> None:
         """Take note that a command was written on the present link."""
-        self._unconfirmed.append(pending)
+        self._unconfirmed.append(command)
 
     @property
     def is_all_confirmed(self) -> bool:
@@ -128,13 +123,13 @@
         stop is passed over: admission control asks for it again.
         """
         last_by_request = {
-            pending.request: pending
-            for pending in [*self._possibly_lost, *self._unconfirmed]
-            if pending.request is not None and not isinstance(pending.command, StopRun)
+            command.request: command
+            for command in [*self._possibly_lost, *self._unconfirmed]
+            if not isinstance(command, QueryGauges | StopRun)
         }
-        self._possibly_lost = [pending for request, pending in last_by_request.items() if request.run_is_out]
+        self._possibly_lost = [command for request, command in last_by_request.items() if request.run_is_out]
         self._unconfirmed_runs = dict.fromkeys(
-            (*self._unconfirmed_runs, *(pending.request for pending in self._possibly_lost if pending.request)),
+            (*self._unconfirmed_runs, *(command.request for command in self._possibly_lost)),
             UnconfirmedRun(0, self._answer_count),
         )
         self._unconfirmed.clear()
@@ -146,12 +141,12 @@
     def query_answered(self, tag: str) -> None:
         """Confirm the query with this tag and all that was written before it."""
         self._answer_count += 1
-        if not any(_is_query(pending, tag) for pending in self._unconfirmed):
+        if not any(_is_query(command, tag) for command in self._unconfirmed):
             return
         while not _is_query(self._unconfirmed.popleft(), tag):
             pass
 
-    def commands_to_resend(self, tag: str) -> list[PendingCommand]:
+    def commands_to_resend(self, tag: str) -> list[RunCommand]:
         """Return what is to be sent in place of possibly lost commands, once the query to wait for was answered.
 
         Args:
@@ -162,13 +157,13 @@
         self._catch_up_tag = ""
         possibly_lost = self._possibly_lost
         self._possibly_lost = []
-        commands = []
-        for pending in possibly_lost:
-            decision = resend_decision(pending, self._can_stop_runs)
+        commands = list[RunCommand]()
+        for command in possibly_lost:
+            decision = resend_decision(command, self._can_stop_runs)
             if decision is ResendDecision.SEND_AGAIN:
-                commands.append(pending)
-            elif decision is ResendDecision.START_OVER and pending.request is not None:
-                commands.append(PendingCommand(StopRun(pending.request.received.id_hex), pending.request))
+                commands.append(command)
+            elif decision is ResendDecision.START_OVER:
+                commands.append(StopRun(command.request))
         return commands
 
     def run_observed(self, request: Request) -> None:
@@ -208,5 +203,5 @@
     return request.answered or request.client_gone
 
 
-def _is_query(pending: PendingCommand, tag: str) -> bool:
-    return isinstance(pending.command, QueryGauges) and pending.command.tag == tag
+def _is_query(command: RunCommand | QueryGauges, tag: str) -> bool:
+    return isinstance(command, QueryGauges) and command.tag == tag
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -11,7 +11,7 @@
 
 from nickelslip.admission.interface import Gauges, Outcome, Preemption
 from nickelslip.server.close_reasons import MALFORMED_RESULT_OUTCOME, UNKNOWN_START_OUTCOME
-from nickelslip.server.command_delivery import CommandDelivery, PendingCommand
+from nickelslip.server.command_delivery import CommandDelivery
 from nickelslip.server.requests import CallRequested, Request, RunFinished
 from nickelslip.server.worker_pool_connection import WorkerPoolConnection
 from nickelslip.server.worker_pool_protocol import (
@@ -26,6 +26,7 @@
     QueryGauges,
     ResumeWithoutCall,
     ResumeWithReply,
+    RunCommand,
     RunEnded,
     RunMentioned,
     RunNotification,
@@ -58,7 +59,7 @@
         # Preemption is fixed while the server runs.
         self._can_stop_runs = owner.generation.settings.preemption is not Preemption.NEVER
         self._delivery = CommandDelivery(self._can_stop_runs)
-        self._unsent = deque[PendingCommand]()  # they were never written, and go out once the link is up
+        self._unsent = deque[RunCommand]()  # they were never written, and go out once the link is up
         self._last_seq = 0
         self._last_query_number = 0
         self._gauges: Gauges | None = None
@@ -90,9 +91,7 @@
 
     def start(self, request: Request) -> None:
         """Start a run of this request."""
-        received = request.received
-        command = StartRun(received.id_hex, received.traffic_class, received.body)
-        self._send(PendingCommand(command, request))
+        self._send(StartRun(request))
 
     def stop(self, request: Request) -> None:
         """Stop this request's run, where runs can be stopped.
@@ -105,24 +104,24 @@
         if self._delivery.is_absent_after_stop(request):
             request.deliver(RunFinished(Outcome.CANCELLED, 0.0))
             return
-        self._send(PendingCommand(StopRun(request.received.id_hex), request))
+        self._send(StopRun(request))
 
     def resume_with_reply(self, request: Request, body: bytes) -> None:
         """Resume this request's run with the reply to its call."""
         request.notified = False
-        self._send(PendingCommand(ResumeWithReply(request.received.id_hex, body), request))
+        self._send(ResumeWithReply(request, body))
 
     def resume_without_call(self, request: Request) -> None:
         """Resume this request's run without the call at which it stands."""
         request.notified = False
-        self._send(PendingCommand(ResumeWithoutCall(request.received.id_hex, request.call.seq), request))
+        self._send(ResumeWithoutCall(request, request.call.seq))
 
     def request_gauges(self) -> None:
         """Ask for the gauges, where the link is up. A link that brings nothing for many queries is given up."""
         self._connection.count_query()
         if self.is_up:
             self._last_query_number += 1
-            self._write(PendingCommand(QueryGauges(self._last_query_tag), None))
+            self._write(QueryGauges(self._last_query_tag))
 
     def take_gauges(self) -> Gauges | None:
         """Return the gauges that have come since they were last taken."""
@@ -134,15 +133,15 @@
     def _last_query_tag(self) -> str:
         return str(self._last_query_number)
 
-    def _send(self, pending: PendingCommand) -> None:
+    def _send(self, command: RunCommand) -> None:
         if self.is_up:
-            self._write(pending)
+            self._write(command)
         else:
-            self._unsent.append(pending)
+            self._unsent.append(command)
 
-    def _write(self, pending: PendingCommand) -> None:
-        line = encode_command(pending.command)
-        self._delivery.command_written(pending)
+    def _write(self, command: RunCommand | QueryGauges) -> None:
+        line = encode_command(command)
+        self._delivery.command_written(command)
         self._connection.write(line)
 
     # Notifications
@@ -222,9 +221,9 @@
         self._delivery.await_catch_up(self._last_query_tag)
         unsent = self._unsent
         self._unsent = deque()
-        for pending in unsent:
-            if pending.request is not None and pending.request.run_is_out:
-                self._send(pending)
+        for command in unsent:
+            if command.request.run_is_out:
+                self._send(command)
         self._owner.worker_pool_started(ago_ms)
 
     def _handle_gauges(self, tag: str, values: object) -> None:
@@ -234,8 +233,8 @@
             MalformedNotificationError: The values cannot be read.
         """
         self._delivery.query_answered(tag)
-        for pending in self._delivery.commands_to_resend(tag):
-            self._write(pending)
+        for command in self._delivery.commands_to_resend(tag):
+            self._write(command)
         if not self._delivery.is_catching_up and not self._can_stop_runs and self.is_up:
             for request in self._delivery.take_runs_to_start_again():
                 self.start(request)
--- a/nickelslip/server/worker_pool_protocol.py
+++ b/nickelslip/server/worker_pool_protocol.py
@@ -9,7 +9,7 @@
 from base64 import b64decode, b64encode
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import orjson
 
@@ -17,6 +17,9 @@
 from nickelslip.server.close_reasons import RUN_OUTCOMES
 from nickelslip.server.streams import BUFFER_BYTES, Stream
 
+if TYPE_CHECKING:
+    from nickelslip.server.requests import Request
+
 START_WORD = "spawn"
 STOP_WORD = "suspend"
 RESUME_WITH_REPLY_WORD = "supply"
@@ -49,30 +52,28 @@
 
 
 class StartRun(NamedTuple):
-    """Start a run."""
+    """Start a run of the request."""
 
-    request_id: str
-    traffic_class: str
-    body: bytes
+    request: Request
 
 
 class StopRun(NamedTuple):
-    """Stop a run that is on a core."""
+    """Stop the request's run, which is on a core."""
 
-    request_id: str
+    request: Request
 
 
 class ResumeWithReply(NamedTuple):
-    """Resume a run with the reply to the call at which it stands."""
+    """Resume the request's run with the reply to the call at which it stands."""
 
-    request_id: str
+    request: Request
     body: bytes
 
 
 class ResumeWithoutCall(NamedTuple):
-    """Resume a run without the call that the notification `call_seq` told of."""
+    """Resume the request's run without the call that the notification `call_seq` told of."""
 
-    request_id: str
+    request: Request
     call_seq: int
 
 
@@ -88,7 +89,8 @@
     last_seq: int
 
 
-Command = StartRun | StopRun | ResumeWithReply | ResumeWithoutCall | QueryGauges | Bind
+RunCommand = StartRun | StopRun | ResumeWithReply | ResumeWithoutCall
+Command = RunCommand | QueryGauges | Bind
 
 
 def encode_command(command: Command) -> bytes:
@@ -98,14 +100,16 @@
 
 def _command_fields(command: Command) -> dict[str, Any]:
     match command:
-        case StartRun(request_id, traffic_class, body):
-            return {"op": START_WORD, "id": request_id, "class": traffic_class, "body": b64encode(body).decode()}
-        case StopRun(request_id):
-            return {"op": STOP_WORD, "id": request_id}
-        case ResumeWithReply(request_id, body):
-            return {"op": RESUME_WITH_REPLY_WORD, "id": request_id, "body": b64encode(body).decode()}
-        case ResumeWithoutCall(request_id, call_seq):
-            return {"op": RESUME_WITHOUT_CALL_WORD, "id": request_id, "seq": call_seq}
+        case StartRun(request):
+            received = request.received
+            body_text = b64encode(received.body).decode()
+            return {"op": START_WORD, "id": received.id_hex, "class": received.traffic_class, "body": body_text}
+        case StopRun(request):
+            return {"op": STOP_WORD, "id": request.received.id_hex}
+        case ResumeWithReply(request, body):
+            return {"op": RESUME_WITH_REPLY_WORD, "id": request.received.id_hex, "body": b64encode(body).decode()}
+        case ResumeWithoutCall(request, call_seq):
+            return {"op": RESUME_WITHOUT_CALL_WORD, "id": request.received.id_hex, "seq": call_seq}
         case QueryGauges(tag):
             return {"op": QUERY_GAUGES_WORD, "tag": tag}
         case Bind(last_seq):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,6 +4,7 @@
 import json
 import os
 from base64 import b64encode
+from functools import partial
 from types import SimpleNamespace
 
 import anyio
@@ -11,7 +12,7 @@
 
 from nickelslip.admission.interface import RequestState, RetrySafety
 from nickelslip.server.close_reasons import CloseReason
-from nickelslip.server.command_delivery import PendingCommand, ResendDecision, resend_decision
+from nickelslip.server.command_delivery import ResendDecision, resend_decision
 from nickelslip.server.worker_pool_connection import LinkState
 from nickelslip.server.worker_pool_protocol import ResumeWithoutCall, ResumeWithReply, StartRun
 from tests.helpers import A, B, Place, until
@@ -118,7 +119,7 @@
         assert place.node.directory_reporter._is_reachable and place.clean is None
 
 
-START, REPLY, SKIP = StartRun(A, "read", b""), ResumeWithReply(A, b"reply"), ResumeWithoutCall(A, 7)
+START, REPLY, SKIP = StartRun, partial(ResumeWithReply, body=b"reply"), partial(ResumeWithoutCall, call_seq=7)
 AGAIN, OVER, LEAVE = ResendDecision.SEND_AGAIN, ResendDecision.START_OVER, ResendDecision.LEAVE
 
 
@@ -156,4 +157,4 @@
         received=SimpleNamespace(traffic_class="read"),
         generation=SimpleNamespace(retry_safety_by_class={"read": facts["safety"]}),
     )
-    assert resend_decision(PendingCommand(command, request), can_stop_runs) is decision
+    assert resend_decision(command(request), can_stop_runs) is decision
