--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -70,7 +70,7 @@
 async def test_where_places_run_short_one_with_something_unread_is_not_the_one_to_go():
     async with Place() as place:
         await place.up()
-        place.share_out(balancers=2)
+        place.share_out(load_balancers=2)
         asked, rests = await resting(place), await resting(place)
         rested(place, asked, 1000.0)  # unused for longest
         asked.send(asking(A))
@@ -88,7 +88,7 @@
 async def test_one_that_finds_no_place_is_ended_without_a_reset_under_what_it_brought():
     async with Place(cpus=32) as place:
         caller = await (await place.up()).caller()
-        place.share_out(balancers=1)
+        place.share_out(load_balancers=1)
         await place.running(caller, A)
         late = Peer(place.port)
         late.send(asking(B))
@@ -165,7 +165,7 @@
 async def test_those_that_linger_give_their_descriptors_once_nothing_can_cross_any_more_and_no_sooner():
     async with Place() as place:
         await place.up()
-        place.share_out(balancers=1, lingering=1)
+        place.share_out(load_balancers=1, lingering=1)
         front, first = place.node.listeners[0], await resting(place)
         second, third = await connected(place, first), Peer(place.port)
         third.send(STATUS)
@@ -188,7 +188,7 @@
 async def test_a_crowd_of_the_silent_is_ended_for_those_who_ask_however_many_linger():
     async with Place() as place:
         await place.up()
-        place.share_out(balancers=8, lingering=2)
+        place.share_out(load_balancers=8, lingering=2)
         crowd = [Peer(place.port) for _ in range(40)]
         last = Peer(place.port)
         last.send(asking(A))
@@ -204,7 +204,7 @@
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
     async with Place() as place:
         await place.up()
-        place.share_out(balancers=10, lingering=10)
+        place.share_out(load_balancers=10, lingering=10)
         front, rests = place.node.listeners[0], await resting(place)
         silent = [Peer(place.port) for _ in range(9)]  # more than are looked at for one that may go
         await until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -265,7 +265,7 @@
 async def test_where_places_run_short_the_silent_go_first_then_the_idle_and_never_one_with_work_open():
     async with Place(cpus=32) as place:
         await place.up()
-        place.share_out(balancers=3)
+        place.share_out(load_balancers=3)
         busy, silent, idle = [await place.caller() for _ in range(3)]
         await place.running(busy, A)
         await idle.send("STATUS", "1", "")
@@ -310,7 +310,7 @@
 async def test_a_flood_of_the_silent_does_not_crowd_out_one_that_has_just_asked():
     async with Place() as place:
         await place.up()
-        place.share_out(balancers=20)
+        place.share_out(load_balancers=20)
         with ExitStack() as flood:  # all of it stands at the door before the server can have looked
             asking = flood.enter_context(socket.create_connection(("127.0.0.1", place.port)))
             asking.sendall(resp.message(b"STATUS", b"1"))
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -144,7 +144,7 @@
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with Place(cpus=32) as place:
         await place.up()
-        place.share_out(balancers=8)
+        place.share_out(load_balancers=8)
         front, slow = place.node.listeners[0], [await resting(place) for _ in range(2)]
         for peer in slow:
             peer.send(STATUS[:10])
