--- a/nickelslip/admission/advertised_weight.py
+++ b/nickelslip/admission/advertised_weight.py
@@ -30,10 +30,10 @@
     def adjust(self, interval: IntervalMeasurements) -> None:
         """Lower the weight after an interval with congestion, raise it after one without.
 
-        Congestion is an early rejection, or a request that lay unread for long. An interval in which nothing was read
+        Congestion is a rejection, or a request that lay unread for long. An interval in which nothing was read
         shows that there is no congestion only if the cores idle.
         """
-        if interval.early_rejection_count or interval.max_read_delay_fraction > HIGH_READ_DELAY_FRACTION:
+        if interval.rejection_count or interval.max_read_delay_fraction > HIGH_READ_DELAY_FRACTION:
             self.weight *= WEIGHT_DECREASE_FACTOR
         elif not interval.is_reading_late and (interval.request_count or not interval.are_cores_busy):
             self.weight = min(1.0, self.weight + WEIGHT_INCREASE)
--- a/nickelslip/admission/answer_deadlines.py
+++ b/nickelslip/admission/answer_deadlines.py
@@ -37,7 +37,7 @@
         """Return the moment by which the request must be answered, whatever becomes of it."""
         return min(request.deadline_at_ms, self._drain.kill_at_ms - self._kill_margin_ms)
 
-    def useful_until_ms(self, request: TrackedRequest) -> float:
+    def answer_useful_until_ms(self, request: TrackedRequest) -> float:
         """Return the moment by which its answer must be there to be worth its work."""
         answer_by_ms = self.answer_by_ms(request)
         if request.statistics.is_worthless_when_late:
--- a/nickelslip/admission/concurrency_limit.py
+++ b/nickelslip/admission/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many requests run at once: an adaptive limit, and the slots of it that will be free again soon."""
+"""How many requests run at once: an adaptive limit, and how many of its slots will become free."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         self.limit = min(self.limit, self._max_concurrency)
 
     def count_effective_slots(self, now_ms: float, requests: TrackedRequests) -> None:
-        """Find out how many slots turn over: those of stalled runs do not.
+        """Count the slots that become free: those of stalled runs do not.
 
         This covers cores that hang, a machine that has become slow, and costly requests. Where run times vary widely
         it counts a few slots too little.
@@ -50,6 +50,6 @@
 
 
 def _is_stalled(now_ms: float, request: TrackedRequest) -> bool:
-    core_ms = now_ms - request.started_at_ms - request.total_call_ms
+    core_ms = now_ms - request.started_at_ms - request.at_calls_ms
     usual_ms = max(request.expected_run_ms, request.statistics.run_ms.mean(now_ms))
     return core_ms > STALLED_RUN_FACTOR * usual_ms
--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -79,7 +79,7 @@
         self._window_ms = LEARNING_WINDOW_OBJECTIVES * longest_objective_ms  # fixed: what was learned is kept by it
         self._classes: dict[str, ClassStatistics] = {}
         self._requests = TrackedRequests()
-        self._records = IdempotencyRecords()
+        self._idempotency_records = IdempotencyRecords()
         self._interval = IntervalMeasurements(now_ms)
         self._drain = DrainSchedule(settings)
         self._deadlines = AnswerDeadlines(settings, self._drain)
@@ -90,11 +90,13 @@
         self._quotas = TenantQuotas(settings, self._window_ms)
         self._starved_classes = StarvedClasses(settings)
         self._priority = QueuePriority(settings, self._window_ms, self._quotas, self._starved_classes)
-        self._memory = MemoryBudget(settings, self._requests, self._records)
+        self._memory = MemoryBudget(settings, self._requests, self._idempotency_records)
         self._dispatcher = Dispatcher(settings, self._requests, self._memory)
-        self._call_usage = DependencyUsage(settings, self._window_ms, now_ms)
-        self._call_limit = DependencyLimit(settings, self._window_ms, self._overload, now_ms)
-        self._calls = DependencyCalls(self._requests, self._deadlines, self._call_limit, self._call_usage, now_ms)
+        self._dependency_usage = DependencyUsage(settings, self._window_ms, now_ms)
+        self._dependency_limit = DependencyLimit(settings, self._window_ms, self._overload, now_ms)
+        self._dependency_calls = DependencyCalls(
+            self._requests, self._deadlines, self._dependency_limit, self._dependency_usage, now_ms
+        )
         self._idle_connections = IdleConnectionTimeout(settings)
         self._wake_at_ms = inf
         self._decisions = Decisions()
@@ -119,7 +121,7 @@
     # Events
 
     def start(self, now_ms: float) -> Decisions:
-        """The process has come up. Health checks that cost work are answered from a cached result from now on."""
+        """The process has come up. Where health checks cost work, they are to be answered from a cached result."""
         if self._health_check_costs_work:
             self._decisions.health = Health(is_healthy=True, is_cached=True)
         return self._decide(now_ms)
@@ -133,18 +135,14 @@
         self._deadlines.watch(request)
         self._interval.record_request(arrival.read_delay_ms, statistics.latency_objective_ms)
         self._priority.record_arrival(now_ms, arrival)
-        statistics.first_attempts.add(now_ms, 1.0, float(not arrival.is_retry))
-        has_to_queue = len(self._requests.queued) > 1 or self._requests.on_core_count() >= self._concurrency.limit
+        statistics.record_arrival(now_ms, arrival.is_retry)
+        has_to_queue = self._has_to_queue()
         age_ms = attempt_age_ms(request, received_at_ms) if arrival.deadline_at_ms is not None else 0.0
         if has_to_queue:  # a free core takes what may still be in time
             request.useful_until_ms -= age_ms
         self._priority.rank(now_ms, request, arrival)
         if received_at_ms > self._drain.grace_ends_at_ms:
             self._reject(now_ms, request)
-        elif self._takes_result_of_original(request, arrival):
-            self._transition(now_ms, request, RequestState.COALESCED)
-        elif not self._record_if_needed(now_ms, request, arrival):
-            self._reject(now_ms, request)
         else:
             self._admit(now_ms, request, arrival, has_to_queue, age_ms)
         return self._decide(now_ms)
@@ -155,7 +153,8 @@
         Args:
             now_ms: The present moment.
             request_id: The request.
-            outcome: How it ended; CANCELLED while its answer is still due puts it back into the queue.
+            outcome: How it ended. CANCELLED while its answer is still due puts it back into the queue; one that must
+                not run twice waits there to be answered when it is due.
             took_ms: The time of the run, calls included.
         """
         request = self._requests.by_id.get(request_id)
@@ -165,8 +164,8 @@
             self._transition(now_ms, request, RequestState.QUEUED, notify=False)
             return self._decide(now_ms)
         if outcome is Outcome.OK and request.has_run and request.state is not RequestState.DEGRADED:
-            core_ms = max(0.0, took_ms - request.total_call_ms)
-            request.statistics.record_completed_run(now_ms, core_ms, request.total_call_ms, request.cost_hint_ms)
+            core_ms = max(0.0, took_ms - request.at_calls_ms)
+            request.statistics.record_completed_run(now_ms, core_ms, request.at_calls_ms, request.cost_hint_ms)
         state = STATE_AFTER_RUN.get(outcome, RequestState.CANCELLED)
         self._transition(now_ms, request, state, notify=False, is_run_over=True)
         return self._decide(now_ms)
@@ -193,7 +192,7 @@
 
     def limit_calls(self, now_ms: float, max_calls: float, pause_ms: float) -> Decisions:
         """The server starts slowly, or the dependency does not answer: so many calls at most, and none for so long."""
-        self._call_limit.impose(now_ms, max_calls, pause_ms)
+        self._dependency_limit.impose(now_ms, max_calls, pause_ms)
         return self._decide(now_ms)
 
     def client_disconnected(self, now_ms: float, request_id: int) -> Decisions:
@@ -214,7 +213,7 @@
         """Other settings apply from here on. Requests in hand and all that was learned stay."""
         self._adopt(settings)
         self._overload.apply_settings(settings)
-        self._call_limit.apply_settings(settings, self._overload)
+        self._dependency_limit.apply_settings(settings, self._overload)
         for rule in (
             self._drain,
             self._deadlines,
@@ -226,12 +225,12 @@
             self._priority,
             self._memory,
             self._dispatcher,
-            self._call_usage,
+            self._dependency_usage,
             self._idle_connections,
         ):
             rule.apply_settings(settings)
-        self._deadlines.next_due_at_ms = now_ms  # the margins may have moved
-        self._call_limit.end_pause(now_ms)
+        self._deadlines.next_due_at_ms = now_ms  # the margins may have changed, and the spacing of calls
+        self._dependency_limit.end_pause(now_ms)
         return self._decide(now_ms)
 
     def timer_fired(self, now_ms: float, gauges: Gauges) -> Decisions:
@@ -239,7 +238,7 @@
         if now_ms >= self._wake_at_ms:
             self._wake_at_ms = inf
         if now_ms >= self._interval.ends_at_ms and gauges.cpu_utilization is not None:
-            self._interval.record_gauges(gauges)
+            self._interval.record_gauges(gauges.cpu_utilization, gauges.connection_count or 0.0)
             self._concurrency.adjust(self._interval, has_queue=bool(self._requests.queued))
         return self._decide(now_ms)
 
@@ -256,7 +255,7 @@
         self._keep_memory_budget(now_ms)
         decisions = self._decisions
         self._decisions = Decisions()
-        decisions.idempotency_updates = self._records.take_updates()
+        decisions.idempotency_updates = self._idempotency_records.take_updates()
         decisions.advertised_weight = self._weight.take_change(now_ms, self._drain)
         decisions.wake_in_ms = self._schedule_wake(now_ms)
         return decisions
@@ -270,7 +269,7 @@
         )
         self._starved_classes.update(now_ms, self._classes.values())
         self._interval.begin_next(now_ms)
-        self._records.drop_expired(now_ms)
+        self._idempotency_records.drop_expired(now_ms)
 
     def _stop_orphaned_runs(self, now_ms: float) -> None:
         """Have runs stopped whose result nobody awaits, where runs can be stopped; again after an interval."""
@@ -300,7 +299,7 @@
 
     def _start_calls(self, now_ms: float) -> None:
         """Let waiting requests call the dependency, go on without their call, or fail."""
-        for decision in self._calls.decide(now_ms, self._overload.safe_concurrency(now_ms)):
+        for decision in self._dependency_calls.decide(now_ms, self._overload.safe_concurrency(now_ms)):
             self._transition(now_ms, decision.request, decision.state, duration_ms=decision.timeout_ms)
 
     def _start_queued(self, now_ms: float) -> None:
@@ -324,7 +323,7 @@
         """Return in how long the controller is to be called again, unless an earlier call has been asked for."""
         margin_ms = self._deadlines.margin_ms
         wake_at_ms = min(self._interval.ends_at_ms, self._deadlines.next_due_at_ms - margin_ms)
-        next_call_at_ms = self._call_limit.next_call_at_ms
+        next_call_at_ms = self._dependency_limit.next_call_at_ms
         if self._requests.awaiting_call and next_call_at_ms > now_ms:
             wake_at_ms = min(wake_at_ms, next_call_at_ms)
         wake_at_ms = max(now_ms + margin_ms / 2, wake_at_ms)
@@ -335,6 +334,11 @@
 
     # Steps of the events
 
+    def _has_to_queue(self) -> bool:
+        """Whether a request that has just been added to the queue has to wait there, behind others or for a slot."""
+        has_others_queued = len(self._requests.queued) > 1
+        return has_others_queued or self._requests.on_core_count() >= self._concurrency.limit
+
     def _takes_result_of_original(self, request: TrackedRequest, arrival: Arrival) -> bool:
         """Whether the request is answered with the result of another one, whether that has run or not."""
         if arrival.original_request_id is None:
@@ -343,7 +347,7 @@
             return True
         return request.statistics.is_idempotent and self._response_cache_ms > 0
 
-    def _record_if_needed(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> bool:
+    def _keep_idempotency_record(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> bool:
         """Record the request for its key; return False where it must not run since it could not be recorded."""
         statistics = request.statistics
         time_to_deadline_ms = request.deadline_at_ms - now_ms
@@ -356,13 +360,23 @@
     def _record(self, now_ms: float, request: TrackedRequest, retention_ms: float) -> bool:
         if not self._memory.has_room_for_record():
             return False
-        self._records.add(now_ms, request.id, retention_ms)
+        self._idempotency_records.add(now_ms, request.id, retention_ms)
         return True
 
     def _admit(
         self, now_ms: float, request: TrackedRequest, arrival: Arrival, has_to_queue: bool, age_ms: float
     ) -> None:
-        """Leave the request in the queue, or reject it early."""
+        """Coalesce the request with its original, leave it in the queue, or reject it.
+
+        It is rejected, in this order of the rules: where it needs an idempotency record and memory has no room for
+        one; where its tenant is over its quota and it has to queue; where it is predicted to miss its deadline.
+        """
+        if self._takes_result_of_original(request, arrival):
+            self._transition(now_ms, request, RequestState.COALESCED)
+            return
+        if not self._keep_idempotency_record(now_ms, request, arrival):
+            self._reject(now_ms, request)
+            return
         if has_to_queue and request.within_quota_fraction < 1:  # the whole fleet counts the tenant's quota
             self._reject(now_ms, request, retry_elsewhere_useless=True)
             return
@@ -377,20 +391,20 @@
             self._reject(now_ms, request, retry_elsewhere_useless=is_useless)
 
     def _finish_call(self, now_ms: float, request: TrackedRequest, outcome: Outcome, took_ms: float) -> None:
-        self._call_usage.count_until(now_ms, len(self._requests.call_in_flight))
+        self._dependency_usage.count_until(now_ms, len(self._requests.call_in_flight))
         if outcome is Outcome.TIMEOUT:
-            self._call_usage.record_abandoned(now_ms)
+            self._dependency_usage.record_abandoned(now_ms)
         if not outcome.proves_never_ran:
-            self._call_limit.record_call(now_ms, took_ms, self._interval.last_read_delay_ms)
-        request.total_call_ms = request.total_call_ms + now_ms - request.call_phase_began_at_ms
+            self._dependency_limit.record_call(now_ms, took_ms, self._interval.last_read_delay_ms)
+        request.at_calls_ms = request.at_calls_ms + now_ms - request.call_phase_began_at_ms
         request.call_phase_began_at_ms = now_ms
-        self._calls.yield_optional_calls(now_ms, request)
+        self._dependency_calls.suspend_optional_calls(now_ms, request)
         if outcome is Outcome.OK:
             self._transition(now_ms, request, RequestState.RUNNING, notify=False)
             return
         self._transition(now_ms, request, RequestState.AWAITING_CALL, notify=False)
         if outcome.proves_never_ran:  # what sheds calls needs fewer of them, so that the next attempt waits
-            request.call_not_before_ms = now_ms + self._call_limit.call_ms.mean(now_ms)
+            request.call_not_before_ms = now_ms + self._dependency_limit.call_duration_ms.mean(now_ms)
             return
         request.call_not_before_ms = -inf
         if not request.statistics.is_idempotent:  # the call may have run, and must not run twice
@@ -405,8 +419,8 @@
             self._reject(now_ms, request)
 
     def _reject(self, now_ms: float, request: TrackedRequest, retry_elsewhere_useless: bool = False) -> None:
-        """Answer a request that has not run with the moment to come back."""
-        self._interval.early_rejection_count += 1
+        """Answer a request that has not run, or that may run again, with the moment to come back."""
+        self._interval.rejection_count += 1
         delay_ms = self._retry_after.delay_ms(
             now_ms,
             self._interval.last_read_delay_ms,
@@ -451,23 +465,22 @@
         if notify:
             self._decisions.state_changes.append(StateChange(request.id, state, duration_ms, retry_elsewhere_useless))
         if previous is RequestState.CALL_IN_FLIGHT:
-            self._call_usage.count_until(now_ms, len(self._requests.call_in_flight))
+            self._dependency_usage.count_until(now_ms, len(self._requests.call_in_flight))
             if is_final:
-                self._call_usage.record_abandoned(now_ms)
+                self._dependency_usage.record_abandoned(now_ms)
         del self._requests.by_state[previous][request.id]
         if state in STATES_OF_REQUESTS_NOT_RUN and request.statistics.needs_idempotency_record and not request.has_run:
-            self._records.remove(request.id)
+            self._idempotency_records.remove(request.id)
         if is_final and (is_run_over or previous in STATES_OFF_THE_CORES):
             del self._requests.by_id[request.id]
             return
-        if previous is RequestState.QUEUED:
-            self._leave_queue(now_ms, request, starts=state is RequestState.RUNNING)
+        if previous is RequestState.QUEUED and state is RequestState.RUNNING:
+            self._record_start(now_ms, request)
         request.state = RequestState.ORPHANED if is_final else state
         self._requests.by_state[request.state][request.id] = request
 
-    def _leave_queue(self, now_ms: float, request: TrackedRequest, starts: bool) -> None:
+    def _record_start(self, now_ms: float, request: TrackedRequest) -> None:
         request.started_at_ms = now_ms
-        if starts:
-            request.has_run = True
-            request.statistics.starts.add(now_ms, 1.0)
-            self._quotas.record_start(now_ms, request.tenant)
+        request.has_run = True
+        request.statistics.record_start(now_ms)
+        self._quotas.record_start(now_ms, request.tenant)
--- a/nickelslip/admission/dependency_calls.py
+++ b/nickelslip/admission/dependency_calls.py
@@ -15,8 +15,10 @@
 from nickelslip.admission.interface import RequestState
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-MAX_CALL_WAIT_FRACTION = 1 / 8  # of its latency objective, that an optional call is waited for
-YIELD_AFTER_FRACTION = 1 / 4  # of its latency objective: a request at its calls for longer has others yield theirs
+MAX_CALL_WAIT_FRACTION = 1 / 8  # the longest wait for an optional call, as a fraction of the latency objective
+# A request that needs its calls and has been at them for longer than this fraction of its latency objective has the
+# optional calls of other requests suspended.
+SUSPEND_OPTIONAL_AFTER_FRACTION = 1 / 4
 
 
 class CallDecision(NamedTuple):
@@ -50,10 +52,10 @@
         self._deadlines = deadlines
         self._limit = limit
         self._usage = usage
-        self._yield_optional_until_ms = now_ms
+        self._optional_calls_suspended_until_ms = now_ms
 
-    def yield_optional_calls(self, now_ms: float, request: TrackedRequest) -> None:
-        """Have optional calls left to others for a while, where a request that needs its calls has stood there long.
+    def suspend_optional_calls(self, now_ms: float, request: TrackedRequest) -> None:
+        """Suspend optional calls for one objective, where a request that needs its calls has been at them for long.
 
         This covers a dependency that is slow, or shared by more servers than foreseen. It is told from this server's
         own wait, so that a standstill of this server alone costs some optional calls, too.
@@ -61,14 +63,14 @@
         statistics = request.statistics
         if statistics.is_call_optional:
             return
-        at_calls_ms = now_ms - request.call_phase_began_at_ms + request.total_call_ms
-        if at_calls_ms > YIELD_AFTER_FRACTION * statistics.latency_objective_ms:
-            self._yield_optional_until_ms = now_ms + statistics.latency_objective_ms
+        at_calls_ms = now_ms - request.call_phase_began_at_ms + request.at_calls_ms
+        if at_calls_ms > SUSPEND_OPTIONAL_AFTER_FRACTION * statistics.latency_objective_ms:
+            self._optional_calls_suspended_until_ms = now_ms + statistics.latency_objective_ms
 
     def decide(self, now_ms: float, safe_concurrency: float) -> Iterator[CallDecision]:
         """Yield what becomes of waiting requests; each decision must be carried out before the next is asked for.
 
-        While no call fits, a long line is looked through only as often as the queue is.
+        While no call fits, the waiting requests are looked through only as often as the queue is.
 
         Args:
             now_ms: The present moment.
@@ -79,25 +81,26 @@
         if now_ms > self._deadlines.last_scan_at_ms and not self._has_free_call():
             return
         self._usage.count_until(now_ms, len(self._requests.call_in_flight))
-        mean_call_ms = self._limit.call_ms.mean(now_ms)
+        mean_call_ms = self._limit.call_duration_ms.mean(now_ms)
         concurrency = self._limit.limit
         waiting_ahead_count = 0
-        room_ms = inf
+        max_duration_ms = inf
         for request in self._in_order(now_ms, mean_call_ms):
             remaining_ms = self._remaining_ms(now_ms, request)
             pause_ms = max(0.0, self._limit.next_call_at_ms - now_ms)
             wait_ms = waiting_ahead_count * mean_call_ms / concurrency + pause_ms
-            self.yield_optional_calls(now_ms, request)
+            self.suspend_optional_calls(now_ms, request)
             if self._goes_on_without(now_ms, request, remaining_ms < mean_call_ms, wait_ms):
                 yield CallDecision(request, RequestState.DEGRADED)
             elif remaining_ms <= 0 and request.statistics.is_idempotent:
                 yield CallDecision(request, RequestState.FAILED)
             elif request.call_not_before_ms <= now_ms and self._limit.next_call_at_ms <= now_ms:
-                # The room is found by a look at all calls: once none fits, none further on does.
-                if room_ms >= mean_call_ms and self._may_add_call(safe_concurrency):
-                    room_ms = self._room_ms(now_ms)
-                    if room_ms >= mean_call_ms:
-                        yield self._start_call(now_ms, request, min(max(remaining_ms, mean_call_ms), room_ms))
+                # How long a call may last is found by a look at all calls; once none fits, none further on does.
+                if max_duration_ms >= mean_call_ms and self._may_add_call(safe_concurrency):
+                    max_duration_ms = self._max_duration_ms(now_ms)
+                    if max_duration_ms >= mean_call_ms:
+                        timeout_ms = min(max(remaining_ms, mean_call_ms), max_duration_ms)
+                        yield self._start_call(now_ms, request, timeout_ms)
                 waiting_ahead_count += request.state is RequestState.AWAITING_CALL
 
     def _in_order(self, now_ms: float, mean_call_ms: float) -> list[TrackedRequest]:
@@ -105,7 +108,7 @@
 
         def order(request: TrackedRequest) -> tuple[bool, tuple[float, float, int]]:
             done_at_ms = now_ms + mean_call_ms + request.expected_run_ms / 2
-            return done_at_ms > self._deadlines.useful_until_ms(request), request.priority_key
+            return done_at_ms > self._deadlines.answer_useful_until_ms(request), request.priority_key
 
         return sorted(self._requests.awaiting_call.values(), key=order)
 
@@ -115,7 +118,7 @@
         A request that may not be repeated is worth finishing as long as it can be answered at all.
         """
         if request.statistics.is_idempotent:
-            end_ms = self._deadlines.useful_until_ms(request)
+            end_ms = self._deadlines.answer_useful_until_ms(request)
         else:
             end_ms = self._deadlines.answer_by_ms(request)
         return end_ms - self._deadlines.margin_ms - now_ms - request.expected_run_ms / 2
@@ -125,7 +128,7 @@
         if not statistics.is_call_optional:
             return False
         is_wait_long = wait_ms > MAX_CALL_WAIT_FRACTION * statistics.latency_objective_ms
-        return is_late or is_wait_long or now_ms < self._yield_optional_until_ms
+        return is_late or is_wait_long or now_ms < self._optional_calls_suspended_until_ms
 
     def _has_free_call(self) -> bool:
         occupied_count = len(self._requests.call_in_flight) + self._usage.lingering_count
@@ -136,12 +139,12 @@
         in_hand_count = self._requests.on_core_count() + len(self._requests.call_in_flight)
         return self._has_free_call() and in_hand_count < safe_concurrency
 
-    def _room_ms(self, now_ms: float) -> float:
+    def _max_duration_ms(self, now_ms: float) -> float:
         in_flight = self._requests.call_in_flight.values()
         return self._usage.max_call_duration_ms(now_ms, in_flight, self._limit.share)
 
     def _start_call(self, now_ms: float, request: TrackedRequest, timeout_ms: float) -> CallDecision:
-        request.total_call_ms += now_ms - request.call_phase_began_at_ms
+        request.at_calls_ms += now_ms - request.call_phase_began_at_ms
         request.call_phase_began_at_ms = now_ms
         request.call_ends_at_ms = now_ms + timeout_ms
         return CallDecision(request, RequestState.CALL_IN_FLIGHT, timeout_ms)
--- a/nickelslip/admission/dependency_limit.py
+++ b/nickelslip/admission/dependency_limit.py
@@ -32,11 +32,19 @@
         now_ms: The present moment.
     """
 
-    __slots__ = ("share", "call_ms", "next_call_at_ms", "_limit", "_imposed_limit", "_best_mean_ms", "_tick_ms")
+    __slots__ = (
+        "share",
+        "call_duration_ms",
+        "next_call_at_ms",
+        "_limit",
+        "_imposed_limit",
+        "_best_mean_ms",
+        "_tick_ms",
+    )
 
     def __init__(self, settings: Settings, window_ms: float, overload: OverloadConcurrency, now_ms: float) -> None:
         shortest_objective_ms = min(each.latency_objective_ms for each in settings.traffic_classes)
-        self.call_ms = RecentMean(shortest_objective_ms * INITIAL_CALL_FRACTION, window_ms)
+        self.call_duration_ms = RecentMean(shortest_objective_ms * INITIAL_CALL_FRACTION, window_ms)
         self.share = 1.0
         self.next_call_at_ms = now_ms
         self._limit = 1.0
@@ -70,7 +78,7 @@
         self.next_call_at_ms = max(self.next_call_at_ms, now_ms + pause_ms)
 
     def end_pause(self, now_ms: float) -> None:
-        """Forget how long calls were to pause."""
+        """Allow the next call at once: with other settings the spacing of calls may be another one."""
         self.next_call_at_ms = now_ms
 
     def record_call(self, now_ms: float, duration_ms: float, read_delay_ms: float) -> None:
@@ -79,12 +87,12 @@
         The time for which the reply may have lain unread is not the dependency's, and a duration under a tick tells
         nothing. Where calls vary widely the limit is a little too low.
         """
-        self.call_ms.record(now_ms, duration_ms)
+        self.call_duration_ms.record(now_ms, duration_ms)
         if duration_ms - read_delay_ms > SLOW_CALL_FACTOR * max(self._best_mean_ms, self._tick_ms):
             self._limit = max(MIN_LIMIT_FRACTION * self.share, self._limit * LIMIT_DECREASE_FACTOR)
         else:
             self._limit = min(self.share, self._limit * LIMIT_INCREASE_FACTOR)
-        total_ms, call_count = self.call_ms.recent_samples(now_ms)
+        total_ms, call_count = self.call_duration_ms.recent_samples(now_ms)
         if call_count >= MIN_BEST_MEAN_SAMPLES:
             self._best_mean_ms = min(self._best_mean_ms, total_ms / call_count)
         self.next_call_at_ms = now_ms + duration_ms * max(0.0, 1 / self._limit - 1)
--- a/nickelslip/admission/dispatch.py
+++ b/nickelslip/admission/dispatch.py
@@ -38,8 +38,9 @@
     def requests_to_start(self, concurrency_limit: float, safe_concurrency: float) -> Iterator[TrackedRequest]:
         """Yield the requests that start, the most urgent first; each must have started before the next is asked for.
 
-        Passed over are requests that have run and may not run again, requests that would only join a line at the
-        dependency, requests that would take a slot reserved for another class, and those that memory has no room for.
+        Passed over are requests that have run and may not run again, requests that need a call while as many as the
+        cores wait for permission to call, requests that would take a slot reserved for another class, and those that
+        memory has no room for. Reserved slots are counted with the one slot over the limit.
 
         Args:
             concurrency_limit: The slots; one more is used by a request that is far more urgent than what runs.
@@ -49,7 +50,7 @@
         max_on_cores = min(safe_concurrency - in_flight_count, concurrency_limit + 1, self._max_concurrency)
         if self._requests.on_core_count() >= max_on_cores:
             return
-        has_line_at_calls = len(self._requests.awaiting_call) >= self._core_count
+        are_many_awaiting_call = len(self._requests.awaiting_call) >= self._core_count
         for request in sorted(self._requests.queued.values(), key=PRIORITY):
             on_core_count = self._requests.on_core_count()
             if on_core_count >= max_on_cores:
@@ -58,7 +59,7 @@
                 return
             if request.has_run and not request.statistics.is_idempotent:
                 continue
-            if has_line_at_calls and request.statistics.makes_calls and not request.statistics.is_call_optional:
+            if are_many_awaiting_call and request.statistics.makes_calls and not request.statistics.is_call_optional:
                 continue
             if self._reserved_slots and on_core_count + self._slots_kept_free(request) >= max_on_cores:
                 continue
--- a/nickelslip/admission/early_rejection.py
+++ b/nickelslip/admission/early_rejection.py
@@ -22,7 +22,7 @@
 ) -> bool:
     """Whether an arrival that has to queue would be answered too late, its queue wait included.
 
-    The wait is the expected run time of the queued requests ahead of it over the slots that turn over; its own
+    The wait is the expected run time of the queued requests ahead of it over the slots that become free; its own
     expected time follows. With no such slot the wait has no end.
     """
     run_ms_ahead = sum(
@@ -30,8 +30,8 @@
     )
     wait_ms = run_ms_ahead / effective_slots if effective_slots else inf
     own_ms = request.expected_run_ms
-    call_ms = request.statistics.call_ms.mean(now_ms)
-    return now_ms + PREDICTION_SAFETY_FACTOR * (wait_ms + own_ms + call_ms) > deadlines.useful_until_ms(request)
+    call_ms = request.statistics.at_calls_ms.mean(now_ms)
+    return now_ms + PREDICTION_SAFETY_FACTOR * (wait_ms + own_ms + call_ms) > deadlines.answer_useful_until_ms(request)
 
 
 def is_late_if_started_now(
@@ -45,11 +45,11 @@
     statistics = request.statistics
     if has_contention:
         run_ms = request.expected_run_ms
-        call_ms = statistics.call_ms.mean(now_ms)
+        call_ms = statistics.at_calls_ms.mean(now_ms)
     else:
         run_ms = min(request.expected_run_ms, statistics.run_ms.recent_mean(now_ms))
-        call_ms = statistics.call_ms.recent_mean(now_ms)
-    return now_ms + run_ms + call_ms > deadlines.useful_until_ms(request)
+        call_ms = statistics.at_calls_ms.recent_mean(now_ms)
+    return now_ms + run_ms + call_ms > deadlines.answer_useful_until_ms(request)
 
 
 def is_retry_elsewhere_useless(arrival: Arrival, attempt_age_ms: float, weight: float) -> bool:
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -40,14 +40,14 @@
 class Outcome(Enum):
     """How a run or a dependency call ended."""
 
-    OK = "well"
-    ERROR = "with an error"
-    REJECTED = "rejected before it began"
-    TIMEOUT = "abandoned"
-    CONNECT_FAILED = "the connection never came about"
+    OK = "it returned a result"
+    ERROR = "it returned an error"
+    REJECTED = "the dependency rejected it before it began"  # calls only
+    TIMEOUT = "it was abandoned after its timeout"
+    CONNECT_FAILED = "no connection could be made"
     RESET = "the connection broke"
-    CANCELLED = "stopped"
-    NOT_STARTED = "over before it began"
+    CANCELLED = "it was stopped before its end"
+    NOT_STARTED = "it was never started"
 
     @property
     def proves_never_ran(self) -> bool:
@@ -58,9 +58,9 @@
 class RequestState(Enum):
     """The state of a request. A change into one of them is an instruction to the server."""
 
-    QUEUED = "read, and waiting for a slot"  # from RUNNING: take it off the cores
+    QUEUED = "read, and waiting for a slot"
     RUNNING = "on the cores"
-    PAUSED = "taken off the cores with its progress kept"
+    PAUSED = "taken off the cores with its progress kept"  # not entered by any rule at present
     AWAITING_CALL = "its run waits for permission to call the dependency"
     CALL_IN_FLIGHT = "its dependency call is in flight"
     DEGRADED = "goes on without its call"
@@ -84,11 +84,11 @@
     timeout_ms: float
     retry_safety: RetrySafety
     idempotency_window_ms: float = 0.0  # IDEMPOTENCY_KEY: a retry may come this long after the first attempt
-    late_value_fraction: float = 0.0  # of the value, what an answer after the objective still has
+    late_value_fraction: float = 0.0  # fraction of the value that an answer after the objective has
     objective_stretch: float = 0.0  # additional objective, as a multiple of the request's run time
     makes_calls: bool = False
-    degraded_value_fraction: float = 0.0  # of the value, what an answer without its call has; 0: not allowed
-    reserved_slot_count: int = 0  # slots that other classes leave free for this one
+    degraded_value_fraction: float = 0.0  # fraction of the value of an answer without its call; 0: not allowed
+    reserved_slot_count: int = 0  # slots that requests of other classes do not take
 
 
 class Tenant(NamedTuple):
@@ -107,9 +107,9 @@
     memory_kb: float
     running_memory_factor: float  # memory of a running request over that of a queued one
     starts_cold: bool
-    cold_speed_fraction: float  # of its speed, what a cold machine starts with
+    cold_speed_fraction: float  # fraction of its speed that a cold machine starts with
     warm_up_ms: float
-    overload_concurrency_per_core: float  # running requests a core that a warm machine survives
+    overload_concurrency_per_core: float  # running requests per core that a warm machine survives
     answer_slack_ms: float
     drain_grace_ms: float
     tick_ms: float
@@ -178,7 +178,7 @@
     """How health checks are answered from now on."""
 
     is_healthy: bool
-    is_cached: bool  # from a cached result, at little cost
+    is_cached: bool  # from a cached result, at little cost; a server whose answers are always cheap may pass over it
 
 
 @dataclass(eq=False)
--- a/nickelslip/admission/interval_measurements.py
+++ b/nickelslip/admission/interval_measurements.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from nickelslip.admission.interface import Gauges
-
 ADJUSTMENT_INTERVAL_MS = 100.0
 CPU_BUSY_UTILIZATION = 0.9  # under this utilization the cores count as idle
 
@@ -17,7 +15,7 @@
 
     __slots__ = (
         "ends_at_ms",
-        "early_rejection_count",
+        "rejection_count",
         "request_count",
         "max_read_delay_fraction",
         "last_read_delay_ms",
@@ -27,7 +25,7 @@
 
     def __init__(self, now_ms: float) -> None:
         self.ends_at_ms = now_ms + ADJUSTMENT_INTERVAL_MS
-        self.early_rejection_count = 0
+        self.rejection_count = 0
         self.request_count = 0
         self.max_read_delay_fraction = 0.0
         self.last_read_delay_ms = 0.0
@@ -50,15 +48,14 @@
         self.request_count += 1
         self.last_read_delay_ms = read_delay_ms
 
-    def record_gauges(self, gauges: Gauges) -> None:
-        """Keep the latest gauges, where the machine measures them."""
-        if gauges.cpu_utilization is not None:
-            self.cpu_utilization = gauges.cpu_utilization
-            self.connection_count = gauges.connection_count or 0.0
+    def record_gauges(self, cpu_utilization: float, connection_count: float) -> None:
+        """Keep the latest gauges; a count of 0 stands for one that is not measured, too."""
+        self.cpu_utilization = cpu_utilization
+        self.connection_count = connection_count
 
     def begin_next(self, now_ms: float) -> None:
         """Start the next interval. The gauges and the last read delay stay."""
-        self.early_rejection_count = 0
+        self.rejection_count = 0
         self.request_count = 0
         self.max_read_delay_fraction = 0.0
         self.ends_at_ms = now_ms + ADJUSTMENT_INTERVAL_MS
--- a/nickelslip/admission/overload_concurrency.py
+++ b/nickelslip/admission/overload_concurrency.py
@@ -21,6 +21,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Take the size of the machine from the settings; how it warms up is fixed at its start."""
         self._core_count = settings.core_count
+        # One request per core is the regular load; what a warm machine survives beyond it is lost while it is cold.
         self.extra_when_warm = settings.core_count * (settings.overload_concurrency_per_core - 1)
 
     @property
--- a/nickelslip/admission/queue_priority.py
+++ b/nickelslip/admission/queue_priority.py
@@ -14,7 +14,6 @@
 
 # A retry does not tell its age. The more of them there are, the likelier it is that its objective is over.
 MIN_RETRY_VALUE_FRACTION = 0.1
-MIN_RUN_MS = 1e-9  # keeps a quotient finite
 
 
 class QueuePriority:
@@ -32,7 +31,7 @@
     ) -> None:
         self._quotas = quotas
         self._starved_classes = starved_classes
-        self._retries = SlidingWindowSum(window_ms)
+        self._retries = SlidingWindowSum(window_ms)  # its sum counts retries, its count all arrivals
         self._retry_fraction = 0.0
         self.apply_settings(settings)
 
@@ -60,8 +59,7 @@
 
     def _class_value_per_ms(self, request: TrackedRequest) -> float:
         statistics = request.statistics
-        run_ms = 1.0 if self._value_counts_work else max(request.expected_run_ms, MIN_RUN_MS)
-        value_per_ms = statistics.priority_weight / run_ms
+        value_per_ms = statistics.value_per_ms(1.0 if self._value_counts_work else request.expected_run_ms)
         if statistics.is_starved:
             return max(value_per_ms, self._starved_classes.best_value_per_ms)
         return value_per_ms
--- a/nickelslip/admission/retry_after.py
+++ b/nickelslip/admission/retry_after.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-from math import inf
 
 from nickelslip.admission.drain_schedule import DrainSchedule
 from nickelslip.admission.interface import Settings
@@ -31,10 +30,11 @@
     ) -> float:
         """Return the delay: how long requests lie unread plus the time to clear the queue, with jitter.
 
-        A draining server gives the longest delay that clients heed.
+        A draining server gives the longest delay that clients heed; where they heed none, the delay is 0. The jitter
+        is drawn in any case, so that the sequence of draws does not depend on the drain.
         """
         jittered_fraction = self._client_fraction * self._random.uniform(MIN_JITTER, MAX_JITTER)
         if drain.is_draining(now_ms):
-            return min(inf, self._max_delay_ms)
+            return self._max_delay_ms
         delay_ms = (read_delay_ms + queued_run_ms / concurrency_limit) * jittered_fraction
         return min(delay_ms, self._max_delay_ms)
--- a/nickelslip/admission/starved_classes.py
+++ b/nickelslip/admission/starved_classes.py
@@ -13,7 +13,6 @@
 
 MIN_ADMISSION_FRACTION = 0.45  # of a class's first attempts
 STARVATION_STANDARD_DEVIATIONS = 1.0  # starts that fall short by less may do so by chance
-MIN_RUN_MS = 1e-9  # keeps a quotient finite
 
 
 class StarvedClasses:
@@ -39,5 +38,5 @@
             start_count = statistics.starts.total(now_ms).sample_count
             chance_count = STARVATION_STANDARD_DEVIATIONS * sqrt(due_count)
             statistics.is_starved = self._clients_mark_retries and start_count + chance_count < due_count
-            run_ms = 1.0 if self._value_counts_work else max(statistics.run_ms.mean(now_ms), MIN_RUN_MS)
-            self.best_value_per_ms = max(self.best_value_per_ms, statistics.priority_weight / run_ms)
+            run_ms = 1.0 if self._value_counts_work else statistics.run_ms.mean(now_ms)
+            self.best_value_per_ms = max(self.best_value_per_ms, statistics.value_per_ms(run_ms))
--- a/nickelslip/admission/tenant_quotas.py
+++ b/nickelslip/admission/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: how much of a tenant's requests lies within the rate that counts in full."""
+"""Tenant quotas: which fraction of a tenant's recent starts lies within the rate that its quota allows."""
 
 from __future__ import annotations
 
--- a/nickelslip/admission/tracked_request.py
+++ b/nickelslip/admission/tracked_request.py
@@ -26,7 +26,7 @@
         "state",
         "has_run",
         "started_at_ms",
-        "total_call_ms",
+        "at_calls_ms",
         "call_phase_began_at_ms",
         "call_not_before_ms",
         "call_ends_at_ms",
@@ -54,13 +54,13 @@
         self.state = RequestState.QUEUED
         self.has_run = False
         self.started_at_ms = now_ms
-        self.total_call_ms = 0.0  # waiting for permission to call included
+        self.at_calls_ms = 0.0  # time at calls so far, waiting for permission included
         self.call_phase_began_at_ms = now_ms  # AWAITING_CALL or CALL_IN_FLIGHT: since when
         self.call_not_before_ms = inf  # AWAITING_CALL: no call before this moment
         self.call_ends_at_ms = inf  # CALL_IN_FLIGHT: when the call times out
         self.stop_requested_at_ms = -inf  # ORPHANED: when its run was last told to stop
         self.priority_key = (0.0, 0.0, 0)  # the smallest key starts first
-        self.within_quota_fraction = 1.0  # of this request, what lies within its tenant's quota
+        self.within_quota_fraction = 1.0  # fraction of the tenant's recent starts that lies within its quota
 
 
 class TrackedRequests:
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -426,7 +426,7 @@
         world.now += took
         world.back(ident, Outcome.OK)
         world.end(ident)
-        return world.control._call_limit.limit
+        return world.control._dependency_limit.limit
 
     assert all(call(ident, 1.0) == 5.1 for ident in range(1, 40))
     assert call(40, 9.0) == 5.1  # under a tick or two times tell nothing
