--- /dev/null
+++ b/tests/support/fake_records_service.py
@@ -0,0 +1,53 @@
+"""A records service that keeps the calls it receives and replies as a test asks."""
+
+from __future__ import annotations
+
+import anyio.abc
+
+from tests.support.fake_tcp_service import FakeTcpService
+
+
+class CallConnections(dict[str, anyio.abc.SocketStream]):
+    """The connection of each call by request id; reading one that is closed gives None.
+
+    Args:
+        open_streams: The connections that are open.
+    """
+
+    def __init__(self, open_streams: set[anyio.abc.SocketStream]) -> None:
+        super().__init__()
+        self._open_streams = open_streams
+
+    def __getitem__(self, request_id: str) -> anyio.abc.SocketStream | None:  # type: ignore[override]
+        stream = super().__getitem__(request_id)
+        return stream if stream in self._open_streams else None
+
+
+class FakeRecordsService(FakeTcpService):
+    """The records service: it keeps calls as (verb, request id, body).
+
+    Attributes:
+        lines: The connection on which each request's last call came.
+    """
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.lines = CallConnections(self.streams)
+
+    async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
+        """Keep each complete call and its connection."""
+        while b"\r\n" in buffered:
+            verb, request_id, *rest = buffered.split(b"\r\n", 1)[0].decode().split(" ")
+            start = buffered.index(b"\r\n") + 2
+            size = int(rest[1]) if rest else 0
+            if rest and len(buffered) < start + size + 2:
+                return buffered
+            self.seen.append((verb, request_id, buffered[start : start + size]))
+            self.lines[request_id] = stream
+            buffered = buffered[start + (size + 2 if rest else 0) :]
+        return buffered
+
+    async def reply(self, request_id: str, word: str, body: bytes | None = None, to: str = "") -> None:
+        """Send a reply on the connection of the request's call, or on that of the request named by `to`."""
+        tail = b"" if body is None else b" %d\r\n%b" % (len(body), body)
+        await self.lines[to or request_id].send(f"{request_id} {word}".encode() + tail + b"\r\n")  # type: ignore[union-attr]
--- /dev/null
+++ b/tests/support/fake_tcp_service.py
@@ -0,0 +1,67 @@
+"""A TCP service that keeps what it receives: the base of the fake services."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from typing import Any
+
+import anyio
+import anyio.abc
+
+
+class FakeTcpService:
+    """A listener that accepts any number of connections and answers on the last one.
+
+    Attributes:
+        links: How many connections were accepted.
+        stream: The last connection, or None after `cut`.
+        seen: The messages received, in order.
+        streams: All open connections.
+    """
+
+    def __init__(self) -> None:
+        self.links = 0
+        self.stream: anyio.abc.SocketStream | None = None
+        self.seen: list[Any] = []
+        self.streams: set[anyio.abc.SocketStream] = set()
+
+    async def listen(self, tasks: anyio.abc.TaskGroup, port: int = 0) -> Any:
+        """Listen on the port, 0 for any free one, and serve in the task group; return the service itself."""
+        self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
+        self.port = self.listener.extra(anyio.abc.SocketAttribute.local_port)
+        self.scope = anyio.CancelScope()
+        self.over = anyio.Event()
+        tasks.start_soon(self._serve)
+        return self
+
+    async def _serve(self) -> None:
+        with self.scope:
+            await self.listener.serve(self._handle)
+        await self.listener.aclose()
+        self.over.set()
+
+    async def _handle(self, stream: anyio.abc.SocketStream) -> None:
+        self.stream = stream
+        self.links += 1
+        buffered = b""
+        self.streams.add(stream)
+        with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
+            while True:
+                buffered = await self.parse(buffered + await stream.receive(), stream)
+        self.streams.discard(stream)
+
+    async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
+        """Handle the complete messages, and return the rest."""
+        raise NotImplementedError
+
+    async def cut(self) -> None:
+        """Close all connections forcefully."""
+        self.stream = None
+        for stream in list(self.streams):
+            await anyio.aclose_forcefully(stream)
+
+    async def down(self) -> None:
+        """Stop listening, and close all connections."""
+        self.scope.cancel()
+        await self.over.wait()
+        await self.cut()
--- /dev/null
+++ b/tests/support/server_rig.py
@@ -0,0 +1,243 @@
+"""The real server on loopback sockets, among fake services."""
+
+from __future__ import annotations
+
+import copy
+import json
+import os
+import socket
+import subprocess
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.abc
+
+from nickelslip.configuration.config import ChangeRules, Config, config_from_platform
+from nickelslip.configuration.generations import Generation
+from nickelslip.configuration.store import HistoryStore
+from nickelslip.server.configuration_manager import ConfigurationManager
+from nickelslip.server.control_socket import ControlSocket
+from nickelslip.server.lifecycle import Phase
+from nickelslip.server.listening_socket import bind
+from nickelslip.server.load_balancer_connection import LoadBalancerConnection
+from nickelslip.server.load_balancer_listener import LoadBalancerListener
+from nickelslip.server.server import Server
+from nickelslip.server.starting_configuration import select_starting_configuration
+from tests.support.fake_records_service import FakeRecordsService
+from tests.support.fake_worker_pool import CALL_BODY, FakeWorkerPool
+from tests.support.load_balancer_client import LoadBalancerClient, RawClient
+from tests.support.platform_settings import PLATFORM_SETTINGS
+from tests.support.waiting import wait_until
+
+PROGRAM_START_S = 10.0
+
+
+class ServerRig:
+    """A server among fake services, in this process or in one of its own.
+
+    Args:
+        in_subprocess: Whether `run_program` runs the server, so that none is started here.
+        change_rules: Rules of configuration changes, where the test makes changes.
+        specifics: Keys of the settings' `specifics` that differ from the usual ones.
+
+    Attributes:
+        platform_settings: The settings, as the platform sends them.
+        config: The configuration file's content.
+        pool: The fake worker pool.
+        records: The fake records service.
+        reports: The load reports that reached the directory.
+        node: The server.
+        port: The port that clients connect to.
+        configuration_manager: The configuration manager, or None.
+        clean: What `Server.run` returned, or None.
+    """
+
+    def __init__(self, in_subprocess: bool = False, change_rules: ChangeRules | None = None, **specifics: Any) -> None:
+        self._in_subprocess = in_subprocess
+        self._change_rules = change_rules
+        self.configuration_manager: Any = None
+        self.platform_settings = copy.deepcopy(PLATFORM_SETTINGS)
+        self.platform_settings["specifics"].update(specifics)
+        self.pool = FakeWorkerPool()
+        self.records = FakeRecordsService()
+        self.reports: list[str] = []
+        self.clean: bool | None = None
+        self.config: dict[str, Any] = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "seed": "8c1f",
+            "stop_ms": 700,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 200},
+            "settings": self.platform_settings,
+        }
+
+    async def __aenter__(self) -> ServerRig:
+        self._tasks = anyio.create_task_group()
+        await self._tasks.__aenter__()
+        await self.pool.listen(self._tasks)
+        await self.records.listen(self._tasks)
+        directory_port = await self.directory_up()
+        self._set_service_addresses()
+        self.config["lookup"] = f"127.0.0.1:{directory_port}"
+        self.listener = bind(("127.0.0.1", 0))
+        self.port = self.listener.getsockname()[1]
+        self.node = Server(self.read(), self.read)
+        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
+        if self._change_rules is not None:
+            self._add_configuration_manager(self._change_rules)
+        if not self._in_subprocess:
+            self._tasks.start_soon(self._run)
+        return self
+
+    def _set_service_addresses(self) -> None:
+        self.config["pool"] = f"127.0.0.1:{self.pool.port}"
+        self.config["records"] = f"127.0.0.1:{self.records.port}"
+
+    def read(self) -> Config:
+        """Return the configuration as its file would have it now."""
+        config = config_from_platform(self.config, {})
+        return config if self._change_rules is None else replace(config, changes=self._change_rules)
+
+    def _add_configuration_manager(self, rules: ChangeRules) -> None:
+        store = HistoryStore(rules.history, rules.history_kb) if rules.history else None
+        config, file, start, records = select_starting_configuration(
+            self.read(), store, self.node.clock(), self.node.log
+        )
+        self.node = Server(config, self.read)
+        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
+        self.configuration_manager = ConfigurationManager(self.node, file, start, records, self.read, store)
+        self.node.background_tasks.append(self.configuration_manager.run)
+        if rules.socket:
+            self.node.background_tasks.append(
+                ControlSocket(self.node, rules.socket, rules.socket_mode, self.configuration_manager.command).run
+            )
+
+    async def push(self, document: dict[str, object], **fields: object) -> Any:
+        """Apply a document over the configuration in force, as an operator would."""
+        return await self.configuration_manager.command({"do": "apply", "document": document, **fields})
+
+    def reload_settings(self) -> None:
+        """Have the server, which has read nothing yet, begin under the settings as they are now."""
+        self.node.generation = Generation(1, self.read())
+
+    def set_descriptor_shares(self, **shares: int) -> None:
+        """Set how many descriptors each part has, in place of what follows from the limit."""
+        generation = self.node.generation
+        vars(generation)["descriptor_shares"] = generation.descriptor_shares._replace(**shares)
+
+    async def move(self) -> None:
+        """Replace the worker pool and the records service by new ones, and notify the server."""
+        self.pool = await self.another_pool()
+        self.records = FakeRecordsService()
+        await self.records.listen(self._tasks)
+        self._set_service_addresses()
+        (self.node.reload_handler or self.node).reload()
+
+    async def another_pool(self) -> FakeWorkerPool:
+        """Return the same worker pool at another address."""
+        pool = FakeWorkerPool()
+        pool.notices = self.pool.notices
+        pool.seq = self.pool.seq
+        pool.up.set()
+        await pool.listen(self._tasks)
+        return pool
+
+    async def directory_up(self, port: int = 0) -> int:
+        """Start the directory; return its port."""
+        self._udp = await anyio.create_udp_socket(local_host="127.0.0.1", local_port=port)
+        self._tasks.start_soon(self._receive_reports, self._udp)
+        return self._udp.extra(anyio.abc.SocketAttribute.local_port)
+
+    async def directory_down(self) -> int:
+        """Stop the directory; return the port that it had."""
+        port = self._udp.extra(anyio.abc.SocketAttribute.local_port)
+        await self._udp.aclose()
+        return port
+
+    async def _receive_reports(self, udp: anyio.abc.UDPSocket) -> None:
+        with suppress(anyio.ClosedResourceError):
+            async for packet, _ in udp:
+                self.reports.append(packet.decode())
+
+    async def _run(self) -> None:
+        self.clean = await self.node.run()
+
+    async def __aexit__(self, *error: object) -> None:
+        with anyio.CancelScope(shield=True):
+            self._tasks.cancel_scope.cancel()
+            await self._udp.aclose()
+            self.listener.close()
+            with suppress(BaseException):
+                await self._tasks.__aexit__(None, None, None)
+
+    async def up(self) -> ServerRig:
+        """Have the worker pool answer, and wait until the server has bound its link."""
+        self.pool.up.set()
+        await wait_until(lambda: self.node.phase is Phase.SERVING and self.node.worker_pool.is_up)
+        return self
+
+    async def caller(self) -> LoadBalancerClient:
+        """Connect a load balancer."""
+        return LoadBalancerClient(await anyio.connect_tcp("127.0.0.1", self.port))
+
+    def connection_of(self, client: RawClient) -> LoadBalancerConnection | None:
+        """Return the server's side of this client's connection, or None once it is closed."""
+        listener: Any = self.node.listeners[0]
+        return next(
+            (
+                connection
+                for connection in listener.table.connections
+                if not connection.stream.ending and connection.stream._sock.getpeername() == client.name
+            ),
+            None,
+        )
+
+    async def running(
+        self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
+    ) -> int:
+        """Send a request, and wait until its run has been started; return its number."""
+        tag = await client.ask(request_id, class_name, **fields)
+        await wait_until(lambda: self.pool.told("spawn", request_id))
+        return tag
+
+    async def calling(
+        self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
+    ) -> int:
+        """Send a request, and wait until its run's call has reached the records service; return its number."""
+        tag = await self.running(client, request_id, class_name, **fields)
+        await self.pool.block(request_id)
+        await wait_until(lambda: ("OP", request_id, CALL_BODY) in self.records.seen)
+        return tag
+
+
+def _free_port() -> int:
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
+
+
+@asynccontextmanager
+async def run_program(rig: ServerRig, folder: Path) -> AsyncIterator[subprocess.Popen[bytes]]:
+    """Run the program in a process of its own among the rig's services, and kill it at the end."""
+    rig.port = _free_port()
+    file = folder / "config.json"
+    file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{rig.port}"}))
+    with (
+        (folder / "log").open("wb") as log,
+        subprocess.Popen(
+            [sys.executable, "-B", "deploy/serve.py", "serve"],
+            env={**os.environ, "ROUTER_CONFIG": str(file)},
+            stdout=log,
+            stderr=log,
+        ) as process,
+    ):
+        try:
+            await wait_until(lambda: rig.pool.polls, PROGRAM_START_S)
+            yield process
+        finally:
+            process.kill()
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -14,7 +14,9 @@
 from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.records_connection import PooledConnection
 from nickelslip.server.request_events import CallReturned, RunFinished
-from tests.helpers import A, B, Place, until
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 CALL = b"\r\ncall\x00"
@@ -46,47 +48,47 @@
     ),
 )
 async def test_a_run_whose_end_cannot_be_read_is_over_all_the_same(spoilt):
-    async with Place(cpus=1) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        await place.pool.tell("finished", A, **spoilt)
-        assert (await caller.answer())[1::2] == ("error", b"")  # and no result that no run made
-        await until(lambda: not place.node.requests)
-        await place.running(caller, B, "pay")  # the one slot is free
-        await place.pool.finish(B)
-        assert (await caller.answer())[1::2] == ("done", b"result") and place.pool.links == 1
+    async with ServerRig(cpus=1) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        await rig.pool.tell("finished", A, **spoilt)
+        assert (await client.answer())[1::2] == ("error", b"")  # and no result that no run made
+        await wait_until(lambda: not rig.node.requests)
+        await rig.running(client, B, "pay")  # the one slot is free
+        await rig.pool.finish(B)
+        assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.links == 1
 
 
 async def test_a_line_that_is_no_json_still_ends_the_run_that_it_names():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        place.pool.seq += 1
-        await place.pool.stream.send(b'{"op":"finished","seq":1,"id":"%b","end":"fine",\x00\n' % A.encode())
-        assert (await caller.answer())[1] == "error"
-        await until(lambda: not place.node.requests)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        rig.pool.seq += 1
+        await rig.pool.stream.send(b'{"op":"finished","seq":1,"id":"%b","end":"fine",\x00\n' % A.encode())
+        assert (await client.answer())[1] == "error"
+        await wait_until(lambda: not rig.node.requests)
 
 
 async def test_a_call_that_cannot_be_read_is_never_made_and_its_run_is_waited_for_no_longer_than_its_time():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay", timeout=300)
-        await place.pool.tell("blocked", A, body="!!!")
-        assert (await caller.answer())[1] == "error"
-        assert not place.records.seen and not place.pool.told("supply", A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay", timeout=300)
+        await rig.pool.tell("blocked", A, body="!!!")
+        assert (await client.answer())[1] == "error"
+        assert not rig.records.seen and not rig.pool.told("supply", A)
 
 
 async def test_a_full_mailbox_still_takes_the_end(monkeypatch):
     monkeypatch.setattr(requests, "MAILBOX_CAPACITY", 2)
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        (one,) = place.node.requests.values()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        (one,) = rig.node.requests.values()
         for _ in range(5):  # all of it within one step
             one.deliver(CallReturned(Outcome.ERROR))
         one.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
-        assert (await caller.answer())[1::2] == ("done", b"result")
-        await until(lambda: not place.node.requests)
+        assert (await client.answer())[1::2] == ("done", b"result")
+        await wait_until(lambda: not rig.node.requests)
 
 
 # The records
@@ -97,40 +99,40 @@
 )
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_reply_that_crosses_its_call_being_given_up(reply, order):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        (one,) = place.node.requests.values()
-        line = place.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        (one,) = rig.node.requests.values()
+        line = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         said = A.encode() + b" " + reply
         if order == "before":
             os.write(line, said)  # in the system's hands, unread here
-        place.node.dependency_client.give_up(one)
+        rig.node.dependency_client.give_up(one)
         one.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
                 os.write(line, said)
-        assert (await caller.answer())[1] == "error"  # given up, it may have run: it is not made again
-        assert len(place.records.seen) == 1 and not place.pool.told("supply", A)
-        await place.calling(caller, B, "pay")  # and nobody else is told what was its
-        await place.records.reply(B, "DONE", b"B's own")
-        await until(lambda: place.pool.told("supply", B))
-        assert place.pool.told("supply", B)[0]["body"] == b64encode(b"B's own").decode()
+        assert (await client.answer())[1] == "error"  # given up, it may have run: it is not made again
+        assert len(rig.records.seen) == 1 and not rig.pool.told("supply", A)
+        await rig.calling(client, B, "pay")  # and nobody else is told what was its
+        await rig.records.reply(B, "DONE", b"B's own")
+        await wait_until(lambda: rig.pool.told("supply", B))
+        assert rig.pool.told("supply", B)[0]["body"] == b64encode(b"B's own").decode()
 
 
 async def test_an_error_in_one_call_ends_that_call_alone(monkeypatch):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        await place.calling(caller, B, "read")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.calling(client, B, "read")
         with monkeypatch.context() as broken:
             broken.setattr(PooledConnection, "_read_replies", lambda *values: 1 / 0)
-            await place.records.reply(A, "DONE", b"reply")
-            assert (await caller.answer())[1] == "error"  # it may have run
-        await place.records.reply(B, "DONE", b"reply")
-        await until(lambda: place.pool.told("supply", B))
-        await place.pool.finish(B)
-        assert (await caller.answer())[1] == "done" and place.clean is None
+            await rig.records.reply(A, "DONE", b"reply")
+            assert (await client.answer())[1] == "error"  # it may have run
+        await rig.records.reply(B, "DONE", b"reply")
+        await wait_until(lambda: rig.pool.told("supply", B))
+        await rig.pool.finish(B)
+        assert (await client.answer())[1] == "done" and rig.clean is None
 
 
 async def test_a_call_that_is_given_up_while_it_is_dialled_frees_its_descriptor_at_once(monkeypatch):
@@ -142,34 +144,34 @@
             each.setblocking(False)
             each.connect_ex(full.getsockname())
         monkeypatch.setattr(connector, "CONNECT_TIMEOUT_S", 30.0)
-        async with Place(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as place:
-            place.config["records"] = f"127.0.0.1:{full.getsockname()[1]}"
-            place.renew()
-            caller = await (await place.up()).caller()
+        async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
+            rig.config["records"] = f"127.0.0.1:{full.getsockname()[1]}"
+            rig.reload_settings()
+            client = await (await rig.up()).caller()
             idents = [f"{number:016x}" for number in range(1, 21)]
-            for ident in idents:
-                await place.running(caller, ident, "pay", timeout=400)
-                await place.pool.block(ident)
-            await until(lambda: len(place.node.dependency_client._open_connections) == 20)
+            for request_id in idents:
+                await rig.running(client, request_id, "pay", timeout=400)
+                await rig.pool.block(request_id)
+            await wait_until(lambda: len(rig.node.dependency_client._open_connections) == 20)
             for _ in idents:
-                assert (await caller.answer())[1] == "error"
-            await until(lambda: not place.node.dependency_client._open_connections, 0.5)
+                assert (await client.answer())[1] == "error"
+            await wait_until(lambda: not rig.node.dependency_client._open_connections, 0.5)
         for each in knocked:
             each.close()
 
 
 async def test_calls_keep_to_their_share_of_descriptors_and_one_too_many_was_never_made():
-    async with Place(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as place:
-        await place.up()
-        place.share_out(calls=2)
-        caller = await place.caller()
-        for ident in (A, B):
-            await place.calling(caller, ident, "pay")
+    async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
+        await rig.up()
+        rig.set_descriptor_shares(calls=2)
+        client = await rig.caller()
+        for request_id in (A, B):
+            await rig.calling(client, request_id, "pay")
         third = "00000000000000c3"
-        await place.running(caller, third, "pay")
-        await place.pool.block(third)
-        await until(lambda: place.node.requests[int(third, 16)].call.seq)
-        assert not [seen for seen in place.records.seen if seen[1] == third]
-        await place.records.reply(A, "DONE", b"reply")
-        await until(lambda: ("OP", third, CALL) in place.records.seen)  # it goes out as soon as there is one
-        assert place.records.links <= 3
+        await rig.running(client, third, "pay")
+        await rig.pool.block(third)
+        await wait_until(lambda: rig.node.requests[int(third, 16)].call.seq)
+        assert not [seen for seen in rig.records.seen if seen[1] == third]
+        await rig.records.reply(A, "DONE", b"reply")
+        await wait_until(lambda: ("OP", third, CALL) in rig.records.seen)  # it goes out as soon as there is one
+        assert rig.records.links <= 3
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -10,7 +10,11 @@
 from nickelslip.server import load_balancer_connection, resp
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
 from nickelslip.server.streams import Stream
-from tests.helpers import A, B, Failing, Peer, Place, asking, until
+from tests.support.failing_listener import FailingListener
+from tests.support.load_balancer_client import RawClient, encode_request
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 STATUS = resp.message(b"STATUS", b"1")
@@ -21,17 +25,17 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def rested(place: Place, peer: Peer, ago_ms: float) -> None:
+def rested(rig: ServerRig, peer: RawClient, ago_ms: float) -> None:
     """Have its connection be one that was last used so long ago."""
-    place.connection_of(peer).last_used_at_ms -= ago_ms
+    rig.connection_of(peer).last_used_at_ms -= ago_ms
 
 
-async def resting(place: Place) -> Peer:
+async def resting(rig: ServerRig) -> RawClient:
     """One that has asked once, has not read what it was answered, and rests."""
-    peer = Peer(place.port)
+    peer = RawClient(rig.port)
     peer.send(STATUS)
-    await until(
-        lambda: (side := place.connection_of(peer)) is not None and side.has_sent_complete_message and side.is_idle
+    await wait_until(
+        lambda: (side := rig.connection_of(peer)) is not None and side.has_sent_complete_message and side.is_idle
     )
     return peer
 
@@ -40,62 +44,62 @@
 
 
 async def test_a_transaction_that_came_just_before_its_resting_connection_was_to_be_ended_is_answered():
-    async with Place() as place:
-        await place.up()
-        front, peer = place.node.listeners[0], await resting(place)
-        rested(place, peer, 1000.0)
+    async with ServerRig() as rig:
+        await rig.up()
+        front, peer = rig.node.listeners[0], await resting(rig)
+        rested(rig, peer, 1000.0)
         front.close_idle(500.0)  # it is told; and rests on, as some clients do
-        rested(place, peer, 1000.0 + place.node.generation.longest_timeout_ms)
-        peer.send(asking(A))  # in the system's hands, unread here
+        rested(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
+        peer.send(encode_request(A))  # in the system's hands, unread here
         front.close_idle(500.0)
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
         assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
 
 
 async def test_a_transaction_that_comes_just_after_its_resting_connection_was_ended_destroys_no_answer():
-    async with Place() as place:
-        await place.up()
-        front, peer = place.node.listeners[0], await resting(place)
-        rested(place, peer, 1000.0)
+    async with ServerRig() as rig:
+        await rig.up()
+        front, peer = rig.node.listeners[0], await resting(rig)
+        rested(rig, peer, 1000.0)
         front.close_idle(500.0)
-        rested(place, peer, 1000.0 + place.node.generation.longest_timeout_ms)
+        rested(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
         front.close_idle(500.0)
-        peer.send(asking(A))  # the end has been sent and not been read
+        peer.send(encode_request(A))  # the end has been sent and not been read
         got = await peer.to_the_end()  # and not a reset, which would take the first answer along
-        assert b"healthy" in got and b"closing" in got and not place.pool.told("spawn", A)
-        await until(lambda: not front.table.connections)
+        assert b"healthy" in got and b"closing" in got and not rig.pool.told("spawn", A)
+        await wait_until(lambda: not front.table.connections)
 
 
 async def test_where_places_run_short_one_with_something_unread_is_not_the_one_to_go():
-    async with Place() as place:
-        await place.up()
-        place.share_out(balancers=2)
-        asked, rests = await resting(place), await resting(place)
-        rested(place, asked, 1000.0)  # unused for longest
-        asked.send(asking(A))
-        knocking = Peer(place.port)
-        place.node.listeners[0]._accept()
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=2)
+        asked, rests = await resting(rig), await resting(rig)
+        rested(rig, asked, 1000.0)  # unused for longest
+        asked.send(encode_request(A))
+        knocking = RawClient(rig.port)
+        rig.node.listeners[0]._accept()
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
         assert b"result" in await asked.until(b"result")
-        rests.send(asking(B))  # crosses its end
-        assert b"healthy" in await rests.to_the_end() and not place.pool.told("spawn", B)
+        rests.send(encode_request(B))  # crosses its end
+        assert b"healthy" in await rests.to_the_end() and not rig.pool.told("spawn", B)
         knocking.send(STATUS)
         assert b"healthy" in await knocking.until(b"healthy")
 
 
 async def test_one_that_finds_no_place_is_ended_without_a_reset_under_what_it_brought():
-    async with Place(cpus=32) as place:
-        caller = await (await place.up()).caller()
-        place.share_out(balancers=1)
-        await place.running(caller, A)
-        late = Peer(place.port)
-        late.send(asking(B))
-        place.node.listeners[0]._accept()
-        assert await late.to_the_end() == b"" and not place.pool.told("spawn", B)
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+    async with ServerRig(cpus=32) as rig:
+        client = await (await rig.up()).caller()
+        rig.set_descriptor_shares(balancers=1)
+        await rig.running(client, A)
+        late = RawClient(rig.port)
+        late.send(encode_request(B))
+        rig.node.listeners[0]._accept()
+        assert await late.to_the_end() == b"" and not rig.pool.told("spawn", B)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
@@ -109,50 +113,52 @@
             await fill(self, wait_ms)
         except ConnectionClosedError as ended:
             if ended.reason is CloseReason.UNRESPONSIVE and peers:
-                peers.pop().send(asking(A))  # when the last look has found nothing, and before anything is ended
+                peers.pop().send(
+                    encode_request(A)
+                )  # when the last look has found nothing, and before anything is ended
             raise
 
-    async with Place() as place:
-        await place.up()
+    async with ServerRig() as rig:
+        await rig.up()
         if order == "after":
             monkeypatch.setattr(Stream, "fill", crossed)
-        peer = Peer(place.port)
+        peer = RawClient(rig.port)
         peers.append(peer)
         if order == "after":
-            assert await peer.to_the_end() == b"" and not place.pool.told("spawn", A)
+            assert await peer.to_the_end() == b"" and not rig.pool.told("spawn", A)
         else:
-            await until(lambda: place.node.listeners[0].table.connections)
+            await wait_until(lambda: rig.node.listeners[0].table.connections)
             with anyio.move_on_after(0.05):
                 await anyio.sleep(1)
-            peer.send(asking(A))
-            await until(lambda: place.pool.told("spawn", A))
-            await place.pool.finish(A)
+            peer.send(encode_request(A))
+            await wait_until(lambda: rig.pool.told("spawn", A))
+            await rig.pool.finish(A)
             assert b"result" in await peer.until(b"result")
 
 
 async def test_half_a_message_keeps_its_connection_until_it_is_whole():
-    async with Place() as place:
-        await place.up()
-        front, peer, whole = place.node.listeners[0], await resting(place), asking(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        front, peer, whole = rig.node.listeners[0], await resting(rig), encode_request(A)
         peer.send(whole[:20])
-        await until(lambda: any(each.stream.data is not None for each in front.table.connections))
-        rested(place, peer, 1e6)
+        await wait_until(lambda: any(each.stream.data is not None for each in front.table.connections))
+        rested(rig, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
         assert not front.table.make_room()
         peer.send(whole[20:])
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
 
 
 async def test_an_answer_that_is_still_on_its_way_keeps_its_connection():
-    async with Place() as place:
-        await place.up()
-        front, peer = place.node.listeners[0], await resting(place)
+    async with ServerRig() as rig:
+        await rig.up()
+        front, peer = rig.node.listeners[0], await resting(rig)
         (connection,) = front.table.connections
         connection.stream._backlog.append(memoryview(b"rest of an answer"))
-        rested(place, peer, 1e6)
+        rested(rig, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
         connection.begin_close(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
@@ -163,38 +169,38 @@
 
 
 async def test_those_that_linger_give_their_descriptors_once_nothing_can_cross_any_more_and_no_sooner():
-    async with Place() as place:
-        await place.up()
-        place.share_out(balancers=1, lingering=1)
-        front, first = place.node.listeners[0], await resting(place)
-        second, third = await connected(place, first), Peer(place.port)
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=1, lingering=1)
+        front, first = rig.node.listeners[0], await resting(rig)
+        second, third = await connected(rig, first), RawClient(rig.port)
         third.send(STATUS)
         front._accept()
         # the third waits at the door
-        assert place.connection_of(first).close_began_at_ms and place.connection_of(third) is None
+        assert rig.connection_of(first).close_began_at_ms and rig.connection_of(third) is None
         second.send(STATUS)
         assert b"healthy" in await second.until(b"healthy")
         assert b"healthy" in await third.until(b"healthy") and b"healthy" in await first.to_the_end()
 
 
-async def connected(place: Place, other: Peer) -> Peer:
+async def connected(rig: ServerRig, other: RawClient) -> RawClient:
     """A newcomer that is taken at once, for which another one has to go."""
-    peer = Peer(place.port)
-    place.node.listeners[0]._accept()
-    assert place.connection_of(peer) and place.connection_of(other).close_began_at_ms
+    peer = RawClient(rig.port)
+    rig.node.listeners[0]._accept()
+    assert rig.connection_of(peer) and rig.connection_of(other).close_began_at_ms
     return peer
 
 
 async def test_a_crowd_of_the_silent_is_ended_for_those_who_ask_however_many_linger():
-    async with Place() as place:
-        await place.up()
-        place.share_out(balancers=8, lingering=2)
-        crowd = [Peer(place.port) for _ in range(40)]
-        last = Peer(place.port)
-        last.send(asking(A))
-        await until(lambda: place.pool.told("spawn", A), 1.0)
-        assert len(place.node.listeners[0].table.connections) <= 10
-        await place.pool.finish(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=8, lingering=2)
+        crowd = [RawClient(rig.port) for _ in range(40)]
+        last = RawClient(rig.port)
+        last.send(encode_request(A))
+        await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
+        assert len(rig.node.listeners[0].table.connections) <= 10
+        await rig.pool.finish(A)
         assert b"result" in await last.until(b"result")
         for each in crowd[:30]:
             assert await each.to_the_end() == b""
@@ -202,26 +208,26 @@
 
 async def test_those_whose_patience_ran_out_and_who_linger_are_not_taken_for_a_full_table(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
-    async with Place() as place:
-        await place.up()
-        place.share_out(balancers=10, lingering=10)
-        front, rests = place.node.listeners[0], await resting(place)
-        silent = [Peer(place.port) for _ in range(9)]  # more than are looked at for one that may go
-        await until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
-        asks = Peer(place.port)
-        asks.send(asking(A))
-        await until(lambda: place.pool.told("spawn", A), 1.0)
-        assert place.connection_of(rests).close_began_at_ms is None  # who has asked before is not the one to go
-        await place.pool.finish(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=10, lingering=10)
+        front, rests = rig.node.listeners[0], await resting(rig)
+        silent = [RawClient(rig.port) for _ in range(9)]  # more than are looked at for one that may go
+        await wait_until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
+        asks = RawClient(rig.port)
+        asks.send(encode_request(A))
+        await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
+        assert rig.connection_of(rests).close_began_at_ms is None  # who has asked before is not the one to go
+        await rig.pool.finish(A)
         assert b"result" in await asks.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
 
 
 @pytest.mark.parametrize("code", (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EINVAL))
 async def test_a_newcomer_that_failed_before_it_was_taken_costs_nobody_else_anything(code):
-    async with Place() as place:
-        await place.up()
-        listener = place.node.listeners[0]._listener = Failing(place.listener, code)
-        peer = Peer(place.port)
+    async with ServerRig() as rig:
+        await rig.up()
+        listener = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
+        peer = RawClient(rig.port)
         peer.send(STATUS)
         assert b"healthy" in await peer.until(b"healthy") and listener.accepts >= 2
-        assert place.clean is None  # it serves on
+        assert rig.clean is None  # it serves on
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.cli import main
 from nickelslip.server.log_output import LogWriter
-from tests.helpers import TOLD
+from tests.support.platform_settings import PLATFORM_SETTINGS
 
 GOOD = {
     "name": "n3",
@@ -23,7 +23,7 @@
     "seed": "8c1f30d27a5be964",
     "stop_ms": 3200,
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "settings": TOLD,
+    "settings": PLATFORM_SETTINGS,
     "unknown": 1,
 }
 
--- a/tests/test_changing.py
+++ b/tests/test_configuration_manager.py
@@ -30,15 +30,16 @@
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_protocol import FrameDecoder, encode_frame
 from nickelslip.configuration.request_metrics import RequestMetrics
-from nickelslip.configuration.rollout import Course, Rollout, Terms
-from nickelslip.configuration.rollout import Place as Place_
+from nickelslip.configuration.rollout import Course, Place, Rollout, Terms
 from nickelslip.configuration.start_selection import select_start
 from nickelslip.configuration.store import HistoryStore
 from nickelslip.configuration.validation import InvalidDocumentError
 from nickelslip.server import control_socket
 from nickelslip.server.decision_executor import DecisionExecutor
 from nickelslip.server.lifecycle import Phase
-from tests.helpers import A, B, C, Place, until
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 from tests.test_configuration import OURS, fill, ours
 
 pytestmark = pytest.mark.anyio
@@ -72,54 +73,54 @@
 
 
 async def test_what_is_in_hand_in_every_state_ends_under_the_generation_it_was_read_under(witness):
-    async with Place(rules=RULES, cpus=1) as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")  # at a call
-        await place.running(caller, B, "book", opkey="k1")
-        await caller.ask(C, "book", opkey="k1", resent=1)  # joined to its forerunner
+    async with ServerRig(change_rules=RULES, cpus=1) as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")  # at a call
+        await rig.running(client, B, "book", opkey="k1")
+        await client.ask(C, "book", opkey="k1", resent=1)  # joined to its forerunner
         held = "00000000000000d4"
-        await caller.ask(held, "pay")
-        await until(lambda: len(place.node.requests) == 4)
-        states = {one.state for one in place.node.requests.values()}
+        await client.ask(held, "pay")
+        await wait_until(lambda: len(rig.node.requests) == 4)
+        states = {one.state for one in rig.node.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
-        reply = await place.push(SOON)
-        assert reply["change"]["step"] == "on_probation" and place.node.generation.number == 2
-        assert "book" not in place.node.generation.retry_safety_by_class  # gone, yet what was read of it goes on
-        await place.records.reply(A, "DONE", b"reply")
-        await until(lambda: place.pool.told("supply", A))
-        await place.pool.finish(A)
-        await place.pool.finish(B, body=b"booked")
-        await until(lambda: place.pool.told("spawn", held))
-        await place.pool.finish(held)
-        ends = dict([(await caller.answer())[:2] for _ in range(4)])
+        reply = await rig.push(SOON)
+        assert reply["change"]["step"] == "on_probation" and rig.node.generation.number == 2
+        assert "book" not in rig.node.generation.retry_safety_by_class  # gone, yet what was read of it goes on
+        await rig.records.reply(A, "DONE", b"reply")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.pool.finish(A)
+        await rig.pool.finish(B, body=b"booked")
+        await wait_until(lambda: rig.pool.told("spawn", held))
+        await rig.pool.finish(held)
+        ends = dict([(await client.answer())[:2] for _ in range(4)])
         assert ends == {1: "done", 2: "done", 3: "done", 4: "done"}
-        assert len(place.pool.told("spawn", A)) == 1 and not place.pool.told("spawn", C)
-        await caller.ask("00000000000000e5", "book", opkey="k2")
-        assert (await caller.answer())[:2] == (5, "error")
+        assert len(rig.pool.told("spawn", A)) == 1 and not rig.pool.told("spawn", C)
+        await client.ask("00000000000000e5", "book", opkey="k2")
+        assert (await client.answer())[:2] == (5, "error")
         assert not witness.mixed and witness.across >= 4 and len(witness.first) == 4
 
 
 async def test_the_witness_catches_a_transaction_that_is_moved_to_another_generation(witness):
-    async with Place(rules=RULES) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        await place.push(SOON)
-        control = place.node.decision_executor.controller
+    async with ServerRig(change_rules=RULES) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        await rig.push(SOON)
+        control = rig.node.decision_executor.controller
         control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
-        await place.pool.finish(A)
-        await caller.answer()
+        await rig.pool.finish(A)
+        await client.answer()
         assert witness.mixed == {int(A, 16)}
 
 
 async def test_the_module_carries_over_what_it_learned_and_says_the_weight_it_had():
-    async with Place(rules=RULES) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        await place.pool.finish(A)
-        await caller.answer()
-        control = place.node.decision_executor.controller
+    async with ServerRig(change_rules=RULES) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        await rig.pool.finish(A)
+        await client.answer()
+        control = rig.node.decision_executor.controller
         control._weight.weight, mean = 0.5, control._classes["pay"].run_ms
-        await place.push(SOON)
+        await rig.push(SOON)
         assert control._classes["pay"].run_ms is mean and mean._sample_count == 1 and control._weight.weight <= 0.6
         statistics = control._classes["pay"]
         assert statistics.latency_objective_ms == 400.0 and isinstance(statistics, ClassStatistics)
@@ -130,23 +131,23 @@
 
 
 async def test_ten_changes_in_a_row_each_waits_for_the_one_before():
-    async with Place(rules=RULES) as place:
-        await place.up()
+    async with ServerRig(change_rules=RULES) as rig:
+        await rig.up()
         for at in range(10):
-            await place.push({"machine": {"cores": 3 + at}})
+            await rig.push({"machine": {"cores": 3 + at}})
             with pytest.raises(ChangeRejectedError) as caught:
-                await place.push({"machine": {"cores": 50}})
+                await rig.push({"machine": {"cores": 50}})
             assert caught.value.reason is RejectionReason.BUSY
-            await place.changing.command({"do": "confirm"})
-        assert place.node.generation.number == 11 and place.node.generation.settings.core_count == 12
-        reply = await place.changing.command({"do": "rollback", "generation": 9})
-        assert place.node.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
+            await rig.configuration_manager.command({"do": "confirm"})
+        assert rig.node.generation.number == 11 and rig.node.generation.settings.core_count == 12
+        reply = await rig.configuration_manager.command({"do": "rollback", "generation": 9})
+        assert rig.node.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
 
 
 async def test_two_at_once_are_never_merged_and_one_in_the_middle_of_an_undoing_waits(tmp_path, monkeypatch):
     rules = replace(RULES, history=str(tmp_path))
-    async with Place(rules=rules) as place:
-        await place.up()
+    async with ServerRig(change_rules=rules) as rig:
+        await rig.up()
         ends, slow = [], HistoryStore.append
 
         def slowly(self, record):  # the disk takes its time
@@ -157,7 +158,7 @@
 
         async def ask(**request):
             with suppress(ChangeRejectedError):
-                await place.changing.command(request)
+                await rig.configuration_manager.command(request)
                 ends.append(request)
 
         async with anyio.create_task_group() as tasks:
@@ -168,10 +169,10 @@
             tasks.start_soon(lambda: ask(do="rollback"))
             tasks.start_soon(lambda: ask(do="apply", document={"machine": {"cores": 5}}))
         assert (
-            place.node.generation.settings.core_count == 5
-            and place.node.generation.settings.idle_connection_timeout_ms == 15000.0
+            rig.node.generation.settings.core_count == 5
+            and rig.node.generation.settings.idle_connection_timeout_ms == 15000.0
         )
-        assert [each.event.value for each in place.changing.changes.records] == [
+        assert [each.event.value for each in rig.configuration_manager.changes.records] == [
             "started",
             "applied",
             "rolled back",
@@ -180,80 +181,82 @@
 
 
 async def test_changes_while_the_worker_pool_is_down_while_links_move_and_while_draining():
-    async with Place(rules=RULES) as place:
-        place.pool.up.set()
-        await until(lambda: place.node.phase is Phase.SERVING)
-        caller = await place.caller()
-        await place.pool.down()
-        await until(lambda: not place.node.worker_pool.is_up)
-        await place.push({"machine": {"cores": 7}})
+    async with ServerRig(change_rules=RULES) as rig:
+        rig.pool.up.set()
+        await wait_until(lambda: rig.node.phase is Phase.SERVING)
+        client = await rig.caller()
+        await rig.pool.down()
+        await wait_until(lambda: not rig.node.worker_pool.is_up)
+        await rig.push({"machine": {"cores": 7}})
         await anyio.sleep(1.8)  # longer than any probation: what nobody could see is not confirmed
-        assert place.changing.changes.current is not None
-        await place.move()  # SIGHUP with other addresses, amid a probation
-        await until(lambda: place.node.worker_pool.is_up)
-        assert place.node.generation.settings.core_count == 7
-        await place.running(caller, A, "pay")
-        await place.changing.command({"do": "rollback"})
-        assert place.node.generation.settings.core_count == 2
-        assert place.node.generation.config.pool[1] == place.pool.port and place.node.worker_pool.is_up
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
-        place.node.begin_shutdown()
+        assert rig.configuration_manager.changes.current is not None
+        await rig.move()  # SIGHUP with other addresses, amid a probation
+        await wait_until(lambda: rig.node.worker_pool.is_up)
+        assert rig.node.generation.settings.core_count == 7
+        await rig.running(client, A, "pay")
+        await rig.configuration_manager.command({"do": "rollback"})
+        assert rig.node.generation.settings.core_count == 2
+        assert rig.node.generation.config.pool[1] == rig.pool.port and rig.node.worker_pool.is_up
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+        rig.node.begin_shutdown()
         with pytest.raises(ChangeRejectedError) as caught:
-            await place.push({"machine": {"cores": 9}})
+            await rig.push({"machine": {"cores": 9}})
         assert caught.value.reason is RejectionReason.SHUTTING_DOWN
 
 
 async def test_harm_is_undone_by_itself_and_a_change_that_does_none_is_confirmed():
-    async with Place(rules=replace(RULES, probation_most_ms=6000.0)) as place:
-        await place.up()
-        chance, begin = random.Random(3), place.node.clock() - 14_500
+    async with ServerRig(change_rules=replace(RULES, probation_most_ms=6000.0)) as rig:
+        await rig.up()
+        chance, begin = random.Random(3), rig.node.clock() - 14_500
         quoted = {"payout": 100.0, "balance": 100.0}
-        place.changing.observation.request_metrics = place.node.request_metrics = RequestMetrics(16_000.0, quoted)
-        fill(place.changing.observation.request_metrics, chance, begin, place.node.clock(), lambda pair: 0.97)
-        await place.push({"machine": {"cores": 6}})
-        number = place.node.generation.number
-        meter = place.changing.observation.request_metrics
+        rig.configuration_manager.observation.request_metrics = rig.node.request_metrics = RequestMetrics(
+            16_000.0, quoted
+        )
+        fill(rig.configuration_manager.observation.request_metrics, chance, begin, rig.node.clock(), lambda pair: 0.97)
+        await rig.push({"machine": {"cores": 6}})
+        number = rig.node.generation.number
+        meter = rig.configuration_manager.observation.request_metrics
 
         async def go_on(kept, over):
-            at = place.node.clock()
+            at = rig.node.clock()
             with anyio.fail_after(8):
                 while not over():
                     await anyio.sleep(0.26)
-                    upto = place.node.clock() - 1
+                    upto = rig.node.clock() - 1
                     fill(meter, chance, at, upto, kept)
                     at = (upto // 250) * 250
 
         meter.set_latency_objectives(quoted)
-        await go_on(lambda pair: 0.97, lambda: place.changing.changes.current is None)
-        assert place.node.generation.number == number  # confirmed
-        await place.push({"machine": {"cores": 1}})
+        await go_on(lambda pair: 0.97, lambda: rig.configuration_manager.changes.current is None)
+        assert rig.node.generation.number == number  # confirmed
+        await rig.push({"machine": {"cores": 1}})
         meter.set_latency_objectives(quoted)
-        await go_on(lambda pair: 0.1, lambda: place.changing.changes.current is None)
-        assert place.node.generation.settings.core_count == 6
-        last = place.changing.changes.records[-1]
+        await go_on(lambda pair: 0.1, lambda: rig.configuration_manager.changes.current is None)
+        assert rig.node.generation.settings.core_count == 6
+        last = rig.configuration_manager.changes.records[-1]
         assert last.event is history.HistoryEvent.ROLLED_BACK and "quoted time" in last.reason
         with pytest.raises(ChangeRejectedError) as caught:
-            await place.push({"machine": {"cores": 1}})
+            await rig.push({"machine": {"cores": 1}})
         assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
 
 
 async def test_sighup_moves_peers_at_once_takes_the_rest_as_a_change_and_leaves_what_did_not_change():
-    async with Place(rules=RULES) as place:
-        await place.up()
-        await place.push({"machine": {"cores": 5}})
-        await place.changing.command({"do": "confirm"})
-        place.node.reload_handler.reload()  # the file says what it said: the change stays
+    async with ServerRig(change_rules=RULES) as rig:
+        await rig.up()
+        await rig.push({"machine": {"cores": 5}})
+        await rig.configuration_manager.command({"do": "confirm"})
+        rig.node.reload_handler.reload()  # the file says what it said: the change stays
         await anyio.sleep(0.1)
-        assert place.node.generation.settings.core_count == 5
-        place.config["pool"] = "nowhere"
-        place.node.reload_handler.reload()
+        assert rig.node.generation.settings.core_count == 5
+        rig.config["pool"] = "nowhere"
+        rig.node.reload_handler.reload()
         await anyio.sleep(0.1)
-        assert place.node.generation.settings.core_count == 5
-        place.config.update(pool=f"127.0.0.1:{place.pool.port}", stop_ms=800)
-        place.node.reload_handler.reload()
-        await until(lambda: place.node.generation.config.stop_ms == 800)
-        assert place.changing.changes.current is not None and place.node.generation.settings.core_count == 2
+        assert rig.node.generation.settings.core_count == 5
+        rig.config.update(pool=f"127.0.0.1:{rig.pool.port}", stop_ms=800)
+        rig.node.reload_handler.reload()
+        await wait_until(lambda: rig.node.generation.config.stop_ms == 800)
+        assert rig.configuration_manager.changes.current is not None and rig.node.generation.settings.core_count == 2
 
 
 # Files
@@ -355,31 +358,33 @@
 
 
 async def test_a_history_that_cannot_be_written_refuses_a_change_and_keeps_the_order_of_what_happened(tmp_path):
-    async with Place(rules=replace(RULES, history=str(tmp_path))) as place:
-        await place.up()
-        real = place.changing.history.store.append
+    async with ServerRig(change_rules=replace(RULES, history=str(tmp_path))) as rig:
+        await rig.up()
+        real = rig.configuration_manager.history.store.append
 
         def full(record):
             raise OSError(errno.ENOSPC, "no space")
 
-        place.changing.history.store.append = full
+        rig.configuration_manager.history.store.append = full
         with pytest.raises(ChangeRejectedError) as caught:
-            await place.push({"machine": {"cores": 3}})
+            await rig.push({"machine": {"cores": 3}})
+        assert (
+            caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE and rig.node.generation.settings.core_count == 2
+        )
+        rig.configuration_manager.history.store.append = real
+        await rig.push({"machine": {"cores": 4}})
+        rig.configuration_manager.history.store.append = full
+        await rig.configuration_manager.command({"do": "confirm"})
+        assert (await rig.configuration_manager.command({"do": "status"}))["history_behind"] >= 1
+        rig.configuration_manager.history.store.append = real
+        await wait_until(lambda: not rig.configuration_manager.history.unwritten)
         assert (
-            caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE
-            and place.node.generation.settings.core_count == 2
+            history.last_confirmed(rig.configuration_manager.history.store.records).generation
+            == rig.node.generation.number
         )
-        place.changing.history.store.append = real
-        await place.push({"machine": {"cores": 4}})
-        place.changing.history.store.append = full
-        await place.changing.command({"do": "confirm"})
-        assert (await place.changing.command({"do": "status"}))["history_behind"] >= 1
-        place.changing.history.store.append = real
-        await until(lambda: not place.changing.history.unwritten)
-        assert history.last_confirmed(place.changing.history.store.records).generation == place.node.generation.number
         with pytest.raises(OSError):  # one server at a time
             HistoryStore(str(tmp_path), 64.0)
-        place.changing.history.store.close()
+        rig.configuration_manager.history.store.close()
 
 
 # The control socket
@@ -406,9 +411,9 @@
     monkeypatch.setattr(control_socket, "time", shifted)
     monkeypatch.setattr(control_socket, "FrameDecoder", Watched)
     path = str(tmp_path / "control")
-    async with Place(rules=replace(RULES, socket=path)) as place:
-        await place.up()
-        await until(lambda: os.path.exists(path))
+    async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
+        await rig.up()
+        await wait_until(lambda: os.path.exists(path))
         message = encode_frame({"protocol": 1, "id": 1, "do": "status"})
         async with await anyio.connect_unix(path) as stream:
             frames, told = FrameDecoder(), []
@@ -418,7 +423,7 @@
                 shifted.ahead_s += control_socket.MESSAGE_TIMEOUT_S + 1.0
                 for at in range(len(message)):
                     await stream.send(message[at : at + 1])
-                    await until(lambda at=at: len(pieces) == at + 1)  # each is read before the next one is sent
+                    await wait_until(lambda at=at: len(pieces) == at + 1)  # each is read before the next one is sent
                 while len(told) < 2:
                     told += frames.feed(await stream.receive())
         assert told[1]["ok"]
@@ -427,9 +432,9 @@
 async def test_peers_that_send_half_or_nonsense_or_too_many_hold_up_nobody(tmp_path, monkeypatch):
     monkeypatch.setattr(control_socket, "MESSAGE_TIMEOUT_S", 0.3)
     path = str(tmp_path / "control")
-    async with Place(rules=replace(RULES, socket=path)) as place:
-        await place.up()
-        await until(lambda: os.path.exists(path) and os.stat(path).st_mode & 0o777 == 0o600)
+    async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
+        await rig.up()
+        await wait_until(lambda: os.path.exists(path) and os.stat(path).st_mode & 0o777 == 0o600)
         half = await anyio.connect_unix(path)  # of which one message begins and never ends
         await half.send(encode_frame({"protocol": 1, "id": 1, "do": "status"})[:9])
         for junk in (
@@ -467,7 +472,7 @@
             await asked(path, "status", 500.0)
         for each in crowd:
             await each.aclose()
-        await until(lambda: not place.node.background_tasks[-1].__self__.open_connection_count)
+        await wait_until(lambda: not rig.node.background_tasks[-1].__self__.open_connection_count)
         assert (await asked(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
             control_socket.remove_stale_socket(path)
@@ -505,12 +510,12 @@
     plan = Rollout(["n0", "n1", "n2", "n3"], terms, 0.0)
     with anyio.fail_after(8):
         await roll_out(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
-    places = {name: place for name, (place, _) in plan.places().items()}
+    places = {name: rig for name, (rig, _) in plan.places().items()}
     assert plan.course is Course.STUCK and places == {
-        "n0": Place_.REVERTED,
-        "n1": Place_.BAD,
-        "n2": Place_.STUCK,
-        "n3": Place_.REVERTED,
+        "n0": Place.REVERTED,
+        "n1": Place.BAD,
+        "n2": Place.STUCK,
+        "n3": Place.REVERTED,
     }
     assert ("n1", "rollback") not in told and len({*origins.values()}) == 1
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -10,7 +10,10 @@
 
 from nickelslip.configuration.descriptors import OWN, shares_of
 from nickelslip.server import resp
-from tests.helpers import A, Peer, Place, asking, serving, until
+from tests.support.load_balancer_client import RawClient, encode_request
+from tests.support.request_ids import A
+from tests.support.server_rig import ServerRig, run_program
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 STATUS = resp.message(b"STATUS", b"1")
@@ -21,17 +24,17 @@
     return "asyncio", {"use_uvloop": True}
 
 
-async def limited(place: Place, process, descriptors: int) -> None:
+async def limited(rig: ServerRig, process, descriptors: int) -> None:
     """Have the system itself keep the process to its limit from here on."""
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
-    await until(lambda: place.reports)
+    await wait_until(lambda: rig.reports)
 
 
-async def crowd(place: Place, tasks: ExitStack, many: int, asks: bool) -> list[Peer]:
+async def crowd(rig: ServerRig, tasks: ExitStack, many: int, asks: bool) -> list[RawClient]:
     """So many that rest until the server ends them, silent or after one check."""
     peers = []
     for _ in range(many):
-        peer = Peer(place.port)
+        peer = RawClient(rig.port)
         tasks.callback(peer.sock.close)
         if asks:
             peer.send(STATUS)
@@ -43,52 +46,52 @@
 
 @pytest.mark.parametrize("asks", (False, True))
 async def test_idle_clients_fill_the_descriptors_while_the_directory_is_down(asks, tmp_path):
-    async with Place(elsewhere=True, cpus=32) as place:
-        place.config["limits"]["sockets"] = 120
-        place.pool.up.set()
-        async with serving(place, tmp_path) as process:
+    async with ServerRig(in_subprocess=True, cpus=32) as rig:
+        rig.config["limits"]["sockets"] = 120
+        rig.pool.up.set()
+        async with run_program(rig, tmp_path) as process:
             with ExitStack() as closing:
-                await limited(place, process, 120)
-                port = await place.directory_down()
-                await crowd(place, closing, 200, asks)
-                balancer = Peer(place.port)
+                await limited(rig, process, 120)
+                port = await rig.directory_down()
+                await crowd(rig, closing, 200, asks)
+                balancer = RawClient(rig.port)
                 closing.callback(balancer.sock.close)
-                balancer.send(asking(A, "read"))
-                await until(lambda: place.pool.told("spawn", A), 2.0)
-                await place.pool.block(A)
-                await until(lambda: place.records.seen, 1.0)  # a call still finds a descriptor
-                await place.pool.cut()  # and so does the link, anew
-                await until(lambda: len(place.pool.binds()) == 2, 2.0)
-                await place.records.reply(A, "DONE", b"reply")
-                await until(lambda: place.pool.told("supply", A), 1.0)
-                await place.pool.finish(A)
+                balancer.send(encode_request(A, "read"))
+                await wait_until(lambda: rig.pool.told("spawn", A), 2.0)
+                await rig.pool.block(A)
+                await wait_until(lambda: rig.records.seen, 1.0)  # a call still finds a descriptor
+                await rig.pool.cut()  # and so does the link, anew
+                await wait_until(lambda: len(rig.pool.binds()) == 2, 2.0)
+                await rig.records.reply(A, "DONE", b"reply")
+                await wait_until(lambda: rig.pool.told("supply", A), 1.0)
+                await rig.pool.finish(A)
                 assert b"result" in await balancer.until(b"result")
-                check = Peer(place.port)
+                check = RawClient(rig.port)
                 closing.callback(check.sock.close)
                 check.send(STATUS)
                 assert b"healthy" in await check.until(b"healthy", 1.0)
-                known = len(place.reports)
-                await place.directory_up(port)
-                await until(lambda: len(place.reports) > known, 1.5)  # and it is listed again at once
+                known = len(rig.reports)
+                await rig.directory_up(port)
+                await wait_until(lambda: len(rig.reports) > known, 1.5)  # and it is listed again at once
             assert process.poll() is None
 
 
 @pytest.mark.parametrize("descriptors", (32, 48))
 async def test_a_small_limit_is_served(descriptors, tmp_path):
-    async with Place(elsewhere=True, cpus=32) as place:
-        place.config["limits"]["sockets"] = descriptors
-        place.pool.up.set()
-        async with serving(place, tmp_path) as process:
+    async with ServerRig(in_subprocess=True, cpus=32) as rig:
+        rig.config["limits"]["sockets"] = descriptors
+        rig.pool.up.set()
+        async with run_program(rig, tmp_path) as process:
             with ExitStack() as closing:
-                await limited(place, process, descriptors)
-                await crowd(place, closing, 3 * descriptors, True)
-                caller = await place.caller()
-                await place.calling(caller, A, "read")
-                await place.records.reply(A, "DONE", b"reply")
-                await until(lambda: place.pool.told("supply", A))
-                await place.pool.finish(A)
-                assert (await caller.answer())[:2] == (1, "done")
-                await caller.stream.aclose()
+                await limited(rig, process, descriptors)
+                await crowd(rig, closing, 3 * descriptors, True)
+                client = await rig.caller()
+                await rig.calling(client, A, "read")
+                await rig.records.reply(A, "DONE", b"reply")
+                await wait_until(lambda: rig.pool.told("supply", A))
+                await rig.pool.finish(A)
+                assert (await client.answer())[:2] == (1, "done")
+                await client.stream.aclose()
             assert process.poll() is None
 
 
@@ -113,10 +116,10 @@
 @pytest.mark.parametrize("kind", FLOODS)
 async def test_a_flood_on_one_connection_holds_up_no_other(kind):
     flood = FLOODS[kind]
-    async with Place(cpus=32) as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig(cpus=32) as rig:
+        client = await (await rig.up()).caller()
         with ExitStack() as closing:
-            floods = [socket.create_connection(("127.0.0.1", place.port)) for _ in range(8)]
+            floods = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(8)]
             for each in floods:
                 closing.enter_context(each)
                 each.setblocking(False)
@@ -134,28 +137,28 @@
                 for each in floods:
                     tasks.start_soon(pour, each)
                 for number in range(1, 21):
-                    ident = f"{number:016x}"
-                    await place.running(caller, ident)
-                    await place.pool.finish(ident)
-                    assert (await caller.answer(1.0))[:2] == (number, "done")
+                    request_id = f"{number:016x}"
+                    await rig.running(client, request_id)
+                    await rig.pool.finish(request_id)
+                    assert (await client.answer(1.0))[:2] == (number, "done")
                 tasks.cancel_scope.cancel()
-        assert place.clean is None and not place.node.requests
-        await until(lambda: len(place.node.listeners[0].table.connections) == 1, 4.0)
+        assert rig.clean is None and not rig.node.requests
+        await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1, 4.0)
 
 
 async def test_hundreds_withdrawn_at_once_leave_nothing_behind():
-    async with Place(cpus=2, **{"memory-kb": 1e6}) as place:
-        await place.up()
-        peers = [Peer(place.port) for _ in range(12)]
+    async with ServerRig(cpus=2, **{"memory-kb": 1e6}) as rig:
+        await rig.up()
+        peers = [RawClient(rig.port) for _ in range(12)]
         for at, peer in enumerate(peers):
-            peer.send(b"".join(asking(f"{at:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
+            peer.send(b"".join(encode_request(f"{at:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
         for peer in peers:
             peer.send(b"".join(resp.message(b"NEVERMIND", b"%d" % tag) for tag in range(1, 33)))
-        await until(lambda: all(one.client_gone or one.answered for one in place.node.requests.values()))
-        for one in list(place.node.requests.values()):
-            await until(lambda one=one: place.pool.told("spawn", one.received.id_hex))
-            await place.pool.finish(one.received.id_hex, end="broken_off")
-        await until(lambda: not place.node.requests)
+        await wait_until(lambda: all(one.client_gone or one.answered for one in rig.node.requests.values()))
+        for one in list(rig.node.requests.values()):
+            await wait_until(lambda one=one: rig.pool.told("spawn", one.received.id_hex))
+            await rig.pool.finish(one.received.id_hex, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
         for peer in peers:
             peer.sock.close()
-        await until(lambda: not place.node.listeners[0].table.connections)
+        await wait_until(lambda: not rig.node.listeners[0].table.connections)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -14,7 +14,9 @@
 from nickelslip.server.command_delivery import PendingCommand, ResendDecision, resend_decision
 from nickelslip.server.worker_pool_connection import LinkState
 from nickelslip.server.worker_pool_protocol import ResumeWithoutCall, ResumeWithReply, StartRun
-from tests.helpers import A, B, Place, until
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig as Place
+from tests.support.waiting import wait_until as until
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -6,7 +6,9 @@
 
 from nickelslip.admission.interface import Preemption
 from nickelslip.server import resp
-from tests.helpers import A, B, C, Place, until
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 
@@ -16,51 +18,52 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def new_operator(**facts: object) -> Place:
+def new_operator(**facts: object) -> ServerRig:
     """A server told what the operators without customers tell."""
-    place = Place(below="next_hop", **facts)
+    rig = ServerRig(below="next_hop", **facts)
     for name in ("dep-share", "calls-over-ms", "stays-for-ms"):
-        del place.told["specifics"][name]
-    del place.told["tenants"]
-    place.told["client-habits"] = {"marks-retry": False}
-    place.told["report"] = {"how": "silent", "fields": []}
-    return place
+        del rig.platform_settings["specifics"][name]
+    del rig.platform_settings["tenants"]
+    rig.platform_settings["client-habits"] = {"marks-retry": False}
+    rig.platform_settings["report"] = {"how": "silent", "fields": []}
+    return rig
 
 
 async def test_without_customers_a_transaction_names_none_and_is_served():
-    async with new_operator() as place:
-        caller = await (await place.up()).caller()
-        assert not place.node.generation.settings.tenants and not place.node.generation.settings.clients_mark_retries
-        await place.running(caller, A, without="owner")
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
-        await caller.ask(B)  # for a customer that nobody knows
-        assert (await caller.answer())[:2] == (2, "error")
+    async with new_operator() as rig:
+        client = await (await rig.up()).caller()
+        assert not rig.node.generation.settings.tenants and not rig.node.generation.settings.clients_mark_retries
+        await rig.running(client, A, without="owner")
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+        await client.ask(B)  # for a customer that nobody knows
+        assert (await client.answer())[:2] == (2, "error")
 
 
 async def test_a_run_that_can_be_paused_is_stopped_once_its_caller_has_gone():
-    async with new_operator(**{"stop-mode": "pause"}) as place:
-        caller = await (await place.up()).caller()
-        assert place.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
-        tag = await place.running(caller, A, without="owner")
-        await caller.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
-        await until(lambda: place.pool.told("suspend", A))
-        await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.requests)
+    async with new_operator(**{"stop-mode": "pause"}) as rig:
+        client = await (await rig.up()).caller()
+        assert rig.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
+        tag = await rig.running(client, A, without="owner")
+        await client.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
+        await wait_until(lambda: rig.pool.told("suspend", A))
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
 
 
 async def test_calls_to_a_tier_below_are_bound_by_no_part_and_a_broken_one_is_made_again_or_left_out():
-    async with new_operator(cpus=4) as place:
-        caller = await (await place.up()).caller()
-        for ident in (A, B, C):
-            await place.calling(caller, ident, without="owner")
-        await place.records.reply(A, "DONE", b"reply")
-        await until(lambda: place.pool.told("supply", A))
-        await place.records.cut()  # replayable: either is right
+    async with new_operator(cpus=4) as rig:
+        client = await (await rig.up()).caller()
+        for request_id in (A, B, C):
+            await rig.calling(client, request_id, without="owner")
+        await rig.records.reply(A, "DONE", b"reply")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.records.cut()  # replayable: either is right
         with anyio.fail_after(3):
-            for ident in (B, C):
-                await until(
-                    lambda ident=ident: (
-                        place.pool.told("pass", ident) or place.records.seen.count(("OP", ident, b"\r\ncall\x00")) > 1
+            for request_id in (B, C):
+                await wait_until(
+                    lambda request_id=request_id: (
+                        rig.pool.told("pass", request_id)
+                        or rig.records.seen.count(("OP", request_id, b"\r\ncall\x00")) > 1
                     )
                 )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -24,7 +24,9 @@
 import anyio
 import pytest
 
-from tests.helpers import A, B, Place, until
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = [pytest.mark.anyio, pytest.mark.skipif(platform.machine() != "x86_64", reason="numbers of system calls")]
 ROOT = Path(__file__).parent.parent
@@ -141,11 +143,11 @@
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     run = deploy["run"].replace(".venv/bin/python", sys.executable)
     assert run.startswith("exec ") and not set("|&;$`<>") & set(run), "one command, and nothing left behind it"
-    async with Place(elsewhere=True) as place:
+    async with ServerRig(in_subprocess=True) as rig:
         file = tmp_path / "config.json"
-        place.config["listen"] = f"127.0.0.1:{place.port}"
-        place.listener.close()
-        file.write_text(json.dumps(place.config))
+        rig.config["listen"] = f"127.0.0.1:{rig.port}"
+        rig.listener.close()
+        file.write_text(json.dumps(rig.config))
         (tmp_path / "own").mkdir()
         process = started(
             run,
@@ -158,29 +160,29 @@
             },
         )
         try:
-            place.pool.up.set()
-            await until(lambda: place.pool.binds(), 20)
-            caller = await place.caller()
-            await caller.ask(A)
-            await until(lambda: place.pool.told("spawn", A))
-            await place.pool.block(A)
-            await until(lambda: A in place.records.lines)
-            await place.records.reply(A, "DONE", b"found")
-            await until(lambda: place.pool.told("supply", A))
-            await place.pool.finish(A)
-            assert (await caller.answer())[:2] == (1, "done")
-            links = place.pool.links
-            file.write_text(json.dumps({**place.config, "lookup": "127.0.0.1:9"}))
+            rig.pool.up.set()
+            await wait_until(lambda: rig.pool.binds(), 20)
+            client = await rig.caller()
+            await client.ask(A)
+            await wait_until(lambda: rig.pool.told("spawn", A))
+            await rig.pool.block(A)
+            await wait_until(lambda: A in rig.records.lines)
+            await rig.records.reply(A, "DONE", b"found")
+            await wait_until(lambda: rig.pool.told("supply", A))
+            await rig.pool.finish(A)
+            assert (await client.answer())[:2] == (1, "done")
+            links = rig.pool.links
+            file.write_text(json.dumps({**rig.config, "lookup": "127.0.0.1:9"}))
             process.send_signal(signal.SIGHUP)
-            await place.pool.cut()  # and a link that is lost
-            await until(lambda: place.pool.links > links)
-            await caller.ask(B)
-            await until(lambda: place.pool.told("spawn", B))
+            await rig.pool.cut()  # and a link that is lost
+            await wait_until(lambda: rig.pool.links > links)
+            await client.ask(B)
+            await wait_until(lambda: rig.pool.told("spawn", B))
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
             maps = Path(f"/proc/{process.pid}/maps").read_text()
             assert not children and "/libc.so" in maps, "one process, linked against the C library"
-            await place.pool.finish(B)
-            assert (await caller.answer())[:2] == (2, "done")
+            await rig.pool.finish(B)
+            assert (await client.answer())[:2] == (2, "done")
             process.send_signal(signal.SIGTERM)
             begun = time.monotonic()
             while process.poll() is None and time.monotonic() - begun < 10:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,7 +5,9 @@
 import pytest
 
 from nickelslip.server import idempotency_table
-from tests.helpers import A, B, C, Place, until
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 D = "00000000000000d4"
@@ -19,113 +21,113 @@
 @pytest.mark.parametrize("over", (False, True))
 @pytest.mark.parametrize("other", ({"body": b"another"}, {"owner": "other"}))
 async def test_a_key_seen_and_sent_with_another_body_or_by_another_customer_brings_nobodys_result(over, other):
-    async with Place() as place:
-        place.told["tenants"].append({"name": "other", "quota-rps": 100.0})
-        place.renew()
-        caller, stranger = await (await place.up()).caller(), await place.caller()
-        await place.running(caller, A, "book", opkey="k1")
+    async with ServerRig() as rig:
+        rig.platform_settings["tenants"].append({"name": "other", "quota-rps": 100.0})
+        rig.reload_settings()
+        client, stranger = await (await rig.up()).caller(), await rig.caller()
+        await rig.running(client, A, "book", opkey="k1")
         if over:
-            await place.pool.finish(A, body=b"once")
-            assert (await caller.answer())[1::2] == ("done", b"once")
+            await rig.pool.finish(A, body=b"once")
+            assert (await client.answer())[1::2] == ("done", b"once")
         await stranger.ask(B, "book", opkey="k1", **other)
         assert (await stranger.answer())[:2] == (1, "error")  # at once, not when the other one ends
         if not over:
-            await place.pool.finish(A, body=b"once")
-            assert (await caller.answer())[1::2] == ("done", b"once")
-        await caller.ask(C, "book", opkey="k1", resent=1)
-        assert (await caller.answer())[1::2] == ("done", b"once")  # and a true repeat has it as before
-        assert not place.pool.told("spawn", B) and not place.pool.told("spawn", C)
+            await rig.pool.finish(A, body=b"once")
+            assert (await client.answer())[1::2] == ("done", b"once")
+        await client.ask(C, "book", opkey="k1", resent=1)
+        assert (await client.answer())[1::2] == ("done", b"once")  # and a true repeat has it as before
+        assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
 
 
 async def test_a_key_that_came_with_an_id_nobody_knows_is_free_for_the_one_that_is_known():
-    async with Place() as place:
-        stranger, caller = await (await place.up()).caller(), await place.caller()
-        await place.running(stranger, A, "book", opkey="k1", body=b"made up")
-        await place.pool.say(op="unknown", end="spawn", id=A)
+    async with ServerRig() as rig:
+        stranger, client = await (await rig.up()).caller(), await rig.caller()
+        await rig.running(stranger, A, "book", opkey="k1", body=b"made up")
+        await rig.pool.say(op="unknown", end="spawn", id=A)
         assert (await stranger.answer())[1] == "error"
-        await until(lambda: not place.node.requests)
-        await place.running(caller, B, "book", opkey="k1")
-        await place.pool.finish(B, body=b"once")
-        assert (await caller.answer())[1::2] == ("done", b"once")
+        await wait_until(lambda: not rig.node.requests)
+        await rig.running(client, B, "book", opkey="k1")
+        await rig.pool.finish(B, body=b"once")
+        assert (await client.answer())[1::2] == ("done", b"once")
 
 
 async def test_a_key_longer_than_any_is_refused():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await caller.ask(A, "book", opkey="k" * 257)
-        assert (await caller.answer())[1] == "error" and not place.pool.told("spawn", A)
-        await caller.ask(D, "read", subject="k" * 257)
-        assert (await caller.answer())[1] == "error"
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await client.ask(A, "book", opkey="k" * 257)
+        assert (await client.answer())[1] == "error" and not rig.pool.told("spawn", A)
+        await client.ask(D, "read", subject="k" * 257)
+        assert (await client.answer())[1] == "error"
 
 
 async def test_a_first_try_that_was_given_up_before_it_ran_leaves_its_key_free():
-    async with Place(cpus=1) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, C, "pay")  # the one core is taken
-        await caller.ask(A, "book", opkey="k1")
-        await until(lambda: len(place.node.requests) == 2)
-        await caller.send("NEVERMIND", "2")
-        await until(lambda: len(place.node.requests) == 1)
-        await caller.ask(B, "book", opkey="k1", resent=1)
-        await place.pool.finish(C)
-        await until(lambda: place.pool.told("spawn", B))
-        await place.pool.finish(B, body=b"once")
-        assert not place.pool.told("spawn", A)
-        assert sorted([(await caller.answer())[1::2] for _ in range(2)]) == [("done", b"once"), ("done", b"result")]
+    async with ServerRig(cpus=1) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, C, "pay")  # the one core is taken
+        await client.ask(A, "book", opkey="k1")
+        await wait_until(lambda: len(rig.node.requests) == 2)
+        await client.send("NEVERMIND", "2")
+        await wait_until(lambda: len(rig.node.requests) == 1)
+        await client.ask(B, "book", opkey="k1", resent=1)
+        await rig.pool.finish(C)
+        await wait_until(lambda: rig.pool.told("spawn", B))
+        await rig.pool.finish(B, body=b"once")
+        assert not rig.pool.told("spawn", A)
+        assert sorted([(await client.answer())[1::2] for _ in range(2)]) == [("done", b"once"), ("done", b"result")]
 
 
 # When
 
 
-def short_window(place: Place, window_ms: float) -> None:
-    place.told["classes"][2]["memory-span-ms"] = window_ms
-    place.renew()
+def short_window(rig: ServerRig, window_ms: float) -> None:
+    rig.platform_settings["classes"][2]["memory-span-ms"] = window_ms
+    rig.reload_settings()
 
 
 async def test_a_repeat_that_came_in_its_window_and_lay_unread_past_it_is_still_one(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
-    async with Place() as place:
-        short_window(place, 300.0)
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        short_window(rig, 300.0)
+        client = await (await rig.up()).caller()
         began = int(time.time() * 1000)
-        await place.running(caller, A, "book", opkey="k1", ts=began, timeout=200)
-        await place.pool.finish(A, body=b"once")
-        assert (await caller.answer())[1::2] == ("done", b"once")
-        await until(lambda: time.time() * 1000 > began + 600)
-        await caller.ask(B, "book", opkey="k1", resent=1, ts=began + 290)
-        assert (await caller.answer())[1::2] == ("done", b"once") and not place.pool.told("spawn", B)
-        await place.running(caller, C, "book", opkey="k1", ts=began + 500)  # and one that came after it is none
+        await rig.running(client, A, "book", opkey="k1", ts=began, timeout=200)
+        await rig.pool.finish(A, body=b"once")
+        assert (await client.answer())[1::2] == ("done", b"once")
+        await wait_until(lambda: time.time() * 1000 > began + 600)
+        await client.ask(B, "book", opkey="k1", resent=1, ts=began + 290)
+        assert (await client.answer())[1::2] == ("done", b"once") and not rig.pool.told("spawn", B)
+        await rig.running(client, C, "book", opkey="k1", ts=began + 500)  # and one that came after it is none
 
 
 async def test_a_repeat_after_the_window_waits_for_a_run_that_is_still_out(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
-    async with Place() as place:
-        short_window(place, 100.0)
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "book", opkey="k1", timeout=300)
-        assert (await caller.answer())[1] == "error"  # it was due, and its run goes on
-        await until(
-            lambda: place.node.clock() > next(iter(place.node.idempotency_table.records.values())).expires_at_ms + 100
+    async with ServerRig() as rig:
+        short_window(rig, 100.0)
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1", timeout=300)
+        assert (await client.answer())[1] == "error"  # it was due, and its run goes on
+        await wait_until(
+            lambda: rig.node.clock() > next(iter(rig.node.idempotency_table.records.values())).expires_at_ms + 100
         )
-        await caller.ask(B, "book", opkey="k1", resent=1)
-        await until(lambda: len(place.node.requests) == 2)
-        assert not place.pool.told("spawn", B)
-        await place.pool.finish(A, body=b"once")
-        assert (await caller.answer())[1::2] == ("done", b"once")
-        await until(lambda: not place.node.requests)
+        await client.ask(B, "book", opkey="k1", resent=1)
+        await wait_until(lambda: len(rig.node.requests) == 2)
+        assert not rig.pool.told("spawn", B)
+        await rig.pool.finish(A, body=b"once")
+        assert (await client.answer())[1::2] == ("done", b"once")
+        await wait_until(lambda: not rig.node.requests)
 
 
 async def test_what_can_serve_no_repeat_any_more_is_let_go(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
-    async with Place() as place:
-        short_window(place, 100.0)
-        for grade in place.told["classes"]:
-            grade["aim-ms"] = grade["deadline-ms"] = 200.0
-        place.renew()
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "book", opkey="k1", timeout=200)
-        await place.pool.finish(A, body=b"once")
-        assert (await caller.answer())[1] == "done"
-        await until(
-            lambda: not place.node.idempotency_table.records and not place.node.idempotency_table.results.size_bytes
+    async with ServerRig() as rig:
+        short_window(rig, 100.0)
+        for traffic_class in rig.platform_settings["classes"]:
+            traffic_class["aim-ms"] = traffic_class["deadline-ms"] = 200.0
+        rig.reload_settings()
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1", timeout=200)
+        await rig.pool.finish(A, body=b"once")
+        assert (await client.answer())[1] == "done"
+        await wait_until(
+            lambda: not rig.node.idempotency_table.records and not rig.node.idempotency_table.results.size_bytes
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,21 +7,25 @@
 from hypothesis import strategies as st
 
 from nickelslip.admission.interface import Outcome, Preemption
-from tests.helpers import BOOK, PAY, READ, World, settings
+from tests.support.admission_model import BOOK, PAY, READ, AdmissionModel, Stage, build_settings
 
 EVENTS = st.one_of(
     st.tuples(
-        st.just("read"),
+        st.just("receive_request"),
         st.sampled_from((READ, PAY, BOOK)),
         st.floats(1, 80),
         st.sampled_from((None, 200.0, 900.0)),
         st.booleans(),
     ),
-    st.tuples(st.sampled_from(("end", "call", "back", "gone")), st.integers(0, 9), st.sampled_from(Outcome)),
-    st.tuples(st.just("wait"), st.sampled_from((5.0, 50.0, 400.0))),
+    st.tuples(
+        st.sampled_from(("end_run", "request_call", "return_call", "disconnect_client")),
+        st.integers(0, 9),
+        st.sampled_from(Outcome),
+    ),
+    st.tuples(st.just("advance"), st.sampled_from((5.0, 50.0, 400.0))),
     st.tuples(st.just("drain"), st.sampled_from((600.0, 3000.0))),
     st.tuples(
-        st.just("change"),
+        st.just("change_settings"),
         st.sampled_from(
             (
                 {"core_count": 1},
@@ -64,55 +68,77 @@
     st.sampled_from((0.0, 0.4, 2.0)),
     st.sampled_from((600.0, 3000.0)),
 )
-def test_the_rules_hold_on_any_day(events, stopping, cold, share, memory):
-    world = World(settings(preemption=stopping, starts_cold=cold, dependency_concurrency_share=share, memory_kb=memory))
-    fresh = 0
+def test_the_rules_hold_on_any_day(events, preemption, starts_cold, dependency_share, memory_kb):
+    model = AdmissionModel(
+        build_settings(
+            preemption=preemption,
+            starts_cold=starts_cold,
+            dependency_concurrency_share=dependency_share,
+            memory_kb=memory_kb,
+        )
+    )
+    last_request_id = 0
     for event in events:
-        if world.kill is not None and world.now >= world.kill - 450:
+        if model.kill_at_ms is not None and model.now_ms >= model.kill_at_ms - 450:
             break
-        if event[0] == "read":
-            fresh += 1
-            _, named, kb, told, repeat = event
-            grade = next((each for each in world.told.traffic_classes if each.name == named.name), None)
-            if grade is None:
-                continue  # taken out: no front would read one
-            earlier = [
-                ident
-                for ident, one in world.known.items()
-                if one.grade.name == BOOK.name and world.entries.get(ident, 0.0) > world.now
-            ]
-            more = {"original_request_id": earlier[0]} if repeat and grade.name == BOOK.name and earlier else {}
-            world.read(fresh, grade, kb, told, is_retry=repeat, **more)
-        elif event[0] == "wait":
-            world.wait(event[1])
-        elif event[0] == "change":
-            if world.kill is None and not (
-                share == 0.0 and "dependency_concurrency_share" in event[1]
-            ):  # which the plan forbids
-                world.change(**event[1])
+        if event[0] == "receive_request":
+            last_request_id += 1
+            receive_request(model, last_request_id, *event[1:])
+        elif event[0] == "advance":
+            model.advance(event[1])
+        elif event[0] == "change_settings":
+            is_forbidden = dependency_share == 0.0 and "dependency_concurrency_share" in event[1]
+            if model.kill_at_ms is None and not is_forbidden:
+                model.change_settings(**event[1])
         elif event[0] == "drain":
-            if world.kill is None:
-                world.drain(event[1])
+            if model.kill_at_ms is None:
+                model.drain(event[1])
         else:
-            step(world, *event)
-    world.wait(4000 if world.kill is None else world.kill - world.now - 10)
-    assert all(one.answers or one.gone for one in world.known.values())
+            change_one_request(model, *event)
+    model.advance(4000 if model.kill_at_ms is None else model.kill_at_ms - model.now_ms - 10)
+    assert all(request.answer_count or request.is_abandoned for request in model.requests.values())
+
+
+def receive_request(model, request_id, named, memory_kb, timeout_ms, is_retry):
+    """Receive a request of a class as it is defined now, or nothing where a change has removed the class."""
+    traffic_class = next((each for each in model.settings.traffic_classes if each.name == named.name), None)
+    if traffic_class is None:
+        return
+    recorded = [
+        earlier_id
+        for earlier_id, request in model.requests.items()
+        if request.traffic_class.name == BOOK.name and model.record_expires_at_ms.get(earlier_id, 0.0) > model.now_ms
+    ]
+    has_original = is_retry and traffic_class.name == BOOK.name and recorded
+    fields = {"original_request_id": recorded[0]} if has_original else {}
+    model.receive_request(request_id, traffic_class, memory_kb, timeout_ms, is_retry=is_retry, **fields)
+
+
+STAGES_BY_EVENT = {
+    "end_run": (Stage.RUNNING,),
+    "request_call": (Stage.RUNNING,),
+    "return_call": (Stage.CALL_IN_FLIGHT,),
+    "disconnect_client": (Stage.QUEUED, Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALL_IN_FLIGHT),
+}
 
 
-def step(world, what, pick, outcome):
-    places = {"end": ("core",), "call": ("core",), "back": ("out",), "gone": ("held", "core", "call", "out")}[what]
-    able = [
-        ident
-        for ident, one in world.known.items()
-        if one.place in places
-        and not (what == "gone" and (one.answers or one.gone))
-        and not (what == "call" and not one.grade.makes_calls)
+def change_one_request(model, event, pick, outcome):
+    """Have the event happen to one of the requests that it can happen to, if there is one."""
+    candidates = [
+        request_id
+        for request_id, request in model.requests.items()
+        if request.stage in STAGES_BY_EVENT[event]
+        and not (event == "disconnect_client" and (request.answer_count or request.is_abandoned))
+        and not (event == "request_call" and not request.traffic_class.makes_calls)
     ]
-    if not able:
+    if not candidates:
         return
-    if what == "end":
-        world.end(able[pick % len(able)], Outcome.OK if outcome is not Outcome.ERROR else outcome)
-    elif what == "back":
-        world.back(able[pick % len(able)], outcome if outcome is not Outcome.NOT_STARTED else Outcome.REJECTED)
+    request_id = candidates[pick % len(candidates)]
+    if event == "end_run":
+        model.end_run(request_id, Outcome.OK if outcome is not Outcome.ERROR else outcome)
+    elif event == "return_call":
+        model.return_call(request_id, outcome if outcome is not Outcome.NOT_STARTED else Outcome.REJECTED)
+    elif event == "request_call":
+        model.request_call(request_id)
     else:
-        getattr(world, what)(able[pick % len(able)])
+        model.disconnect_client(request_id)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -22,7 +22,10 @@
 from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.close_reasons import CloseReason
 from nickelslip.server.lifecycle import Phase
-from tests.helpers import A, B, C, Failing, Place, until
+from tests.support.failing_listener import FailingListener
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 CALL = b"\r\ncall\x00"
@@ -37,38 +40,38 @@
 
 
 async def test_a_transaction_is_run_and_answered_with_the_result_unchanged():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         body = bytes(range(256)) * 8
-        await place.running(caller, A, body=body)
-        assert place.pool.told("spawn", A)[0]["class"] == "read"
-        assert b64decode(place.pool.told("spawn", A)[0]["body"]) == body
-        await place.pool.finish(A, body=body * 2)
-        tag, word, fields, result = await caller.answer()
+        await rig.running(client, A, body=body)
+        assert rig.pool.told("spawn", A)[0]["class"] == "read"
+        assert b64decode(rig.pool.told("spawn", A)[0]["body"]) == body
+        await rig.pool.finish(A, body=body * 2)
+        tag, word, fields, result = await client.answer()
         assert (tag, word, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
 
 
 async def test_messages_split_at_any_byte_and_many_in_one_read():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         for byte in resp.message(b"STATUS", b"7", b""):
-            await caller.stream.send(bytes([byte]))
-        assert (await caller.answer())[:2] == (7, "healthy")
-        await caller.stream.send(b"".join(resp.message(b"STATUS", b"%d" % tag) for tag in range(1, 200)))
-        assert [(await caller.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
+            await client.stream.send(bytes([byte]))
+        assert (await client.answer())[:2] == (7, "healthy")
+        await client.stream.send(b"".join(resp.message(b"STATUS", b"%d" % tag) for tag in range(1, 200)))
+        assert [(await client.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
 
 
 async def test_32_are_open_at_once_and_answered_in_any_order_and_one_more_fails():
-    async with Place(cpus=32, **{"memory-kb": 1e6}) as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
+        client = await (await rig.up()).caller()
         idents = [f"{number:016x}" for number in range(1, 34)]
-        for ident in idents:
-            await caller.ask(ident)
-        assert (await caller.answer())[:2] == (33, "error")
-        await until(lambda: all(place.pool.told("spawn", ident) for ident in idents[:32]))
-        for ident in reversed(idents[:32]):
-            await place.pool.finish(ident, body=ident.encode())
-        answers = [await caller.answer() for _ in range(32)]
+        for request_id in idents:
+            await client.ask(request_id)
+        assert (await client.answer())[:2] == (33, "error")
+        await wait_until(lambda: all(rig.pool.told("spawn", request_id) for request_id in idents[:32]))
+        for request_id in reversed(idents[:32]):
+            await rig.pool.finish(request_id, body=request_id.encode())
+        answers = [await client.answer() for _ in range(32)]
         assert [(tag, body.decode()) for tag, _, _, body in answers] == [
             (number, idents[number - 1]) for number in range(32, 0, -1)
         ]
@@ -82,48 +85,48 @@
         "request_received",
         lambda self, now, arrival: seen.append((now, arrival)) or read(self, now, arrival),
     )
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         ts = int(time.time() * 1000) - 40
-        await caller.ask(A, ts=ts, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
-        await until(lambda: seen)
+        await client.ask(A, ts=ts, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
+        await wait_until(lambda: seen)
         now, arrival = seen[0]
         assert abs(arrival.deadline_at_ms - ts - 480) < 1e-6 and abs(arrival.read_delay_ms - (now - ts)) < 0.5
         assert (arrival.is_retry, arrival.client, arrival.memory_kb, arrival.tenant) == (True, 9, 12.5, "acme")
         assert arrival.has_key
-        await caller.ask(B, ts=ts + 540)
-        await until(lambda: len(seen) == 2)
+        await client.ask(B, ts=ts + 540)
+        await wait_until(lambda: len(seen) == 2)
         assert seen[1][1].read_delay_ms == 0 and not seen[1][1].is_retry and not seen[1][1].has_key
 
 
 async def test_a_dismissal_says_when_to_come_back_and_the_weight_rides_on_all_answers():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         for number in range(1, 31):
-            await caller.ask(f"{number:016x}", grade="pay", timeout=60, resent=1)
-        answers = [await caller.answer() for _ in range(30)]
+            await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
+        answers = [await client.answer() for _ in range(30)]
         dismissed = [fields for _, word, fields, _ in answers if word == "later"]
         assert dismissed and all(0 < float(fields["holdoff"]) <= 1000 for fields in dismissed if "holdoff" in fields)
         assert all(fields.get("nomore", "1") == "1" for fields in dismissed)
         assert not any({"holdoff", "nomore"} & set(fields) for _, word, fields, _ in answers if word != "later")
-        await until(lambda: place.node.advertised_weight is not None)
-        await caller.send("STATUS", "900", "")
-        assert float((await caller.answer())[2]["signal"]) < 1
+        await wait_until(lambda: rig.node.advertised_weight is not None)
+        await client.send("STATUS", "900", "")
+        assert float((await client.answer())[2]["signal"]) < 1
 
 
 async def test_checks_are_answered_before_the_worker_pool_is_up_and_reports_go_out_from_then_on():
-    async with Place() as place:
-        caller = await place.caller()
-        await caller.send("STATUS", "1", "")
-        assert (await caller.answer())[:2] == (1, "healthy")
-        await caller.ask(A)
-        assert (await caller.answer())[1] == "error"  # none should come yet, but what comes is answered
+    async with ServerRig() as rig:
+        client = await rig.caller()
+        await client.send("STATUS", "1", "")
+        assert (await client.answer())[:2] == (1, "healthy")
+        await client.ask(A)
+        assert (await client.answer())[1] == "error"  # none should come yet, but what comes is answered
         await anyio.sleep(0.6)
-        assert not place.reports  # the list would name a server that can do nothing
-        await place.up()
-        await until(lambda: place.reports.count("PULSE n1 open") > 3, 2.5)  # since some of them get lost
-        place.node.begin_shutdown()
-        await until(lambda: place.reports.count("PULSE n1 closed") > 1, 0.3)  # a change is told at once, and again
+        assert not rig.reports  # the list would name a server that can do nothing
+        await rig.up()
+        await wait_until(lambda: rig.reports.count("PULSE n1 open") > 3, 2.5)  # since some of them get lost
+        rig.node.begin_shutdown()
+        await wait_until(lambda: rig.reports.count("PULSE n1 closed") > 1, 0.3)  # a change is told at once, and again
 
 
 @pytest.mark.parametrize(
@@ -147,32 +150,32 @@
         {"timeout": "nan"},
         {"via": "x"},
         {"resent": 2},
-        {"grade": "unknown"},
+        {"class_name": "unknown"},
         {"body": bytes(2049)},
         {"via": "4,via=5"},
     ),
 )
 async def test_a_bad_field_gets_one_failure_and_all_else_goes_on(bad):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await caller.ask(bad.pop("req", A), **bad)
-        assert (await caller.answer())[:2] == (1, "error")
-        await caller.ask(B, grade="read")
-        await until(lambda: place.pool.told("spawn", B))
-        await place.pool.finish(B)
-        assert (await caller.answer())[:2] == (2, "done") and not place.pool.told("spawn", A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await client.ask(bad.pop("req", A), **bad)
+        assert (await client.answer())[:2] == (1, "error")
+        await client.ask(B, class_name="read")
+        await wait_until(lambda: rig.pool.told("spawn", B))
+        await rig.pool.finish(B)
+        assert (await client.answer())[:2] == (2, "done") and not rig.pool.told("spawn", A)
 
 
 async def test_an_unknown_verb_and_an_id_in_hand_get_one_failure_each():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await caller.send("DANCE", "5", "x")
-        assert (await caller.answer())[:2] == (5, "error")
-        await place.running(caller, A)
-        await caller.ask(A)
-        assert (await caller.answer())[:2] == (2, "error")
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done") and len(place.pool.told("spawn", A)) == 1
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await client.send("DANCE", "5", "x")
+        assert (await client.answer())[:2] == (5, "error")
+        await rig.running(client, A)
+        await client.ask(A)
+        assert (await client.answer())[:2] == (2, "error")
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and len(rig.pool.told("spawn", A)) == 1
 
 
 @pytest.mark.parametrize(
@@ -187,27 +190,27 @@
     ),
 )
 async def test_where_the_stream_is_lost_that_connection_alone_ends_with_all_answered(text):
-    async with Place() as place:
-        await place.up()
-        caller, other = await place.caller(), await place.caller()
-        await place.running(caller, A)
-        await place.running(other, B)
-        await caller.stream.send(text)  # among them a tag in use
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done") and await caller.ended()
-        await place.pool.finish(B)
+    async with ServerRig() as rig:
+        await rig.up()
+        client, other = await rig.caller(), await rig.caller()
+        await rig.running(client, A)
+        await rig.running(other, B)
+        await client.stream.send(text)  # among them a tag in use
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and await client.ended()
+        await rig.pool.finish(B)
         assert (await other.answer())[:2] == (1, "done")
 
 
 async def test_a_connection_that_ends_with_more_unread_is_not_reset_under_its_answers():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await caller.stream.send(b"nonsense\r\n" * 20_000)  # more than is read before the stream is given up
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await client.stream.send(b"nonsense\r\n" * 20_000)  # more than is read before the stream is given up
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
         with pytest.raises(anyio.EndOfStream):  # and not a broken resource
-            await caller.stream.receive()
+            await client.stream.receive()
 
 
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
@@ -217,79 +220,81 @@
     monkeypatch.setattr(
         AdmissionController,
         "client_disconnected",
-        lambda self, now, ident: gone.append(ident) or tell(self, now, ident),
+        lambda self, now, request_id: gone.append(request_id) or tell(self, now, request_id),
     )
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
         if how == "nevermind":
-            await caller.send("NEVERMIND", "1")
-            await caller.send("NEVERMIND", "1")
+            await client.send("NEVERMIND", "1")
+            await client.send("NEVERMIND", "1")
         elif how == "reset":
-            caller.stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(
+            client.stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
             )
-            await anyio.aclose_forcefully(caller.stream)
+            await anyio.aclose_forcefully(client.stream)
         else:
-            await caller.stream.aclose()
-        await until(lambda: place.pool.told("suspend", A))
-        assert len(place.node.requests) == 1
-        await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.requests)
+            await client.stream.aclose()
+        await wait_until(lambda: rig.pool.told("suspend", A))
+        assert len(rig.node.requests) == 1
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
         assert gone == [int(A, 16)]
 
 
 async def test_idle_connections_are_told_to_close_and_what_crosses_is_answered():
-    async with Place() as place:
-        await place.up()
-        idle, busy = await place.caller(), await place.caller()
-        await place.running(busy, A)
-        place.node.advertised.idle_connection_timeout_ms = 50.0
+    async with ServerRig() as rig:
+        await rig.up()
+        idle, busy = await rig.caller(), await rig.caller()
+        await rig.running(busy, A)
+        rig.node.advertised.idle_connection_timeout_ms = 50.0
         assert await idle.answer() == (0, "closing", {}, b"")
-        await place.running(idle, B)
-        await place.pool.finish(B)
+        await rig.running(idle, B)
+        await rig.pool.finish(B)
         assert (await idle.answer())[:2] == (1, "done")
-        await place.pool.finish(A)
+        await rig.pool.finish(A)
         assert (await busy.answer())[:2] == (1, "done")
 
 
 async def test_the_listener_survives_running_out_of_descriptors():
-    async with Place() as place:
-        await place.up()
-        listener = place.node.listeners[0]._listener = Failing(place.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE)
-        caller = await place.caller()
-        await caller.send("STATUS", "1", "")
-        assert (await caller.answer())[1] == "healthy" and listener.accepts >= 4
+    async with ServerRig() as rig:
+        await rig.up()
+        listener = rig.node.listeners[0]._listener = FailingListener(
+            rig.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE
+        )
+        client = await rig.caller()
+        await client.send("STATUS", "1", "")
+        assert (await client.answer())[1] == "healthy" and listener.accepts >= 4
 
 
 async def test_where_places_run_short_the_silent_go_first_then_the_idle_and_never_one_with_work_open():
-    async with Place(cpus=32) as place:
-        await place.up()
-        place.share_out(balancers=3)
-        busy, silent, idle = [await place.caller() for _ in range(3)]
-        await place.running(busy, A)
+    async with ServerRig(cpus=32) as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=3)
+        busy, silent, idle = [await rig.caller() for _ in range(3)]
+        await rig.running(busy, A)
         await idle.send("STATUS", "1", "")
         assert (await idle.answer())[1] == "healthy"
         others = []
-        for gone, ident in ((silent, B), (idle, C)):
-            others.append(await place.caller())
-            await place.running(others[-1], ident)
+        for gone, request_id in ((silent, B), (idle, C)):
+            others.append(await rig.caller())
+            await rig.running(others[-1], request_id)
             assert await gone.ended()
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):  # all are busy
-            late = await place.caller()
+            late = await rig.caller()
             await late.send("STATUS", "1", "")
             await late.answer()
-        await place.pool.finish(A)
+        await rig.pool.finish(A)
         assert (await busy.answer())[:2] == (1, "done")
 
 
 async def test_one_that_does_not_read_its_answers_holds_up_nothing_and_is_ended(monkeypatch):
-    async with Place(cpus=32) as place:
-        await place.up()
-        place.node.stall_ms = 300.0
+    async with ServerRig(cpus=32) as rig:
+        await rig.up()
+        rig.node.stall_ms = 300.0
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.connect(("127.0.0.1", place.port))
+            deaf.connect(("127.0.0.1", rig.port))
             deaf.setblocking(False)
             flood, sent = resp.message(b"STATUS", b"1") * 200, 0
             with anyio.move_on_after(2):
@@ -300,44 +305,44 @@
                         await anyio.sleep(0.005)
                     except OSError:
                         break
-            other = await place.caller()
+            other = await rig.caller()
             await other.send("STATUS", "1", "")
             assert (await other.answer())[1] == "healthy"
-            await until(lambda: len(place.node.listeners[0].table.connections) == 1)
-        assert place.node.buffers._unallocated_count > 900
+            await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1)
+        assert rig.node.buffers._unallocated_count > 900
 
 
 async def test_a_flood_of_the_silent_does_not_crowd_out_one_that_has_just_asked():
-    async with Place() as place:
-        await place.up()
-        place.share_out(balancers=20)
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=20)
         with ExitStack() as flood:  # all of it stands at the door before the server can have looked
-            asking = flood.enter_context(socket.create_connection(("127.0.0.1", place.port)))
-            asking.sendall(resp.message(b"STATUS", b"1"))
+            encode_request = flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
+            encode_request.sendall(resp.message(b"STATUS", b"1"))
             for _ in range(100):
-                flood.enter_context(socket.create_connection(("127.0.0.1", place.port)))
-            asking.setblocking(False)
+                flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
+            encode_request.setblocking(False)
             with anyio.fail_after(3):
-                assert b"healthy" in await asyncio.get_running_loop().sock_recv(asking, 100)
+                assert b"healthy" in await asyncio.get_running_loop().sock_recv(encode_request, 100)
 
 
 @pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
 async def test_a_first_message_and_the_rest_of_one_are_waited_for_only_so_long(begun, monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
-    async with Place() as place:
-        await place.up()
-        vars(place.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
-        caller, held = await place.caller(), await place.caller()
+    async with ServerRig() as rig:
+        await rig.up()
+        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
+        client, held = await rig.caller(), await rig.caller()
         await held.send("STATUS", "1", "")
-        await caller.stream.send(begun)
+        await client.stream.send(begun)
         with anyio.move_on_after(0.1):  # a byte now and then is no message
             while begun:
                 await anyio.sleep(0.02)
-                await caller.stream.send(b"x" if begun.endswith(b"A") else b"")
+                await client.stream.send(b"x" if begun.endswith(b"A") else b"")
         with suppress(anyio.EndOfStream):
-            await caller.answer()
-            assert await caller.ended()
+            await client.answer()
+            assert await client.ended()
         await anyio.sleep(0.1)
         assert (await held.answer())[1] == "healthy"  # one that asked once may hold its connection
         await held.send("STATUS", "2", "")
@@ -346,274 +351,274 @@
 
 async def test_what_came_while_the_server_stood_still_is_not_late(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
-    async with Place() as place:
-        await place.up()
-        with socket.create_connection(("127.0.0.1", place.port)) as there:
+    async with ServerRig() as rig:
+        await rig.up()
+        with socket.create_connection(("127.0.0.1", rig.port)) as there:
             there.sendall(resp.message(b"STATUS", b"1"))  # before the server can have looked
             there.setblocking(False)
             assert b"healthy" in await asyncio.get_running_loop().sock_recv(there, 100)
 
 
 async def test_what_is_too_large_is_refused_by_its_first_parts_and_the_flood_is_not_read_to_its_end():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.pool.finish(A)
-        await caller.answer()
-        await caller.stream.send(
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.pool.finish(A)
+        await client.answer()
+        await client.stream.send(
             resp.message(b"ASK", b"9", b"read", b"req=1")[:-1].replace(b"*4", b"*5") + b"\n$60000000\r\n"
         )
-        assert (await caller.answer())[:2] == (9, "error")
+        assert (await client.answer())[:2] == (9, "error")
         sent, flood = 0, bytes(1 << 16)
         with suppress(anyio.BrokenResourceError), anyio.fail_after(3):
             while True:
-                await caller.stream.send(flood)
+                await client.stream.send(flood)
                 sent += len(flood)
         assert sent < 30_000_000
 
 
 async def test_nothing_but_faults_ends_the_connection():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
-            await caller.ask("bad")
+            await client.ask("bad")
         for tag in range(1, load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 2):
-            assert (await caller.answer())[:2] == (tag, "error")
-        assert await caller.ended()
+            assert (await client.answer())[:2] == (tag, "error")
+        assert await client.ended()
 
 
 async def test_nothing_is_left_of_transactions_that_are_over():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        caller.tag, sizes = 0, []
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        client.tag, sizes = 0, []
         for number in range(1, 601):
-            ident = f"{number:016x}"
-            tag = await place.running(caller, ident, body=bytes(2048))
-            await place.pool.finish(ident, body=bytes(4096))
-            assert (await caller.answer())[0] == tag
-            place.pool.seen.clear()
-            place.pool.notices.clear()
+            request_id = f"{number:016x}"
+            tag = await rig.running(client, request_id, body=bytes(2048))
+            await rig.pool.finish(request_id, body=bytes(4096))
+            assert (await client.answer())[0] == tag
+            rig.pool.seen.clear()
+            rig.pool.notices.clear()
             if number in (200, 600):
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
-        await until(lambda: not place.node.requests)
+        await wait_until(lambda: not rig.node.requests)
         assert sizes[1] - sizes[0] < 400  # one object for each transaction between would be too many
-        assert len(place.node.buffers._free) < 4
+        assert len(rig.node.buffers._free) < 4
 
 
 # The worker pool
 
 
 async def test_a_link_that_breaks_is_resumed_by_the_last_notice_and_notices_count_once():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.running(caller, B)
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
-        await place.pool.cut()
-        await place.pool.finish(B)  # while there is no link
-        assert (await caller.answer())[:2] == (2, "done")
-        assert [each["seq"] for each in place.pool.seen if each["op"] == "bind"] == [0, 1]
-        await place.pool.say(**place.pool.notices[0])
-        await place.pool.finish("00000000000000ff")
-        await place.pool.tell("chatter", A, end="hello")
-        await place.pool.say(op="unknown", end="suspend", id=A)
-        await place.running(caller, C)
-        await place.pool.finish(C)
-        assert (await caller.answer())[:2] == (3, "done")
-        assert [len(place.pool.told("spawn", ident)) for ident in (A, B, C)] == [1, 1, 1]
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+        await rig.pool.cut()
+        await rig.pool.finish(B)  # while there is no link
+        assert (await client.answer())[:2] == (2, "done")
+        assert [each["seq"] for each in rig.pool.seen if each["op"] == "bind"] == [0, 1]
+        await rig.pool.say(**rig.pool.notices[0])
+        await rig.pool.finish("00000000000000ff")
+        await rig.pool.tell("chatter", A, end="hello")
+        await rig.pool.say(op="unknown", end="suspend", id=A)
+        await rig.running(client, C)
+        await rig.pool.finish(C)
+        assert (await client.answer())[:2] == (3, "done")
+        assert [len(rig.pool.told("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
 
 
 async def test_of_starts_lost_with_a_link_only_the_replayable_are_repeated():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        place.pool.measures = False  # so that nothing proves that a command got there
-        await place.running(caller, A, "read")
-        await place.running(caller, B, "pay", timeout=600)
-        place.pool.measures = True
-        await place.pool.cut()
-        await until(lambda: len(place.pool.told("spawn", A)) == 2)
-        await until(lambda: place.node.worker_pool.is_up)
-        assert len(place.pool.told("spawn", B)) == 1
-        assert (await caller.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False  # so that nothing proves that a command got there
+        await rig.running(client, A, "read")
+        await rig.running(client, B, "pay", timeout=600)
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        await wait_until(lambda: rig.node.worker_pool.is_up)
+        assert len(rig.pool.told("spawn", B)) == 1
+        assert (await client.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
 
 
 async def test_a_link_that_breaks_again_before_it_caught_up_keeps_what_is_doubtful_and_holds_up_nothing():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        place.pool.measures = False
-        await place.running(caller, A)
-        await place.pool.cut()
-        await until(lambda: place.pool.links == 2 and place.node.worker_pool.is_up)
-        await place.running(caller, B)  # although no question is answered
-        assert len(place.pool.told("spawn", A)) == 1
-        place.pool.measures = True
-        await place.pool.cut()
-        await until(lambda: len(place.pool.told("spawn", A)) == 2 and len(place.pool.told("spawn", B)) == 2)
-        for tag, ident in ((1, A), (2, B)):
-            await place.pool.finish(ident)
-            assert (await caller.answer())[:2] == (tag, "done")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await rig.running(client, A)
+        await rig.pool.cut()
+        await wait_until(lambda: rig.pool.links == 2 and rig.node.worker_pool.is_up)
+        await rig.running(client, B)  # although no question is answered
+        assert len(rig.pool.told("spawn", A)) == 1
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2 and len(rig.pool.told("spawn", B)) == 2)
+        for tag, request_id in ((1, A), (2, B)):
+            await rig.pool.finish(request_id)
+            assert (await client.answer())[:2] == (tag, "done")
 
 
 async def test_a_command_after_the_end_of_its_link_was_never_written_and_goes_out_on_the_next():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        place.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
-        place.node.worker_pool.resume_with_reply(place.node.requests[int(A, 16)], b"reply")
-        await until(lambda: place.pool.told("supply", A))
-        assert place.pool.links == 2 and len(place.pool.told("spawn", A)) == 1
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        rig.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
 
 
 async def test_commands_wait_while_there_is_no_link_and_a_late_worker_pool_is_waited_for():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        port = place.pool.port
-        await place.pool.down()
-        await caller.ask(A)
-        await until(lambda: place.node.requests)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        port = rig.pool.port
+        await rig.pool.down()
+        await client.ask(A)
+        await wait_until(lambda: rig.node.requests)
         await anyio.sleep(0.1)
-        assert not place.pool.told("spawn", A)
-        await place.pool.listen(place._tasks, port)
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+        assert not rig.pool.told("spawn", A)
+        await rig.pool.listen(rig._tasks, port)
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
 
 
 async def test_new_addresses_are_taken_up_under_load_and_a_faulty_file_changes_nothing():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        await place.running(caller, B, "pay")
-        old_pool, old_records = place.pool, place.records
-        place.node.reload()  # nothing new: the link stays
-        told = dict(place.config)
-        place.config["pool"] = "nowhere"
-        place.node.reload()
-        place.config = {**told, "stop_ms": 5}  # which needs a restart
-        await place.move()
-        place.pool.measures = False  # and at the new place nothing more is proven
-        await until(lambda: place.pool.seen and place.node.worker_pool.is_up)
-        assert place.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
-        assert place.node.generation.config.stop_ms == 700
-        await place.running(caller, C, "pay")
-        assert not place.pool.told("spawn", A) and not place.pool.told("spawn", B)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.running(client, B, "pay")
+        old_pool, old_records = rig.pool, rig.records
+        rig.node.reload()  # nothing new: the link stays
+        told = dict(rig.config)
+        rig.config["pool"] = "nowhere"
+        rig.node.reload()
+        rig.config = {**told, "stop_ms": 5}  # which needs a restart
+        await rig.move()
+        rig.pool.measures = False  # and at the new address nothing more is proven
+        await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
+        assert rig.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
+        assert rig.node.generation.config.stop_ms == 700
+        await rig.running(client, C, "pay")
+        assert not rig.pool.told("spawn", A) and not rig.pool.told("spawn", B)
         await old_records.reply(A, "DONE", b"late")  # a call goes on where it went
-        await until(lambda: place.pool.told("supply", A))
-        await place.pool.block(C)
-        await until(lambda: ("OP", C, CALL) in place.records.seen)
-        for tag, ident in ((1, A), (2, B), (3, C)):
-            await place.pool.finish(ident)
-            assert (await caller.answer())[:2] == (tag, "done")
-        place.reports.clear()
-        await until(lambda: place.reports)
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.pool.block(C)
+        await wait_until(lambda: ("OP", C, CALL) in rig.records.seen)
+        for tag, request_id in ((1, A), (2, B), (3, C)):
+            await rig.pool.finish(request_id)
+            assert (await client.answer())[:2] == (tag, "done")
+        rig.reports.clear()
+        await wait_until(lambda: rig.reports)
 
 
 async def test_a_move_that_is_taken_back_before_it_is_done_leaves_a_link_that_works():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        old, told = place.pool, dict(place.config)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        old, told = rig.pool, dict(rig.config)
         old.measures = False  # so that the move waits for its proof
-        await place.move()
-        await until(lambda: place.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
-        place.pool, place.config = old, told
-        place.node.reload()
-        await caller.ask(A)
-        await until(lambda: old.told("spawn", A), 1.0)  # and not when the link is found to be silent
+        await rig.move()
+        await wait_until(lambda: rig.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
+        rig.pool, rig.config = old, told
+        rig.node.reload()
+        await client.ask(A)
+        await wait_until(lambda: old.told("spawn", A), 1.0)  # and not when the link is found to be silent
         await old.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+        assert (await client.answer())[:2] == (1, "done")
 
 
 async def test_new_addresses_are_taken_up_while_there_is_no_link_at_all():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.pool.down()
-        await caller.ask(A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.pool.down()
+        await client.ask(A)
         await anyio.sleep(0.3)  # by now there are longer pauses between tries
         begun = time.monotonic()
-        await place.move()
-        first = place.pool
-        await place.move()
-        await until(lambda: first.told("spawn", A) or place.pool.told("spawn", A))
-        await until(lambda: place.pool.binds() and place.node.worker_pool.is_up)
+        await rig.move()
+        first = rig.pool
+        await rig.move()
+        await wait_until(lambda: first.told("spawn", A) or rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.binds() and rig.node.worker_pool.is_up)
         assert time.monotonic() - begun < 0.3
         # both are addresses of one worker pool, whose runs they share: told at either, it is told there once
-        assert len(first.told("spawn", A)) + len(place.pool.told("spawn", A)) == 1
+        assert len(first.told("spawn", A)) + len(rig.pool.told("spawn", A)) == 1
 
 
 async def test_an_address_overtaken_just_as_its_connection_came_about_is_not_bound(monkeypatch):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
         connect, overtaken = worker_pool_connection.connect, []
 
         async def connect_and_be_overtaken(*values):
             stream = await connect(*values)
             if not overtaken:  # what would cancel the attempt comes when there is nothing left to cancel
-                overtaken.append(place.pool)
-                place.config["pool"] = f"127.0.0.1:{newest.port}"
-                place.node.reload()
+                overtaken.append(rig.pool)
+                rig.config["pool"] = f"127.0.0.1:{newest.port}"
+                rig.node.reload()
             return stream
 
-        await place.pool.down()
-        await caller.ask(A)
-        newest = await place.another_pool()
+        await rig.pool.down()
+        await client.ask(A)
+        newest = await rig.another_pool()
         monkeypatch.setattr(worker_pool_connection, "connect", connect_and_be_overtaken)
-        await place.move()
-        await until(lambda: newest.told("spawn", A) and place.node.worker_pool.is_up)
+        await rig.move()
+        await wait_until(lambda: newest.told("spawn", A) and rig.node.worker_pool.is_up)
         assert overtaken and not overtaken[0].binds()
 
 
 async def test_a_single_use_run_whose_start_was_lost_leaves_its_slot_when_it_has_been_answered():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        place.pool.measures = False
-        await place.running(caller, A, "pay", timeout=200)
-        place.pool.measures = True
-        await place.pool.cut()  # and no run of it there will ever be
-        assert (await caller.answer())[:2] == (1, "error")
-        await until(lambda: not place.node.requests)
-        assert len(place.pool.told("spawn", A)) == 1
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await rig.running(client, A, "pay", timeout=200)
+        rig.pool.measures = True
+        await rig.pool.cut()  # and no run of it there will ever be
+        assert (await client.answer())[:2] == (1, "error")
+        await wait_until(lambda: not rig.node.requests)
+        assert len(rig.pool.told("spawn", A)) == 1
 
 
 async def test_a_reply_lost_with_a_link_starts_a_replayable_run_anew_and_no_other():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A)
-        await place.calling(caller, B, "pay")
-        place.pool.measures = False
-        for ident in (A, B):
-            await place.records.reply(ident, "DONE", b"")
-            await until(lambda ident=ident: place.pool.told("supply", ident))
-        place.pool.measures = True
-        await place.pool.cut()
-        await until(lambda: place.pool.told("suspend", A))
-        await place.pool.finish(A, end="broken_off")
-        await until(lambda: len(place.pool.told("spawn", A)) == 2)
-        assert not place.pool.told("suspend", B) and len(place.pool.told("supply", B)) == 1
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.calling(client, B, "pay")
+        rig.pool.measures = False
+        for request_id in (A, B):
+            await rig.records.reply(request_id, "DONE", b"")
+            await wait_until(lambda request_id=request_id: rig.pool.told("supply", request_id))
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: rig.pool.told("suspend", A))
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        assert not rig.pool.told("suspend", B) and len(rig.pool.told("supply", B)) == 1
 
 
 async def test_a_start_that_is_not_known_fails_and_a_run_in_error_is_forfeited():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "pay")
-        await place.pool.say(op="unknown", end="spawn", id=A)
-        assert (await caller.answer())[:2] == (1, "error")
-        await place.running(caller, B, "pay")
-        await place.pool.finish(B, end="fault")
-        assert (await caller.answer())[:2] == (2, "error")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        await rig.pool.say(op="unknown", end="spawn", id=A)
+        assert (await client.answer())[:2] == (1, "error")
+        await rig.running(client, B, "pay")
+        await rig.pool.finish(B, end="fault")
+        assert (await client.answer())[:2] == (2, "error")
 
 
 @pytest.mark.parametrize(
     "line", (b"nonsense\n", b'{"op":"finished","seq":"x"}\n', b"[1]\n", b"x" * (3 * BUFFER_BYTES) + b"\n")
 )
 async def test_a_notice_that_cannot_be_read_is_passed_over(line):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.pool.stream.send(line)
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done") and place.pool.links == 1
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.pool.stream.send(line)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
 
 
 async def test_gauges_reach_the_timer_and_it_goes_on_where_they_never_come(monkeypatch):
@@ -624,20 +629,22 @@
         "timer_fired",
         lambda self, now, gauges: seen.append((now, gauges)) or timer(self, now, gauges),
     )
-    async with Place() as place:
-        await place.up()
-        await until(lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in seen))
-        place.pool.measures = False
+    async with ServerRig() as rig:
+        await rig.up()
+        await wait_until(
+            lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in seen)
+        )
+        rig.pool.measures = False
         begun = len(seen)
-        await until(lambda: len(seen) > begun + 3)
+        await wait_until(lambda: len(seen) > begun + 3)
         assert seen[-1][1].cpu_utilization is None
         assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(seen, seen[1:], strict=False))
 
 
 async def test_a_wake_that_is_due_goes_before_what_happens_after_it(monkeypatch):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
         calls = []
         for name in ("timer_fired", "call_requested"):
             call = getattr(AdmissionController, name)
@@ -646,33 +653,33 @@
                 name,
                 lambda self, now, *values, name=name, call=call: calls.append(name) or call(self, now, *values),
             )
-        place.node.wake_schedule.wake_after(-1.0)
-        place.node.request_reports.call_requested(place.node.requests[int(A, 16)])
+        rig.node.wake_schedule.wake_after(-1.0)
+        rig.node.request_reports.call_requested(rig.node.requests[int(A, 16)])
         assert calls == ["timer_fired", "call_requested"]
 
 
 async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
     monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        place.pool.measures = False
-        await until(lambda: place.pool.links == 2)
-        place.pool.measures = True
-        await place.running(caller, A)
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await wait_until(lambda: rig.pool.links == 2)
+        rig.pool.measures = True
+        await rig.running(client, A)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
 
 
 async def test_those_who_come_in_cannot_take_the_buffers_of_the_worker_pool():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        place.node.buffers._unallocated_count = place.node.buffers._reserved_count - len(place.node.buffers._free)
-        other = await place.caller()
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.buffers._unallocated_count = rig.node.buffers._reserved_count - len(rig.node.buffers._free)
+        other = await rig.caller()
         await other.send("STATUS", "1", "")
         assert await other.ended()
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done") and place.pool.links == 1
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
 
 
 # The records
@@ -680,82 +687,82 @@
 
 @pytest.mark.parametrize(("word", "body"), (("DONE", b"\r\nreply\x00"), ("DONE", b"")))
 async def test_a_call_carries_its_body_and_brings_the_reply_unchanged(word, body):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A)
-        await place.calling(caller, B)
-        await place.records.reply(B, word, body + b"b")
-        await place.records.reply("00000000000000ff", "DONE", b"of nobody", to=A)
-        await place.records.reply(A, word, body)
-        await until(lambda: place.pool.told("supply", A) and place.pool.told("supply", B))
-        assert b64decode(place.pool.told("supply", A)[0]["body"]) == body
-        assert b64decode(place.pool.told("supply", B)[0]["body"]) == body + b"b" and place.records.links == 2
-        await place.pool.finish(A)
-        assert (await caller.answer())[:2] == (1, "done")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.calling(client, B)
+        await rig.records.reply(B, word, body + b"b")
+        await rig.records.reply("00000000000000ff", "DONE", b"of nobody", to=A)
+        await rig.records.reply(A, word, body)
+        await wait_until(lambda: rig.pool.told("supply", A) and rig.pool.told("supply", B))
+        assert b64decode(rig.pool.told("supply", A)[0]["body"]) == body
+        assert b64decode(rig.pool.told("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
 
 
 @pytest.mark.parametrize(("word", "again"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
 async def test_a_single_use_call_is_repeated_only_if_it_never_ran(word, again):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        await place.records.reply(A, word)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.reply(A, word)
         if again:
-            await until(lambda: place.records.seen.count(("OP", A, CALL)) == 2)
+            await wait_until(lambda: rig.records.seen.count(("OP", A, CALL)) == 2)
         else:
-            assert (await caller.answer())[:2] == (1, "error")
-            assert place.records.seen.count(("OP", A, CALL)) == 1
+            assert (await client.answer())[:2] == (1, "error")
+            assert rig.records.seen.count(("OP", A, CALL)) == 1
 
 
 async def test_a_break_proves_nothing_and_a_refusal_proves_that_nothing_ran():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        await place.records.cut()
-        assert (await caller.answer())[:2] == (1, "error")
-        await place.pool.finish(A, end="broken_off")
-        await place.records.down()
-        await place.running(caller, B, "pay")
-        await place.pool.block(B)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.cut()
+        assert (await client.answer())[:2] == (1, "error")
+        await rig.pool.finish(A, end="broken_off")
+        await rig.records.down()
+        await rig.running(client, B, "pay")
+        await rig.pool.block(B)
         await anyio.sleep(0.05)
-        assert place.node.requests  # refused, and tried again in its time
-        await place.records.listen(place._tasks, place.records.port)
-        await until(lambda: ("OP", B, CALL) in place.records.seen)
+        assert rig.node.requests  # refused, and tried again in its time
+        await rig.records.listen(rig._tasks, rig.records.port)
+        await wait_until(lambda: ("OP", B, CALL) in rig.records.seen)
 
 
 async def test_a_call_after_the_end_of_its_connection_was_never_written_and_goes_out_on_the_next():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay")
-        await place.records.reply(A, "DONE", b"")
-        await until(lambda: place.pool.told("supply", A))
-        await place.running(caller, B, "pay")
-        place.node.dependency_client._idle_connections[0]._stream.end_with(
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.reply(A, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.running(client, B, "pay")
+        rig.node.dependency_client._idle_connections[0]._stream.end_with(
             CloseReason.RESET
         )  # of which its reader has not heard
-        await place.pool.block(B)
-        await until(lambda: ("OP", B, CALL) in place.records.seen)
-        assert place.records.links == 2 and not place.node.requests[int(B, 16)].answered
+        await rig.pool.block(B)
+        await wait_until(lambda: ("OP", B, CALL) in rig.records.seen)
+        assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].answered
 
 
 async def test_a_call_that_is_given_up_is_told_and_its_late_reply_passed_over():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A, "pay", timeout=300)
-        assert (await caller.answer())[:2] == (1, "error")
-        await until(lambda: not place.records.lines[A])  # which tells the service, and nothing can come late
-        await place.running(caller, B)
-        assert not place.pool.told("supply", A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay", timeout=300)
+        assert (await client.answer())[:2] == (1, "error")
+        await wait_until(lambda: not rig.records.lines[A])  # which tells the service, and nothing can come late
+        await rig.running(client, B)
+        assert not rig.pool.told("supply", A)
 
 
 async def test_a_caller_gone_in_a_call_gives_the_call_up():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A)
-        await caller.send("NEVERMIND", "1")
-        await until(lambda: not place.records.lines[A])
-        await place.pool.finish(A, end="broken_off")
-        await until(lambda: not place.node.requests)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await client.send("NEVERMIND", "1")
+        await wait_until(lambda: not rig.records.lines[A])
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
 
 
 @pytest.mark.parametrize(
@@ -771,89 +778,89 @@
     ),
 )
 async def test_a_reply_that_lies_costs_its_own_call_and_no_other(text):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, B, "pay")
-        await place.calling(caller, A, "pay")
-        await place.records.lines[A].send(text.encode())
-        assert (await caller.answer())[:2] == (2, "error")
-        await place.records.reply(B, "DONE", b"")
-        await until(lambda: place.pool.told("supply", B))
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, B, "pay")
+        await rig.calling(client, A, "pay")
+        await rig.records.lines[A].send(text.encode())
+        assert (await client.answer())[:2] == (2, "error")
+        await rig.records.reply(B, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", B))
 
 
 async def test_a_connection_that_may_be_closed_for_idleness_is_not_used_again():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.calling(caller, A)
-        await place.records.reply(A, "DONE", b"")
-        await until(lambda: place.pool.told("supply", A))
-        await place.calling(caller, B)
-        assert place.records.links == 1
-        await place.records.reply(B, "DONE", b"")
-        await until(lambda: place.pool.told("supply", B))
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.records.reply(A, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.calling(client, B)
+        assert rig.records.links == 1
+        await rig.records.reply(B, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", B))
         await anyio.sleep(0.12)
-        await place.calling(caller, C)
-        assert place.records.links == 2
-        await place.records.reply(C, "DONE", b"")
-        await place.records.reply(C, "DONE", b"")  # a second copy, which the next call is not to meet
-        await until(lambda: place.pool.told("supply", C))
-        await place.pool.block(C)
-        await until(lambda: place.records.seen.count(("OP", C, CALL)) == 2)
+        await rig.calling(client, C)
+        assert rig.records.links == 2
+        await rig.records.reply(C, "DONE", b"")
+        await rig.records.reply(C, "DONE", b"")  # a second copy, which the next call is not to meet
+        await wait_until(lambda: rig.pool.told("supply", C))
+        await rig.pool.block(C)
+        await wait_until(lambda: rig.records.seen.count(("OP", C, CALL)) == 2)
         await anyio.sleep(0.02)
-        assert place.records.links == 3 and len(place.pool.told("supply", C)) == 1
+        assert rig.records.links == 3 and len(rig.pool.told("supply", C)) == 1
 
 
 # The table
 
 
 async def test_a_repeat_of_a_referenced_transaction_joins_and_later_gets_what_was_kept():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "book", opkey="k1")
-        await caller.ask(B, "book", opkey="k1", resent=1)
-        await until(lambda: len(place.node.requests) == 2)
-        await place.pool.finish(A, body=b"once")
-        assert sorted([await caller.answer(), await caller.answer()])[1][1::2] == ("done", b"once")
-        await caller.ask(C, "book", opkey="k1", resent=1)
-        assert (await caller.answer())[1::2] == ("done", b"once")
-        await place.running(caller, "00000000000000d4", "book", opkey="k2")
-        assert not place.pool.told("spawn", B) and not place.pool.told("spawn", C)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1")
+        await client.ask(B, "book", opkey="k1", resent=1)
+        await wait_until(lambda: len(rig.node.requests) == 2)
+        await rig.pool.finish(A, body=b"once")
+        assert sorted([await client.answer(), await client.answer()])[1][1::2] == ("done", b"once")
+        await client.ask(C, "book", opkey="k1", resent=1)
+        assert (await client.answer())[1::2] == ("done", b"once")
+        await rig.running(client, "00000000000000d4", "book", opkey="k2")
+        assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
 
 
 async def test_a_repeat_of_one_that_came_to_nothing_fails_and_is_not_run():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, "book", opkey="k1")
-        await place.pool.finish(A, end="fault")
-        assert (await caller.answer())[1] == "error"
-        await caller.ask(B, "book", opkey="k1", resent=1)
-        assert (await caller.answer())[:2] == (2, "error") and not place.pool.told("spawn", B)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1")
+        await rig.pool.finish(A, end="fault")
+        assert (await client.answer())[1] == "error"
+        await client.ask(B, "book", opkey="k1", resent=1)
+        assert (await client.answer())[:2] == (2, "error") and not rig.pool.told("spawn", B)
 
 
 async def test_a_read_of_the_same_subject_is_answered_from_a_fresh_result_and_run_when_it_is_stale():
-    async with Place(**{"fresh-ms": 200.0}) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A, subject="s1")
-        await caller.ask(B, subject="s1")
-        await place.pool.finish(A, body=b"seen")
-        assert {(await caller.answer())[3], (await caller.answer())[3]} == {b"seen"}
+    async with ServerRig(**{"fresh-ms": 200.0}) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, subject="s1")
+        await client.ask(B, subject="s1")
+        await rig.pool.finish(A, body=b"seen")
+        assert {(await client.answer())[3], (await client.answer())[3]} == {b"seen"}
         await anyio.sleep(0.25)
-        await place.running(caller, C, subject="s1")
+        await rig.running(client, C, subject="s1")
 
 
 async def test_the_table_keeps_its_bound_and_a_result_that_was_let_go_is_never_run_again():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        place.node.idempotency_table.results.max_bytes = 10
-        for ident, key in ((A, "k1"), (B, "k2")):
-            await place.running(caller, ident, "book", opkey=key)
-            await place.pool.finish(ident, body=b"12345678")
-            await caller.answer()
-        await caller.ask(C, "book", opkey="k1", resent=1)
-        assert (await caller.answer())[:2] == (3, "error") and not place.pool.told("spawn", C)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.node.idempotency_table.results.max_bytes = 10
+        for request_id, key in ((A, "k1"), (B, "k2")):
+            await rig.running(client, request_id, "book", opkey=key)
+            await rig.pool.finish(request_id, body=b"12345678")
+            await client.answer()
+        await client.ask(C, "book", opkey="k1", resent=1)
+        assert (await client.answer())[:2] == (3, "error") and not rig.pool.told("spawn", C)
         assert (
-            place.node.idempotency_table.results.size_bytes == 8
-            and place.node.generation.settings.idempotency_record_kb >= 20
+            rig.node.idempotency_table.results.size_bytes == 8
+            and rig.node.generation.settings.idempotency_record_kb >= 20
         )
 
 
@@ -861,102 +868,102 @@
 
 
 async def test_a_drain_runs_what_came_in_time_dismisses_what_came_late_and_ends_clean():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        place.node.begin_shutdown()
-        await caller.send("STATUS", "90", "")
-        assert (await caller.answer())[:2] == (90, "sick")
-        await place.running(caller, B)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.begin_shutdown()
+        await client.send("STATUS", "90", "")
+        assert (await client.answer())[:2] == (90, "sick")
+        await rig.running(client, B)
         await anyio.sleep(0.25)
-        await caller.ask(C)
-        assert (await caller.answer())[:2] == (3, "later") and not place.pool.told("spawn", C)
-        await place.pool.finish(A)
-        await place.pool.finish(B)
-        assert [(await caller.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
-        await caller.stream.aclose()
-        await until(lambda: place.clean is True)
+        await client.ask(C)
+        assert (await client.answer())[:2] == (3, "later") and not rig.pool.told("spawn", C)
+        await rig.pool.finish(A)
+        await rig.pool.finish(B)
+        assert [(await client.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is True)
         with pytest.raises(OSError):
-            await place.caller()
+            await rig.caller()
 
 
 async def test_all_that_was_read_is_answered_before_the_kill():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.running(caller, B, "pay")
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B, "pay")
         begun = time.monotonic()
-        place.node.begin_shutdown()
-        answers = sorted([await caller.answer(), await caller.answer()])
+        rig.node.begin_shutdown()
+        answers = sorted([await client.answer(), await client.answer()])
         assert [word for _, word, _, _ in answers] == ["error", "error"] and time.monotonic() - begun < 0.7
-        await until(lambda: place.clean is True)
+        await wait_until(lambda: rig.clean is True)
         assert time.monotonic() - begun < 0.75
 
 
 @pytest.mark.parametrize("where", ("request_received", "timer_fired", "run_ended", "drain"))
 async def test_an_error_of_the_module_is_logged_and_all_that_was_read_is_answered(where, monkeypatch):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
 
         def broken(self, *values):
             raise RuntimeError("lost count")
 
         monkeypatch.setattr(AdmissionController, where, broken)
         if where == "request_received":
-            await caller.ask(B)
+            await client.ask(B)
         elif where == "run_ended":
-            await place.pool.finish(A)
+            await rig.pool.finish(A)
         elif where == "drain":
-            place.node.begin_shutdown()
-        words = {(await caller.answer())[1]}
+            rig.node.begin_shutdown()
+        words = {(await client.answer())[1]}
         if where == "request_received":
-            words.add((await caller.answer())[1])
-        assert words == {"error"} and place.node.phase is Phase.FAILED
-        await caller.send("STATUS", "91", "")
+            words.add((await client.answer())[1])
+        assert words == {"error"} and rig.node.phase is Phase.FAILED
+        await client.send("STATUS", "91", "")
         with anyio.move_on_after(1):
-            while (await caller.answer())[0] != 0:
+            while (await client.answer())[0] != 0:
                 pass
-        await caller.stream.aclose()
-        await until(lambda: place.clean is False)
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is False)
 
 
 async def test_an_error_on_a_connection_ends_it_alone_with_all_that_it_brought_answered(monkeypatch):
-    async with Place() as place:
-        await place.up()
-        caller, other = await place.caller(), await place.caller()
-        await place.running(caller, A)
-        await place.running(other, B)
+    async with ServerRig() as rig:
+        await rig.up()
+        client, other = await rig.caller(), await rig.caller()
+        await rig.running(client, A)
+        await rig.running(other, B)
         monkeypatch.setattr(tagged_requests, "decode_request", lambda *values: 1 / 0)
-        await caller.ask(C)
-        assert (await caller.answer())[:2] == (2, "error")
-        for ident, each in ((A, caller), (B, other)):
-            await place.pool.finish(ident)
+        await client.ask(C)
+        assert (await client.answer())[:2] == (2, "error")
+        for request_id, each in ((A, client), (B, other)):
+            await rig.pool.finish(request_id)
             assert (await each.answer())[:2] == (1, "done")
-        assert await caller.ended() and place.node.phase is Phase.SERVING
+        assert await client.ended() and rig.node.phase is Phase.SERVING
 
 
 async def test_an_error_in_the_life_of_a_transaction_ends_the_server_in_the_open(monkeypatch):
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.running(caller, B)
-        monkeypatch.setattr(place.node.idempotency_table, "finish", lambda *values: 1 / 0)
-        await place.pool.finish(A)
-        assert sorted([(await caller.answer())[:2], (await caller.answer())[:2]]) == [(1, "done"), (2, "error")]
-        await caller.stream.aclose()
-        await until(lambda: place.clean is False)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B)
+        monkeypatch.setattr(rig.node.idempotency_table, "finish", lambda *values: 1 / 0)
+        await rig.pool.finish(A)
+        assert sorted([(await client.answer())[:2], (await client.answer())[:2]]) == [(1, "done"), (2, "error")]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is False)
 
 
 @pytest.mark.parametrize("notice", (signal.SIGTERM, signal.SIGINT))
 async def test_the_program_serves_leaves_on_a_signal_and_writes_nothing(notice, tmp_path):
-    async with Place(elsewhere=True) as place:
-        place.pool.up.set()
+    async with ServerRig(in_subprocess=True) as rig:
+        rig.pool.up.set()
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
         file = tmp_path / "config.json"
-        file.write_text(json.dumps({**place.config, "listen": f"127.0.0.1:{port}"}))
+        file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{port}"}))
         environment = {**os.environ, "ROUTER_CONFIG": str(file)}
         with subprocess.Popen(
             [sys.executable, "-B", "-m", "nickelslip.server", "serve"],
@@ -966,26 +973,26 @@
         ) as process:
             try:
                 status = pathlib.Path(f"/proc/{process.pid}/status")
-                await until(lambda: int(status.read_text().split("SigBlk:")[1].split()[0], 16) & 1)
+                await wait_until(lambda: int(status.read_text().split("SigBlk:")[1].split()[0], 16) & 1)
                 process.send_signal(signal.SIGHUP)  # most of the program has not been read yet
-                place.port = port
-                caller = None
+                rig.port = port
+                client = None
                 with anyio.fail_after(10):
-                    while caller is None:
+                    while client is None:
                         try:
-                            caller = await place.caller()
+                            client = await rig.caller()
                         except OSError:
                             await anyio.sleep(0.02)
-                await until(lambda: place.pool.polls)
+                await wait_until(lambda: rig.pool.polls)
                 file.write_text("{")
                 process.send_signal(signal.SIGHUP)
-                await place.running(caller, A)
+                await rig.running(client, A)
                 process.send_signal(notice)
                 process.send_signal(signal.SIGHUP)
-                await place.pool.finish(A)
-                assert [(await caller.answer())[1] for _ in range(2)] == ["done", "closing"]
-                await caller.stream.aclose()
-                await until(lambda: process.poll() is not None)
+                await rig.pool.finish(A)
+                assert [(await client.answer())[1] for _ in range(2)] == ["done", "closing"]
+                await client.stream.aclose()
+                await wait_until(lambda: process.poll() is not None)
                 assert process.returncode == 0
                 lines = [json.loads(line) for line in process.stdout.read().splitlines()]
                 assert any("not JSON" in line.get("error", "") for line in lines)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,7 +9,10 @@
 
 from nickelslip.server import load_balancer_listener, resp
 from nickelslip.server.lifecycle import Phase
-from tests.helpers import A, B, Peer, Place, asking, until
+from tests.support.load_balancer_client import RawClient, encode_request
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
 STATUS = resp.message(b"STATUS", b"1")
@@ -21,14 +24,12 @@
     return "asyncio", {"use_uvloop": True}
 
 
-async def ready(place: Place) -> Peer:
+async def ready(rig: ServerRig) -> RawClient:
     """One that has asked once, has not read what it was answered, and rests."""
-    peer = Peer(place.port)
+    peer = RawClient(rig.port)
     peer.send(STATUS)
-    await until(
-        lambda: any(
-            each.has_sent_complete_message and each.is_idle for each in place.node.listeners[0].table.connections
-        )
+    await wait_until(
+        lambda: any(each.has_sent_complete_message and each.is_idle for each in rig.node.listeners[0].table.connections)
     )
     return peer
 
@@ -53,7 +54,7 @@
             return self._real.accept()
         except BlockingIOError:
             if self.late.connect_ex(self._real.getsockname()) == 0:
-                self.late.sendall(asking(A))
+                self.late.sendall(encode_request(A))
             raise
 
     def __getattr__(self, name):
@@ -61,158 +62,158 @@
 
 
 async def test_who_knocks_between_the_last_look_and_the_shutting_is_refused_and_not_reset():
-    async with Place() as place:
-        await place.up()
-        front = place.node.listeners[0]
-        knocking = front._listener = Knocking(place.listener)
+    async with ServerRig() as rig:
+        await rig.up()
+        front = rig.node.listeners[0]
+        knocking = front._listener = Knocking(rig.listener)
         front.stop_accepting()
         with anyio.fail_after(5):
             await anyio.wait_writable(knocking.late)
         assert knocking.late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0, "it was let in, to be reset"
-        assert not place.pool.told("spawn", A)
+        assert not rig.pool.told("spawn", A)
         knocking.late.close()
 
 
 async def test_who_stands_at_the_door_when_it_is_shut_is_let_in():
-    async with Place() as place:
-        await place.up()
-        peer = Peer(place.port)
-        peer.send(asking(A))
-        place.node.listeners[0].stop_accepting()  # before the server can have looked
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        peer = RawClient(rig.port)
+        peer.send(encode_request(A))
+        rig.node.listeners[0].stop_accepting()  # before the server can have looked
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
         with pytest.raises(OSError):
-            Peer(place.port)
+            RawClient(rig.port)
 
 
 async def test_the_door_stays_open_for_the_grace_and_no_longer():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        place.node.begin_shutdown()
-        late = Peer(place.port)
-        late.send(asking(B))
-        await until(lambda: place.pool.told("spawn", B))
-        await until(lambda: place.listener.fileno() < 0)
-        assert place.node.phase is Phase.DRAINING  # both are still owed
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.begin_shutdown()
+        late = RawClient(rig.port)
+        late.send(encode_request(B))
+        await wait_until(lambda: rig.pool.told("spawn", B))
+        await wait_until(lambda: rig.listener.fileno() < 0)
+        assert rig.node.phase is Phase.DRAINING  # both are still owed
         with pytest.raises(OSError):
-            Peer(place.port)
-        for ident in (A, B):
-            await place.pool.finish(ident)
-        assert (await caller.answer())[:2] == (1, "done") and b"result" in await late.until(b"result")
+            RawClient(rig.port)
+        for request_id in (A, B):
+            await rig.pool.finish(request_id)
+        assert (await client.answer())[:2] == (1, "done") and b"result" in await late.until(b"result")
 
 
 # Those who rest until the server ends them
 
 
 async def test_those_who_rest_do_not_hold_up_the_end_and_keep_their_answers():
-    async with Place() as place:
-        await place.up()
-        rests, silent = await ready(place), Peer(place.port)
-        await until(lambda: len(place.node.listeners[0].table.connections) == 2)
+    async with ServerRig() as rig:
+        await rig.up()
+        rests, silent = await ready(rig), RawClient(rig.port)
+        await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 2)
         began = time.monotonic()
-        place.node.begin_shutdown()
+        rig.node.begin_shutdown()
         got = await rests.to_the_end()  # a plain end, with all that it was told
         assert b"healthy" in got and got.endswith(CLOSING) and await silent.to_the_end() == CLOSING
-        await until(lambda: place.clean is True)
+        await wait_until(lambda: rig.clean is True)
         assert time.monotonic() - began < 0.6  # the kill comes after 0.7 s
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_transaction_that_crosses_the_end_of_its_resting_connection(order, monkeypatch):
-    async with Place() as place:
-        await place.up()
-        peer, front = await ready(place), place.node.listeners[0]
+    async with ServerRig() as rig:
+        await rig.up()
+        peer, front = await ready(rig), rig.node.listeners[0]
         (connection,) = front.table.connections
         shut_down = connection.stream.shut_down
 
         def crossing(ending):
             if order == "after":
                 shut_down(ending)
-            peer.send(asking(A))
+            peer.send(encode_request(A))
             if order == "before":
                 shut_down(ending)
 
         part = connection.close_if_idle
 
         def parting(ending):
-            if order == "before" and not place.pool.seen_late:
-                place.pool.seen_late = True
-                peer.send(asking(A))  # the last moment before the server looks whether anything is owed
+            if order == "before" and not rig.pool.seen_late:
+                rig.pool.seen_late = True
+                peer.send(encode_request(A))  # the last moment before the server looks whether anything is owed
             return part(ending)
 
-        place.pool.seen_late = False
+        rig.pool.seen_late = False
         monkeypatch.setattr(connection, "close_if_idle", parting)
         if order == "after":
             monkeypatch.setattr(connection.stream, "shut_down", crossing)
-        place.node.begin_shutdown()
+        rig.node.begin_shutdown()
         got = await peer.to_the_end()
-        assert b"healthy" in got and not place.pool.told("spawn", A)
+        assert b"healthy" in got and not rig.pool.told("spawn", A)
         assert (b"later" in got) is (order == "before")  # read, it is answered; after the end, it is sent again
-        await until(lambda: place.clean is True)
+        await wait_until(lambda: rig.clean is True)
 
 
 async def test_half_a_message_is_waited_for_to_the_end_and_answered_when_it_is_whole():
-    async with Place() as place:
-        await place.up()
-        peer, whole = await ready(place), asking(A)
+    async with ServerRig() as rig:
+        await rig.up()
+        peer, whole = await ready(rig), encode_request(A)
         peer.send(whole[:30])
-        place.node.begin_shutdown()
+        rig.node.begin_shutdown()
         assert b"closing" in await peer.until(b"closing")
         with anyio.move_on_after(0.15):  # longer than what crosses a close may take
             await anyio.sleep(1)
         peer.send(whole[30:])  # it came to the machine in time, and is run
-        await until(lambda: place.pool.told("spawn", A))
-        await place.pool.finish(A)
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
         peer.sock.close()
-        await until(lambda: place.clean is True)
+        await wait_until(lambda: rig.clean is True)
 
 
 async def test_half_a_message_that_never_ends_is_cut_off_before_the_kill_with_a_plain_end():
-    async with Place() as place:
-        await place.up()
-        peer = await ready(place)
-        peer.send(asking(A)[:30])
+    async with ServerRig() as rig:
+        await rig.up()
+        peer = await ready(rig)
+        peer.send(encode_request(A)[:30])
         began = time.monotonic()
-        place.node.begin_shutdown()
+        rig.node.begin_shutdown()
         assert (await peer.to_the_end()).endswith(CLOSING)
-        await until(lambda: place.clean is True)
+        await wait_until(lambda: rig.clean is True)
         assert time.monotonic() - began < 0.7
 
 
 async def test_an_answer_that_its_caller_is_slow_to_read_is_not_cut_off_while_there_is_time():
-    async with Place(cpus=32, **{"memory-kb": 1e6}) as place:
-        caller = await (await place.up()).caller()
-        (connection,) = place.node.listeners[0].table.connections
-        sock = caller.stream.extra(anyio.abc.SocketAttribute.raw_socket)
+    async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
+        client = await (await rig.up()).caller()
+        (connection,) = rig.node.listeners[0].table.connections
+        sock = client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
         connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
         idents = [f"{number:016x}" for number in range(1, 32)]
-        for ident in idents:
-            await place.running(caller, ident)
-        for ident in idents:
-            await place.pool.finish(ident, body=bytes(4096))
-        await until(lambda: not connection.stream.all_sent and not connection.requests)
-        place.node.begin_shutdown()
-        await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
+        for request_id in idents:
+            await rig.running(client, request_id)
+        for request_id in idents:
+            await rig.pool.finish(request_id, body=bytes(4096))
+        await wait_until(lambda: not connection.stream.all_sent and not connection.requests)
+        rig.node.begin_shutdown()
+        await wait_until(lambda: rig.node.phase is Phase.SHUTTING_DOWN)
         with anyio.move_on_after(0.2):
             await anyio.sleep(1)
-        words = [(await caller.answer())[1] for _ in range(32)]
+        words = [(await client.answer())[1] for _ in range(32)]
         assert words == ["done"] * 31 + ["closing"]
 
 
 async def test_runs_that_nothing_ends_do_not_keep_the_server_to_the_kill_once_all_is_answered():
-    async with Place(**{"stop-mode": "silent"}) as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        await place.running(caller, B, "pay")
+    async with ServerRig(**{"stop-mode": "silent"}) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B, "pay")
         began = time.monotonic()
-        place.node.begin_shutdown()
-        assert [(await caller.answer())[1] for _ in range(3)] == ["error", "error", "closing"]
-        await caller.stream.aclose()
-        await until(lambda: place.clean is True)
+        rig.node.begin_shutdown()
+        assert [(await client.answer())[1] for _ in range(3)] == ["error", "error", "closing"]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is True)
         assert time.monotonic() - began < 0.7
 
 
@@ -220,38 +221,38 @@
 
 
 async def test_notices_that_come_while_the_server_leaves_change_nothing():
-    async with Place() as place:
-        caller = await (await place.up()).caller()
-        await place.running(caller, A)
-        place.node.begin_shutdown()
-        await place.move()  # the new worker pool goes on where the old one was
-        place.node.begin_shutdown()
-        await until(lambda: len(place.pool.binds()) == 1 and place.node.worker_pool.is_up)
-        await place.pool.finish(A)
-        assert [(await caller.answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
-        await caller.stream.aclose()
-        await until(lambda: place.clean is True)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.begin_shutdown()
+        await rig.move()  # the new worker pool goes on where the old one was
+        rig.node.begin_shutdown()
+        await wait_until(lambda: len(rig.pool.binds()) == 1 and rig.node.worker_pool.is_up)
+        await rig.pool.finish(A)
+        assert [(await client.answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is True)
 
 
 async def test_a_notice_while_the_worker_pool_is_not_up_answers_what_comes_and_ends():
-    async with Place() as place:
-        caller = await place.caller()
-        await caller.send("STATUS", "1", "")
-        assert (await caller.answer())[1] == "healthy"
-        place.node.begin_shutdown()
-        await caller.ask(A)
-        words = [(await caller.answer())[1] for _ in range(2)]
-        assert sorted(words) == ["closing", "error"] and place.node.phase is Phase.SHUTTING_DOWN
-        await caller.stream.aclose()
-        await until(lambda: place.clean is True)
+    async with ServerRig() as rig:
+        client = await rig.caller()
+        await client.send("STATUS", "1", "")
+        assert (await client.answer())[1] == "healthy"
+        rig.node.begin_shutdown()
+        await client.ask(A)
+        words = [(await client.answer())[1] for _ in range(2)]
+        assert sorted(words) == ["closing", "error"] and rig.node.phase is Phase.SHUTTING_DOWN
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is True)
 
 
 async def test_an_interrupted_leaving_still_ends(monkeypatch):
-    async with Place() as place:
-        await place.up()
-        await ready(place)
+    async with ServerRig() as rig:
+        await rig.up()
+        await ready(rig)
         monkeypatch.setattr(load_balancer_listener, "CLOSE_CROSSING_MS", 1e6)
-        place.node.begin_shutdown()
-        await until(lambda: place.node.phase is Phase.SHUTTING_DOWN)
-        place.node.task_group.cancel_scope.cancel()
-        await until(lambda: place.clean is not None)
+        rig.node.begin_shutdown()
+        await wait_until(lambda: rig.node.phase is Phase.SHUTTING_DOWN)
+        rig.node.task_group.cancel_scope.cancel()
+        await wait_until(lambda: rig.clean is not None)
