--- /dev/null
+++ b/tests/server/test_dependency_calls.py
@@ -0,0 +1,140 @@
+"""Calls of the records service: replies, retries, cancelled calls and lost connections."""
+
+from base64 import b64decode
+
+import anyio
+import pytest
+
+from nickelslip.server.buffer_pool import BUFFER_BYTES
+from nickelslip.server.close_reasons import CloseReason
+from tests.support.fake_worker_pool import CALL_BODY
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.mark.parametrize(("word", "body"), (("DONE", b"\r\nreply\x00"), ("DONE", b"")))
+async def test_a_call_carries_its_body_and_brings_the_reply_unchanged(word, body):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.calling(client, B)
+        await rig.records.reply(B, word, body + b"b")
+        await rig.records.reply("00000000000000ff", "DONE", b"of nobody", to=A)
+        await rig.records.reply(A, word, body)
+        await wait_until(lambda: rig.pool.told("supply", A) and rig.pool.told("supply", B))
+        assert b64decode(rig.pool.told("supply", A)[0]["body"]) == body
+        assert b64decode(rig.pool.told("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+
+
+@pytest.mark.parametrize(("word", "again"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
+async def test_a_single_use_call_is_repeated_only_if_it_never_ran(word, again):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.reply(A, word)
+        if again:
+            await wait_until(lambda: rig.records.seen.count(("OP", A, CALL_BODY)) == 2)
+        else:
+            assert (await client.answer())[:2] == (1, "error")
+            assert rig.records.seen.count(("OP", A, CALL_BODY)) == 1
+
+
+async def test_a_break_proves_nothing_and_a_refusal_proves_that_nothing_ran():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.cut()
+        assert (await client.answer())[:2] == (1, "error")
+        await rig.pool.finish(A, end="broken_off")
+        await rig.records.down()
+        await rig.running(client, B, "pay")
+        await rig.pool.block(B)
+        await anyio.sleep(0.05)
+        assert rig.node.requests  # refused, and tried again in its time
+        await rig.records.listen(rig._tasks, rig.records.port)
+        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
+
+
+async def test_a_call_after_the_end_of_its_connection_was_never_written_and_goes_out_on_the_next():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.records.reply(A, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.running(client, B, "pay")
+        rig.node.dependency_client._idle_connections[0]._stream.end_with(
+            CloseReason.RESET
+        )  # of which its reader has not heard
+        await rig.pool.block(B)
+        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
+        assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].answered
+
+
+async def test_a_call_that_is_given_up_is_told_and_its_late_reply_passed_over():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay", timeout=300)
+        assert (await client.answer())[:2] == (1, "error")
+        await wait_until(lambda: not rig.records.lines[A])  # which tells the service, and nothing can come late
+        await rig.running(client, B)
+        assert not rig.pool.told("supply", A)
+
+
+async def test_a_caller_gone_in_a_call_gives_the_call_up():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await client.send("NEVERMIND", "1")
+        await wait_until(lambda: not rig.records.lines[A])
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
+
+
+@pytest.mark.parametrize(
+    "text",
+    (
+        f"{A} DONE 3\r\nlonger\r\n",
+        f"{A} DONE 99999\r\n",
+        f"{A} DONE x\r\n",
+        f"{A} DONE\r\n",
+        f"{A} MAYBE\r\n",
+        "\r\n",
+        "x" * (BUFFER_BYTES + 1),
+    ),
+)
+async def test_a_reply_that_lies_costs_its_own_call_and_no_other(text):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, B, "pay")
+        await rig.calling(client, A, "pay")
+        await rig.records.lines[A].send(text.encode())
+        assert (await client.answer())[:2] == (2, "error")
+        await rig.records.reply(B, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", B))
+
+
+async def test_a_connection_that_may_be_closed_for_idleness_is_not_used_again():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.records.reply(A, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.calling(client, B)
+        assert rig.records.links == 1
+        await rig.records.reply(B, "DONE", b"")
+        await wait_until(lambda: rig.pool.told("supply", B))
+        await anyio.sleep(0.12)
+        await rig.calling(client, C)
+        assert rig.records.links == 2
+        await rig.records.reply(C, "DONE", b"")
+        await rig.records.reply(C, "DONE", b"")  # a second copy, which the next call is not to meet
+        await wait_until(lambda: rig.pool.told("supply", C))
+        await rig.pool.block(C)
+        await wait_until(lambda: rig.records.seen.count(("OP", C, CALL_BODY)) == 2)
+        await anyio.sleep(0.02)
+        assert rig.records.links == 3 and len(rig.pool.told("supply", C)) == 1
--- /dev/null
+++ b/tests/server/test_drain_and_signals.py
@@ -0,0 +1,100 @@
+"""The drain, and the signals that the program handles."""
+
+import json
+import os
+import pathlib
+import signal
+import socket
+import subprocess
+import sys
+import time
+
+import anyio
+import pytest
+
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+async def test_a_drain_runs_what_came_in_time_dismisses_what_came_late_and_ends_clean():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.begin_shutdown()
+        await client.send("STATUS", "90", "")
+        assert (await client.answer())[:2] == (90, "sick")
+        await rig.running(client, B)
+        await anyio.sleep(0.25)
+        await client.ask(C)
+        assert (await client.answer())[:2] == (3, "later") and not rig.pool.told("spawn", C)
+        await rig.pool.finish(A)
+        await rig.pool.finish(B)
+        assert [(await client.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is True)
+        with pytest.raises(OSError):
+            await rig.caller()
+
+
+async def test_all_that_was_read_is_answered_before_the_kill():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B, "pay")
+        begun = time.monotonic()
+        rig.node.begin_shutdown()
+        answers = sorted([await client.answer(), await client.answer()])
+        assert [word for _, word, _, _ in answers] == ["error", "error"] and time.monotonic() - begun < 0.7
+        await wait_until(lambda: rig.clean is True)
+        assert time.monotonic() - begun < 0.75
+
+
+@pytest.mark.parametrize("notice", (signal.SIGTERM, signal.SIGINT))
+async def test_the_program_serves_leaves_on_a_signal_and_writes_nothing(notice, tmp_path):
+    async with ServerRig(in_subprocess=True) as rig:
+        rig.pool.up.set()
+        with socket.socket() as probe:
+            probe.bind(("127.0.0.1", 0))
+            port = probe.getsockname()[1]
+        file = tmp_path / "config.json"
+        file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{port}"}))
+        environment = {**os.environ, "ROUTER_CONFIG": str(file)}
+        with subprocess.Popen(
+            [sys.executable, "-B", "-m", "nickelslip.server", "serve"],
+            env=environment,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        ) as process:
+            try:
+                status = pathlib.Path(f"/proc/{process.pid}/status")
+                await wait_until(lambda: int(status.read_text().split("SigBlk:")[1].split()[0], 16) & 1)
+                process.send_signal(signal.SIGHUP)  # most of the program has not been read yet
+                rig.port = port
+                client = None
+                with anyio.fail_after(10):
+                    while client is None:
+                        try:
+                            client = await rig.caller()
+                        except OSError:
+                            await anyio.sleep(0.02)
+                await wait_until(lambda: rig.pool.polls)
+                file.write_text("{")
+                process.send_signal(signal.SIGHUP)
+                await rig.running(client, A)
+                process.send_signal(notice)
+                process.send_signal(signal.SIGHUP)
+                await rig.pool.finish(A)
+                assert [(await client.answer())[1] for _ in range(2)] == ["done", "closing"]
+                await client.stream.aclose()
+                await wait_until(lambda: process.poll() is not None)
+                assert process.returncode == 0
+                lines = [json.loads(line) for line in process.stdout.read().splitlines()]
+                assert any("not JSON" in line.get("error", "") for line in lines)
+                phases = [line.get("phase") for line in lines if line["event"] == "phase_changed"]
+                assert [phase for phase in phases if phase] == ["SERVING", "DRAINING", "SHUTTING_DOWN"]
+            finally:
+                process.kill()
+        assert os.listdir(tmp_path) == ["config.json"]
--- /dev/null
+++ b/tests/server/test_failures.py
@@ -0,0 +1,68 @@
+"""Errors inside the server: what they end, and what is answered all the same."""
+
+import anyio
+import pytest
+
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.server import tagged_requests
+from nickelslip.server.lifecycle import Phase
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.mark.parametrize("where", ("request_received", "timer_fired", "run_ended", "drain"))
+async def test_an_error_of_the_module_is_logged_and_all_that_was_read_is_answered(where, monkeypatch):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+
+        def broken(self, *values):
+            raise RuntimeError("lost count")
+
+        monkeypatch.setattr(AdmissionController, where, broken)
+        if where == "request_received":
+            await client.ask(B)
+        elif where == "run_ended":
+            await rig.pool.finish(A)
+        elif where == "drain":
+            rig.node.begin_shutdown()
+        words = {(await client.answer())[1]}
+        if where == "request_received":
+            words.add((await client.answer())[1])
+        assert words == {"error"} and rig.node.phase is Phase.FAILED
+        await client.send("STATUS", "91", "")
+        with anyio.move_on_after(1):
+            while (await client.answer())[0] != 0:
+                pass
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is False)
+
+
+async def test_an_error_on_a_connection_ends_it_alone_with_all_that_it_brought_answered(monkeypatch):
+    async with ServerRig() as rig:
+        await rig.up()
+        client, other = await rig.caller(), await rig.caller()
+        await rig.running(client, A)
+        await rig.running(other, B)
+        monkeypatch.setattr(tagged_requests, "decode_request", lambda *values: 1 / 0)
+        await client.ask(C)
+        assert (await client.answer())[:2] == (2, "error")
+        for request_id, each in ((A, client), (B, other)):
+            await rig.pool.finish(request_id)
+            assert (await each.answer())[:2] == (1, "done")
+        assert await client.ended() and rig.node.phase is Phase.SERVING
+
+
+async def test_an_error_in_the_life_of_a_transaction_ends_the_server_in_the_open(monkeypatch):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B)
+        monkeypatch.setattr(rig.node.idempotency_table, "finish", lambda *values: 1 / 0)
+        await rig.pool.finish(A)
+        assert sorted([(await client.answer())[:2], (await client.answer())[:2]]) == [(1, "done"), (2, "error")]
+        await client.stream.aclose()
+        await wait_until(lambda: rig.clean is False)
--- /dev/null
+++ b/tests/server/test_idempotency.py
@@ -0,0 +1,61 @@
+"""The idempotency table: requests that repeat an earlier one, and responses that are kept."""
+
+import anyio
+import pytest
+
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+async def test_a_repeat_of_a_referenced_transaction_joins_and_later_gets_what_was_kept():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1")
+        await client.ask(B, "book", opkey="k1", resent=1)
+        await wait_until(lambda: len(rig.node.requests) == 2)
+        await rig.pool.finish(A, body=b"once")
+        assert sorted([await client.answer(), await client.answer()])[1][1::2] == ("done", b"once")
+        await client.ask(C, "book", opkey="k1", resent=1)
+        assert (await client.answer())[1::2] == ("done", b"once")
+        await rig.running(client, "00000000000000d4", "book", opkey="k2")
+        assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
+
+
+async def test_a_repeat_of_one_that_came_to_nothing_fails_and_is_not_run():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "book", opkey="k1")
+        await rig.pool.finish(A, end="fault")
+        assert (await client.answer())[1] == "error"
+        await client.ask(B, "book", opkey="k1", resent=1)
+        assert (await client.answer())[:2] == (2, "error") and not rig.pool.told("spawn", B)
+
+
+async def test_a_read_of_the_same_subject_is_answered_from_a_fresh_result_and_run_when_it_is_stale():
+    async with ServerRig(**{"fresh-ms": 200.0}) as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, subject="s1")
+        await client.ask(B, subject="s1")
+        await rig.pool.finish(A, body=b"seen")
+        assert {(await client.answer())[3], (await client.answer())[3]} == {b"seen"}
+        await anyio.sleep(0.25)
+        await rig.running(client, C, subject="s1")
+
+
+async def test_the_table_keeps_its_bound_and_a_result_that_was_let_go_is_never_run_again():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.node.idempotency_table.results.max_bytes = 10
+        for request_id, key in ((A, "k1"), (B, "k2")):
+            await rig.running(client, request_id, "book", opkey=key)
+            await rig.pool.finish(request_id, body=b"12345678")
+            await client.answer()
+        await client.ask(C, "book", opkey="k1", resent=1)
+        assert (await client.answer())[:2] == (3, "error") and not rig.pool.told("spawn", C)
+        assert (
+            rig.node.idempotency_table.results.size_bytes == 8
+            and rig.node.generation.settings.idempotency_record_kb >= 20
+        )
--- /dev/null
+++ b/tests/server/test_load_balancer_connections.py
@@ -0,0 +1,159 @@
+"""Load balancers' connections: which of them are closed, when, and what is answered before."""
+
+import asyncio
+import errno
+import socket
+from contextlib import ExitStack, suppress
+
+import anyio
+import pytest
+
+from nickelslip.server import load_balancer_connection, resp
+from tests.support.failing_listener import FailingListener
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.mark.parametrize(
+    "text",
+    (
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*2\r\n$6\r\nSTATUS\r\n$1\r\n0\r\n",
+        b"*2\r\n$6\r\nSTATUS\r\n$2\r\n-1\r\n",
+        b"*1\r\n$6\r\nSTATUS\r\n",
+        resp.message(b"STATUS", b"1"),
+        b"*1\r\n$20000\r\n",
+    ),
+)
+async def test_where_the_stream_is_lost_that_connection_alone_ends_with_all_answered(text):
+    async with ServerRig() as rig:
+        await rig.up()
+        client, other = await rig.caller(), await rig.caller()
+        await rig.running(client, A)
+        await rig.running(other, B)
+        await client.stream.send(text)  # among them a tag in use
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and await client.ended()
+        await rig.pool.finish(B)
+        assert (await other.answer())[:2] == (1, "done")
+
+
+async def test_a_connection_that_ends_with_more_unread_is_not_reset_under_its_answers():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await client.stream.send(b"nonsense\r\n" * 20_000)  # more than is read before the stream is given up
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+        with pytest.raises(anyio.EndOfStream):  # and not a broken resource
+            await client.stream.receive()
+
+
+async def test_idle_connections_are_told_to_close_and_what_crosses_is_answered():
+    async with ServerRig() as rig:
+        await rig.up()
+        idle, busy = await rig.caller(), await rig.caller()
+        await rig.running(busy, A)
+        rig.node.advertised.idle_connection_timeout_ms = 50.0
+        assert await idle.answer() == (0, "closing", {}, b"")
+        await rig.running(idle, B)
+        await rig.pool.finish(B)
+        assert (await idle.answer())[:2] == (1, "done")
+        await rig.pool.finish(A)
+        assert (await busy.answer())[:2] == (1, "done")
+
+
+async def test_the_listener_survives_running_out_of_descriptors():
+    async with ServerRig() as rig:
+        await rig.up()
+        listener = rig.node.listeners[0]._listener = FailingListener(
+            rig.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE
+        )
+        client = await rig.caller()
+        await client.send("STATUS", "1", "")
+        assert (await client.answer())[1] == "healthy" and listener.accepts >= 4
+
+
+async def test_where_places_run_short_the_silent_go_first_then_the_idle_and_never_one_with_work_open():
+    async with ServerRig(cpus=32) as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=3)
+        busy, silent, idle = [await rig.caller() for _ in range(3)]
+        await rig.running(busy, A)
+        await idle.send("STATUS", "1", "")
+        assert (await idle.answer())[1] == "healthy"
+        others = []
+        for gone, request_id in ((silent, B), (idle, C)):
+            others.append(await rig.caller())
+            await rig.running(others[-1], request_id)
+            assert await gone.ended()
+        with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):  # all are busy
+            late = await rig.caller()
+            await late.send("STATUS", "1", "")
+            await late.answer()
+        await rig.pool.finish(A)
+        assert (await busy.answer())[:2] == (1, "done")
+
+
+async def test_one_that_does_not_read_its_answers_holds_up_nothing_and_is_ended(monkeypatch):
+    async with ServerRig(cpus=32) as rig:
+        await rig.up()
+        rig.node.stall_ms = 300.0
+        with socket.socket() as deaf:
+            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            deaf.connect(("127.0.0.1", rig.port))
+            deaf.setblocking(False)
+            flood, sent = resp.message(b"STATUS", b"1") * 200, 0
+            with anyio.move_on_after(2):
+                while sent < 60_000_000:
+                    try:
+                        sent += deaf.send(flood)
+                    except BlockingIOError:
+                        await anyio.sleep(0.005)
+                    except OSError:
+                        break
+            other = await rig.caller()
+            await other.send("STATUS", "1", "")
+            assert (await other.answer())[1] == "healthy"
+            await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1)
+        assert rig.node.buffers._unallocated_count > 900
+
+
+async def test_a_flood_of_the_silent_does_not_crowd_out_one_that_has_just_asked():
+    async with ServerRig() as rig:
+        await rig.up()
+        rig.set_descriptor_shares(balancers=20)
+        with ExitStack() as flood:  # all of it stands at the door before the server can have looked
+            encode_request = flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
+            encode_request.sendall(resp.message(b"STATUS", b"1"))
+            for _ in range(100):
+                flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
+            encode_request.setblocking(False)
+            with anyio.fail_after(3):
+                assert b"healthy" in await asyncio.get_running_loop().sock_recv(encode_request, 100)
+
+
+@pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
+async def test_a_first_message_and_the_rest_of_one_are_waited_for_only_so_long(begun, monkeypatch):
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
+    monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
+    async with ServerRig() as rig:
+        await rig.up()
+        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
+        client, held = await rig.caller(), await rig.caller()
+        await held.send("STATUS", "1", "")
+        await client.stream.send(begun)
+        with anyio.move_on_after(0.1):  # a byte now and then is no message
+            while begun:
+                await anyio.sleep(0.02)
+                await client.stream.send(b"x" if begun.endswith(b"A") else b"")
+        with suppress(anyio.EndOfStream):
+            await client.answer()
+            assert await client.ended()
+        await anyio.sleep(0.1)
+        assert (await held.answer())[1] == "healthy"  # one that asked once may hold its connection
+        await held.send("STATUS", "2", "")
+        assert (await held.answer())[1] == "healthy"
--- /dev/null
+++ b/tests/server/test_requests_and_answers.py
@@ -0,0 +1,244 @@
+"""Requests and their answers: what is decoded, run and answered, and what is rejected or fails."""
+
+import asyncio
+import gc
+import socket
+import time
+from base64 import b64decode
+from contextlib import suppress
+
+import anyio
+import pytest
+
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.server import load_balancer_connection, resp
+from tests.support.request_ids import A, B
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+async def test_a_transaction_is_run_and_answered_with_the_result_unchanged():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        body = bytes(range(256)) * 8
+        await rig.running(client, A, body=body)
+        assert rig.pool.told("spawn", A)[0]["class"] == "read"
+        assert b64decode(rig.pool.told("spawn", A)[0]["body"]) == body
+        await rig.pool.finish(A, body=body * 2)
+        tag, word, fields, result = await client.answer()
+        assert (tag, word, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
+
+
+async def test_messages_split_at_any_byte_and_many_in_one_read():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        for byte in resp.message(b"STATUS", b"7", b""):
+            await client.stream.send(bytes([byte]))
+        assert (await client.answer())[:2] == (7, "healthy")
+        await client.stream.send(b"".join(resp.message(b"STATUS", b"%d" % tag) for tag in range(1, 200)))
+        assert [(await client.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
+
+
+async def test_32_are_open_at_once_and_answered_in_any_order_and_one_more_fails():
+    async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
+        client = await (await rig.up()).caller()
+        idents = [f"{number:016x}" for number in range(1, 34)]
+        for request_id in idents:
+            await client.ask(request_id)
+        assert (await client.answer())[:2] == (33, "error")
+        await wait_until(lambda: all(rig.pool.told("spawn", request_id) for request_id in idents[:32]))
+        for request_id in reversed(idents[:32]):
+            await rig.pool.finish(request_id, body=request_id.encode())
+        answers = [await client.answer() for _ in range(32)]
+        assert [(tag, body.decode()) for tag, _, _, body in answers] == [
+            (number, idents[number - 1]) for number in range(32, 0, -1)
+        ]
+
+
+async def test_what_the_fields_say_reaches_the_module(monkeypatch):
+    seen = []
+    read = AdmissionController.request_received
+    monkeypatch.setattr(
+        AdmissionController,
+        "request_received",
+        lambda self, now, arrival: seen.append((now, arrival)) or read(self, now, arrival),
+    )
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        ts = int(time.time() * 1000) - 40
+        await client.ask(A, ts=ts, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
+        await wait_until(lambda: seen)
+        now, arrival = seen[0]
+        assert abs(arrival.deadline_at_ms - ts - 480) < 1e-6 and abs(arrival.read_delay_ms - (now - ts)) < 0.5
+        assert (arrival.is_retry, arrival.client, arrival.memory_kb, arrival.tenant) == (True, 9, 12.5, "acme")
+        assert arrival.has_key
+        await client.ask(B, ts=ts + 540)
+        await wait_until(lambda: len(seen) == 2)
+        assert seen[1][1].read_delay_ms == 0 and not seen[1][1].is_retry and not seen[1][1].has_key
+
+
+async def test_a_dismissal_says_when_to_come_back_and_the_weight_rides_on_all_answers():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        for number in range(1, 31):
+            await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
+        answers = [await client.answer() for _ in range(30)]
+        dismissed = [fields for _, word, fields, _ in answers if word == "later"]
+        assert dismissed and all(0 < float(fields["holdoff"]) <= 1000 for fields in dismissed if "holdoff" in fields)
+        assert all(fields.get("nomore", "1") == "1" for fields in dismissed)
+        assert not any({"holdoff", "nomore"} & set(fields) for _, word, fields, _ in answers if word != "later")
+        await wait_until(lambda: rig.node.advertised_weight is not None)
+        await client.send("STATUS", "900", "")
+        assert float((await client.answer())[2]["signal"]) < 1
+
+
+async def test_checks_are_answered_before_the_worker_pool_is_up_and_reports_go_out_from_then_on():
+    async with ServerRig() as rig:
+        client = await rig.caller()
+        await client.send("STATUS", "1", "")
+        assert (await client.answer())[:2] == (1, "healthy")
+        await client.ask(A)
+        assert (await client.answer())[1] == "error"  # none should come yet, but what comes is answered
+        await anyio.sleep(0.6)
+        assert not rig.reports  # the list would name a server that can do nothing
+        await rig.up()
+        await wait_until(lambda: rig.reports.count("PULSE n1 open") > 3, 2.5)  # since some of them get lost
+        rig.node.begin_shutdown()
+        await wait_until(lambda: rig.reports.count("PULSE n1 closed") > 1, 0.3)  # a change is told at once, and again
+
+
+@pytest.mark.parametrize(
+    "bad",
+    (
+        {"req": "12"},
+        {"req": "z" * 16},
+        {"without": "req"},
+        {"without": "ts"},
+        {"ts": "soon"},
+        {"ts": 1},
+        {"ts": int(time.time() * 1000) + 60_000},
+        {"need": 0},
+        {"need": 2000},
+        {"without": "need"},
+        {"level": 1.0},
+        {"level": -0.1},
+        {"owner": "nobody"},
+        {"without": "owner"},
+        {"timeout": -5},
+        {"timeout": "nan"},
+        {"via": "x"},
+        {"resent": 2},
+        {"class_name": "unknown"},
+        {"body": bytes(2049)},
+        {"via": "4,via=5"},
+    ),
+)
+async def test_a_bad_field_gets_one_failure_and_all_else_goes_on(bad):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await client.ask(bad.pop("req", A), **bad)
+        assert (await client.answer())[:2] == (1, "error")
+        await client.ask(B, class_name="read")
+        await wait_until(lambda: rig.pool.told("spawn", B))
+        await rig.pool.finish(B)
+        assert (await client.answer())[:2] == (2, "done") and not rig.pool.told("spawn", A)
+
+
+async def test_an_unknown_verb_and_an_id_in_hand_get_one_failure_each():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await client.send("DANCE", "5", "x")
+        assert (await client.answer())[:2] == (5, "error")
+        await rig.running(client, A)
+        await client.ask(A)
+        assert (await client.answer())[:2] == (2, "error")
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and len(rig.pool.told("spawn", A)) == 1
+
+
+@pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
+async def test_a_caller_that_gives_up_is_told_once_and_its_run_goes_on_counting(how, monkeypatch):
+    gone = []
+    tell = AdmissionController.client_disconnected
+    monkeypatch.setattr(
+        AdmissionController,
+        "client_disconnected",
+        lambda self, now, request_id: gone.append(request_id) or tell(self, now, request_id),
+    )
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        if how == "nevermind":
+            await client.send("NEVERMIND", "1")
+            await client.send("NEVERMIND", "1")
+        elif how == "reset":
+            client.stream.extra(anyio.abc.SocketAttribute.raw_socket).setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0"
+            )
+            await anyio.aclose_forcefully(client.stream)
+        else:
+            await client.stream.aclose()
+        await wait_until(lambda: rig.pool.told("suspend", A))
+        assert len(rig.node.requests) == 1
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: not rig.node.requests)
+        assert gone == [int(A, 16)]
+
+
+async def test_what_came_while_the_server_stood_still_is_not_late(monkeypatch):
+    monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
+    async with ServerRig() as rig:
+        await rig.up()
+        with socket.create_connection(("127.0.0.1", rig.port)) as there:
+            there.sendall(resp.message(b"STATUS", b"1"))  # before the server can have looked
+            there.setblocking(False)
+            assert b"healthy" in await asyncio.get_running_loop().sock_recv(there, 100)
+
+
+async def test_what_is_too_large_is_refused_by_its_first_parts_and_the_flood_is_not_read_to_its_end():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.pool.finish(A)
+        await client.answer()
+        await client.stream.send(
+            resp.message(b"ASK", b"9", b"read", b"req=1")[:-1].replace(b"*4", b"*5") + b"\n$60000000\r\n"
+        )
+        assert (await client.answer())[:2] == (9, "error")
+        sent, flood = 0, bytes(1 << 16)
+        with suppress(anyio.BrokenResourceError), anyio.fail_after(3):
+            while True:
+                await client.stream.send(flood)
+                sent += len(flood)
+        assert sent < 30_000_000
+
+
+async def test_nothing_but_faults_ends_the_connection():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
+            await client.ask("bad")
+        for tag in range(1, load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 2):
+            assert (await client.answer())[:2] == (tag, "error")
+        assert await client.ended()
+
+
+async def test_nothing_is_left_of_transactions_that_are_over():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        client.tag, sizes = 0, []
+        for number in range(1, 601):
+            request_id = f"{number:016x}"
+            tag = await rig.running(client, request_id, body=bytes(2048))
+            await rig.pool.finish(request_id, body=bytes(4096))
+            assert (await client.answer())[0] == tag
+            rig.pool.seen.clear()
+            rig.pool.notices.clear()
+            if number in (200, 600):
+                gc.collect()
+                sizes.append(len(gc.get_objects()))
+        await wait_until(lambda: not rig.node.requests)
+        assert sizes[1] - sizes[0] < 400  # one object for each transaction between would be too many
+        assert len(rig.node.buffers._free) < 4
--- /dev/null
+++ b/tests/server/test_worker_pool_link.py
@@ -0,0 +1,290 @@
+"""The link to the worker pool: broken, moved, late or silent."""
+
+import time
+
+import anyio
+import pytest
+
+from nickelslip.admission.controller import AdmissionController
+from nickelslip.server import worker_pool_connection
+from nickelslip.server.buffer_pool import BUFFER_BYTES
+from nickelslip.server.close_reasons import CloseReason
+from tests.support.fake_worker_pool import CALL_BODY
+from tests.support.request_ids import A, B, C
+from tests.support.server_rig import ServerRig
+from tests.support.waiting import wait_until
+
+pytestmark = pytest.mark.anyio
+
+
+async def test_a_link_that_breaks_is_resumed_by_the_last_notice_and_notices_count_once():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.running(client, B)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+        await rig.pool.cut()
+        await rig.pool.finish(B)  # while there is no link
+        assert (await client.answer())[:2] == (2, "done")
+        assert [each["seq"] for each in rig.pool.seen if each["op"] == "bind"] == [0, 1]
+        await rig.pool.say(**rig.pool.notices[0])
+        await rig.pool.finish("00000000000000ff")
+        await rig.pool.tell("chatter", A, end="hello")
+        await rig.pool.say(op="unknown", end="suspend", id=A)
+        await rig.running(client, C)
+        await rig.pool.finish(C)
+        assert (await client.answer())[:2] == (3, "done")
+        assert [len(rig.pool.told("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
+
+
+async def test_of_starts_lost_with_a_link_only_the_replayable_are_repeated():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False  # so that nothing proves that a command got there
+        await rig.running(client, A, "read")
+        await rig.running(client, B, "pay", timeout=600)
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        await wait_until(lambda: rig.node.worker_pool.is_up)
+        assert len(rig.pool.told("spawn", B)) == 1
+        assert (await client.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
+
+
+async def test_a_link_that_breaks_again_before_it_caught_up_keeps_what_is_doubtful_and_holds_up_nothing():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await rig.running(client, A)
+        await rig.pool.cut()
+        await wait_until(lambda: rig.pool.links == 2 and rig.node.worker_pool.is_up)
+        await rig.running(client, B)  # although no question is answered
+        assert len(rig.pool.told("spawn", A)) == 1
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2 and len(rig.pool.told("spawn", B)) == 2)
+        for tag, request_id in ((1, A), (2, B)):
+            await rig.pool.finish(request_id)
+            assert (await client.answer())[:2] == (tag, "done")
+
+
+async def test_a_command_after_the_end_of_its_link_was_never_written_and_goes_out_on_the_next():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        rig.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
+        await wait_until(lambda: rig.pool.told("supply", A))
+        assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
+
+
+async def test_commands_wait_while_there_is_no_link_and_a_late_worker_pool_is_waited_for():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        port = rig.pool.port
+        await rig.pool.down()
+        await client.ask(A)
+        await wait_until(lambda: rig.node.requests)
+        await anyio.sleep(0.1)
+        assert not rig.pool.told("spawn", A)
+        await rig.pool.listen(rig._tasks, port)
+        await wait_until(lambda: rig.pool.told("spawn", A))
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+
+
+async def test_new_addresses_are_taken_up_under_load_and_a_faulty_file_changes_nothing():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A, "pay")
+        await rig.running(client, B, "pay")
+        old_pool, old_records = rig.pool, rig.records
+        rig.node.reload()  # nothing new: the link stays
+        told = dict(rig.config)
+        rig.config["pool"] = "nowhere"
+        rig.node.reload()
+        rig.config = {**told, "stop_ms": 5}  # which needs a restart
+        await rig.move()
+        rig.pool.measures = False  # and at the new address nothing more is proven
+        await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
+        assert rig.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
+        assert rig.node.generation.config.stop_ms == 700
+        await rig.running(client, C, "pay")
+        assert not rig.pool.told("spawn", A) and not rig.pool.told("spawn", B)
+        await old_records.reply(A, "DONE", b"late")  # a call goes on where it went
+        await wait_until(lambda: rig.pool.told("supply", A))
+        await rig.pool.block(C)
+        await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.seen)
+        for tag, request_id in ((1, A), (2, B), (3, C)):
+            await rig.pool.finish(request_id)
+            assert (await client.answer())[:2] == (tag, "done")
+        rig.reports.clear()
+        await wait_until(lambda: rig.reports)
+
+
+async def test_a_move_that_is_taken_back_before_it_is_done_leaves_a_link_that_works():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        old, told = rig.pool, dict(rig.config)
+        old.measures = False  # so that the move waits for its proof
+        await rig.move()
+        await wait_until(lambda: rig.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
+        rig.pool, rig.config = old, told
+        rig.node.reload()
+        await client.ask(A)
+        await wait_until(lambda: old.told("spawn", A), 1.0)  # and not when the link is found to be silent
+        await old.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+
+
+async def test_new_addresses_are_taken_up_while_there_is_no_link_at_all():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.pool.down()
+        await client.ask(A)
+        await anyio.sleep(0.3)  # by now there are longer pauses between tries
+        begun = time.monotonic()
+        await rig.move()
+        first = rig.pool
+        await rig.move()
+        await wait_until(lambda: first.told("spawn", A) or rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.binds() and rig.node.worker_pool.is_up)
+        assert time.monotonic() - begun < 0.3
+        # both are addresses of one worker pool, whose runs they share: told at either, it is told there once
+        assert len(first.told("spawn", A)) + len(rig.pool.told("spawn", A)) == 1
+
+
+async def test_an_address_overtaken_just_as_its_connection_came_about_is_not_bound(monkeypatch):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        connect, overtaken = worker_pool_connection.connect, []
+
+        async def connect_and_be_overtaken(*values):
+            stream = await connect(*values)
+            if not overtaken:  # what would cancel the attempt comes when there is nothing left to cancel
+                overtaken.append(rig.pool)
+                rig.config["pool"] = f"127.0.0.1:{newest.port}"
+                rig.node.reload()
+            return stream
+
+        await rig.pool.down()
+        await client.ask(A)
+        newest = await rig.another_pool()
+        monkeypatch.setattr(worker_pool_connection, "connect", connect_and_be_overtaken)
+        await rig.move()
+        await wait_until(lambda: newest.told("spawn", A) and rig.node.worker_pool.is_up)
+        assert overtaken and not overtaken[0].binds()
+
+
+async def test_a_single_use_run_whose_start_was_lost_leaves_its_slot_when_it_has_been_answered():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await rig.running(client, A, "pay", timeout=200)
+        rig.pool.measures = True
+        await rig.pool.cut()  # and no run of it there will ever be
+        assert (await client.answer())[:2] == (1, "error")
+        await wait_until(lambda: not rig.node.requests)
+        assert len(rig.pool.told("spawn", A)) == 1
+
+
+async def test_a_reply_lost_with_a_link_starts_a_replayable_run_anew_and_no_other():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.calling(client, A)
+        await rig.calling(client, B, "pay")
+        rig.pool.measures = False
+        for request_id in (A, B):
+            await rig.records.reply(request_id, "DONE", b"")
+            await wait_until(lambda request_id=request_id: rig.pool.told("supply", request_id))
+        rig.pool.measures = True
+        await rig.pool.cut()
+        await wait_until(lambda: rig.pool.told("suspend", A))
+        await rig.pool.finish(A, end="broken_off")
+        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        assert not rig.pool.told("suspend", B) and len(rig.pool.told("supply", B)) == 1
+
+
+async def test_a_start_that_is_not_known_fails_and_a_run_in_error_is_forfeited():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A, "pay")
+        await rig.pool.say(op="unknown", end="spawn", id=A)
+        assert (await client.answer())[:2] == (1, "error")
+        await rig.running(client, B, "pay")
+        await rig.pool.finish(B, end="fault")
+        assert (await client.answer())[:2] == (2, "error")
+
+
+@pytest.mark.parametrize(
+    "line", (b"nonsense\n", b'{"op":"finished","seq":"x"}\n', b"[1]\n", b"x" * (3 * BUFFER_BYTES) + b"\n")
+)
+async def test_a_notice_that_cannot_be_read_is_passed_over(line):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        await rig.pool.stream.send(line)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
+
+
+async def test_gauges_reach_the_timer_and_it_goes_on_where_they_never_come(monkeypatch):
+    seen = []
+    timer = AdmissionController.timer_fired
+    monkeypatch.setattr(
+        AdmissionController,
+        "timer_fired",
+        lambda self, now, gauges: seen.append((now, gauges)) or timer(self, now, gauges),
+    )
+    async with ServerRig() as rig:
+        await rig.up()
+        await wait_until(
+            lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in seen)
+        )
+        rig.pool.measures = False
+        begun = len(seen)
+        await wait_until(lambda: len(seen) > begun + 3)
+        assert seen[-1][1].cpu_utilization is None
+        assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(seen, seen[1:], strict=False))
+
+
+async def test_a_wake_that_is_due_goes_before_what_happens_after_it(monkeypatch):
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        calls = []
+        for name in ("timer_fired", "call_requested"):
+            call = getattr(AdmissionController, name)
+            monkeypatch.setattr(
+                AdmissionController,
+                name,
+                lambda self, now, *values, name=name, call=call: calls.append(name) or call(self, now, *values),
+            )
+        rig.node.wake_schedule.wake_after(-1.0)
+        rig.node.request_reports.call_requested(rig.node.requests[int(A, 16)])
+        assert calls == ["timer_fired", "call_requested"]
+
+
+async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
+    monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        rig.pool.measures = False
+        await wait_until(lambda: rig.pool.links == 2)
+        rig.pool.measures = True
+        await rig.running(client, A)
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done")
+
+
+async def test_those_who_come_in_cannot_take_the_buffers_of_the_worker_pool():
+    async with ServerRig() as rig:
+        client = await (await rig.up()).caller()
+        await rig.running(client, A)
+        rig.node.buffers._unallocated_count = rig.node.buffers._reserved_count - len(rig.node.buffers._free)
+        other = await rig.caller()
+        await other.send("STATUS", "1", "")
+        assert await other.ended()
+        await rig.pool.finish(A)
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -14,12 +14,12 @@
 from nickelslip.server.buffer_pool import BUFFER_BYTES
 from nickelslip.server.records_connection import PooledConnection
 from nickelslip.server.request_events import CallReturned, RunFinished
+from tests.support.fake_worker_pool import CALL_BODY
 from tests.support.request_ids import A, B
 from tests.support.server_rig import ServerRig
 from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
-CALL = b"\r\ncall\x00"
 
 
 @pytest.fixture
@@ -173,5 +173,5 @@
         await wait_until(lambda: rig.node.requests[int(third, 16)].call.seq)
         assert not [seen for seen in rig.records.seen if seen[1] == third]
         await rig.records.reply(A, "DONE", b"reply")
-        await wait_until(lambda: ("OP", third, CALL) in rig.records.seen)  # it goes out as soon as there is one
+        await wait_until(lambda: ("OP", third, CALL_BODY) in rig.records.seen)  # it goes out as soon as there is one
         assert rig.records.links <= 3
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -6,6 +6,7 @@
 
 from nickelslip.admission.interface import Preemption
 from nickelslip.server import resp
+from tests.support.fake_worker_pool import CALL_BODY
 from tests.support.request_ids import A, B, C
 from tests.support.server_rig import ServerRig
 from tests.support.waiting import wait_until
@@ -63,7 +64,6 @@
             for request_id in (B, C):
                 await wait_until(
                     lambda request_id=request_id: (
-                        rig.pool.told("pass", request_id)
-                        or rig.records.seen.count(("OP", request_id, b"\r\ncall\x00")) > 1
+                        rig.pool.told("pass", request_id) or rig.records.seen.count(("OP", request_id, CALL_BODY)) > 1
                     )
                 )
