--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(("word", "body"), (("DONE", b"\r\nreply\x00"), ("DONE", b"")))
-async def test_a_call_carries_its_body_and_brings_the_reply_unchanged(word, body):
+async def test_a_call_carries_its_body_and_returns_the_reply_unchanged(word, body):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("word", "again"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
-async def test_a_single_use_call_is_repeated_only_if_it_never_ran(word, again):
+async def test_a_non_idempotent_call_is_retried_only_if_it_never_ran(word, again):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -44,7 +44,7 @@
             assert rig.records.seen.count(("OP", A, CALL_BODY)) == 1
 
 
-async def test_a_break_proves_nothing_and_a_refusal_proves_that_nothing_ran():
+async def test_a_broken_connection_proves_nothing_and_a_refused_one_proves_that_nothing_ran():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -60,7 +60,7 @@
         await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
 
 
-async def test_a_call_after_the_end_of_its_connection_was_never_written_and_goes_out_on_the_next():
+async def test_a_call_issued_after_its_connection_closed_is_sent_on_the_next_one():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -75,7 +75,7 @@
         assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].answered
 
 
-async def test_a_call_that_is_given_up_is_told_and_its_late_reply_passed_over():
+async def test_a_timed_out_call_is_cancelled_and_its_late_reply_skipped():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay", timeout=300)
@@ -85,7 +85,7 @@
         assert not rig.pool.told("supply", A)
 
 
-async def test_a_caller_gone_in_a_call_gives_the_call_up():
+async def test_a_client_that_disconnects_during_a_call_cancels_it():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
@@ -107,7 +107,7 @@
         "x" * (BUFFER_BYTES + 1),
     ),
 )
-async def test_a_reply_that_lies_costs_its_own_call_and_no_other(text):
+async def test_a_malformed_reply_fails_its_own_call_and_no_other(text):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, B, "pay")
@@ -118,7 +118,7 @@
         await wait_until(lambda: rig.pool.told("supply", B))
 
 
-async def test_a_connection_that_may_be_closed_for_idleness_is_not_used_again():
+async def test_a_pooled_connection_near_its_idle_timeout_is_not_reused():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -19,7 +19,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_drain_runs_what_came_in_time_dismisses_what_came_late_and_ends_clean():
+async def test_a_drain_runs_requests_within_the_grace_rejects_later_ones_and_ends_cleanly():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -39,7 +39,7 @@
             await rig.caller()
 
 
-async def test_all_that_was_read_is_answered_before_the_kill():
+async def test_all_requests_read_are_answered_before_the_kill():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("notice", (signal.SIGTERM, signal.SIGINT))
-async def test_the_program_serves_leaves_on_a_signal_and_writes_nothing(notice, tmp_path):
+async def test_the_program_serves_shuts_down_on_a_signal_and_writes_nothing(notice, tmp_path):
     async with ServerRig(in_subprocess=True) as rig:
         rig.pool.up.set()
         with socket.socket() as probe:
--- a/tests/server/test_failures.py
+++ b/tests/server/test_failures.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("where", ("request_received", "timer_fired", "run_ended", "drain"))
-async def test_an_error_of_the_module_is_logged_and_all_that_was_read_is_answered(where, monkeypatch):
+async def test_a_controller_error_is_logged_and_all_requests_read_are_answered(where, monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -41,7 +41,7 @@
         await wait_until(lambda: rig.clean is False)
 
 
-async def test_an_error_on_a_connection_ends_it_alone_with_all_that_it_brought_answered(monkeypatch):
+async def test_an_error_on_a_connection_closes_it_alone_with_its_requests_answered(monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
         client, other = await rig.caller(), await rig.caller()
@@ -56,7 +56,7 @@
         assert await client.ended() and rig.node.phase is Phase.SERVING
 
 
-async def test_an_error_in_the_life_of_a_transaction_ends_the_server_in_the_open(monkeypatch):
+async def test_an_error_in_a_request_lifecycle_stops_the_server_visibly(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -28,7 +28,7 @@
         b"*1\r\n$20000\r\n",
     ),
 )
-async def test_where_the_stream_is_lost_that_connection_alone_ends_with_all_answered(text):
+async def test_a_malformed_stream_closes_its_connection_alone_with_all_answered(text):
     async with ServerRig() as rig:
         await rig.up()
         client, other = await rig.caller(), await rig.caller()
@@ -41,7 +41,7 @@
         assert (await other.answer())[:2] == (1, "done")
 
 
-async def test_a_connection_that_ends_with_more_unread_is_not_reset_under_its_answers():
+async def test_a_connection_closed_with_unread_input_is_not_reset_before_its_answers_arrive():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -52,7 +52,7 @@
             await client.stream.receive()
 
 
-async def test_idle_connections_are_told_to_close_and_what_crosses_is_answered():
+async def test_idle_connections_are_asked_to_close_and_a_crossing_request_is_answered():
     async with ServerRig() as rig:
         await rig.up()
         idle, busy = await rig.caller(), await rig.caller()
@@ -77,7 +77,7 @@
         assert (await client.answer())[1] == "healthy" and listener.accepts >= 4
 
 
-async def test_where_places_run_short_the_silent_go_first_then_the_idle_and_never_one_with_work_open():
+async def test_connections_are_shed_silent_first_then_idle_and_never_with_open_requests():
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=3)
@@ -98,7 +98,7 @@
         assert (await busy.answer())[:2] == (1, "done")
 
 
-async def test_one_that_does_not_read_its_answers_holds_up_nothing_and_is_ended(monkeypatch):
+async def test_a_client_that_does_not_read_its_answers_blocks_nobody_and_is_closed(monkeypatch):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         rig.node.stall_ms = 300.0
@@ -122,7 +122,7 @@
         assert rig.node.buffers._unallocated_count > 900
 
 
-async def test_a_flood_of_the_silent_does_not_crowd_out_one_that_has_just_asked():
+async def test_a_flood_of_silent_connections_does_not_displace_one_that_has_just_asked():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=20)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
-async def test_a_first_message_and_the_rest_of_one_are_waited_for_only_so_long(begun, monkeypatch):
+async def test_the_first_message_and_the_rest_of_a_partial_one_have_a_timeout(begun, monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
     async with ServerRig() as rig:
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -19,7 +19,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_transaction_is_run_and_answered_with_the_result_unchanged():
+async def test_a_request_is_run_and_answered_with_the_result_unchanged():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         body = bytes(range(256)) * 8
@@ -31,7 +31,7 @@
         assert (tag, word, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
 
 
-async def test_messages_split_at_any_byte_and_many_in_one_read():
+async def test_messages_are_decoded_when_split_at_any_byte_and_when_many_come_in_one_read():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for byte in resp.message(b"STATUS", b"7", b""):
@@ -41,7 +41,7 @@
         assert [(await client.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
 
 
-async def test_32_are_open_at_once_and_answered_in_any_order_and_one_more_fails():
+async def test_32_requests_are_open_at_once_and_answered_in_any_order_and_one_more_fails():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
         client = await (await rig.up()).caller()
         idents = [f"{number:016x}" for number in range(1, 34)]
@@ -57,7 +57,7 @@
         ]
 
 
-async def test_what_the_fields_say_reaches_the_module(monkeypatch):
+async def test_request_fields_reach_the_controller(monkeypatch):
     seen = []
     read = AdmissionController.request_received
     monkeypatch.setattr(
@@ -79,7 +79,7 @@
         assert seen[1][1].read_delay_ms == 0 and not seen[1][1].is_retry and not seen[1][1].has_key
 
 
-async def test_a_dismissal_says_when_to_come_back_and_the_weight_rides_on_all_answers():
+async def test_a_rejection_carries_retry_after_and_all_answers_carry_the_advertised_weight():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for number in range(1, 31):
@@ -94,7 +94,7 @@
         assert float((await client.answer())[2]["signal"]) < 1
 
 
-async def test_checks_are_answered_before_the_worker_pool_is_up_and_reports_go_out_from_then_on():
+async def test_health_checks_are_answered_before_the_worker_pool_is_up_and_load_reports_start_then():
     async with ServerRig() as rig:
         client = await rig.caller()
         await client.send("STATUS", "1", "")
@@ -135,7 +135,7 @@
         {"via": "4,via=5"},
     ),
 )
-async def test_a_bad_field_gets_one_failure_and_all_else_goes_on(bad):
+async def test_a_malformed_field_fails_its_request_alone(bad):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.ask(bad.pop("req", A), **bad)
@@ -146,7 +146,7 @@
         assert (await client.answer())[:2] == (2, "done") and not rig.pool.told("spawn", A)
 
 
-async def test_an_unknown_verb_and_an_id_in_hand_get_one_failure_each():
+async def test_an_unknown_verb_and_a_duplicate_request_id_get_one_failure_each():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.send("DANCE", "5", "x")
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
-async def test_a_caller_that_gives_up_is_told_once_and_its_run_goes_on_counting(how, monkeypatch):
+async def test_a_client_that_cancels_is_reported_once_and_its_run_still_counts(how, monkeypatch):
     gone = []
     tell = AdmissionController.client_disconnected
     monkeypatch.setattr(
@@ -187,7 +187,7 @@
         assert gone == [int(A, 16)]
 
 
-async def test_what_came_while_the_server_stood_still_is_not_late(monkeypatch):
+async def test_a_first_message_that_came_while_the_server_stalled_is_not_late(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
     async with ServerRig() as rig:
         await rig.up()
@@ -197,7 +197,7 @@
             assert b"healthy" in await asyncio.get_running_loop().sock_recv(there, 100)
 
 
-async def test_what_is_too_large_is_refused_by_its_first_parts_and_the_flood_is_not_read_to_its_end():
+async def test_an_oversized_message_fails_by_its_first_parts_and_is_not_read_to_its_end():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -215,7 +215,7 @@
         assert sent < 30_000_000
 
 
-async def test_nothing_but_faults_ends_the_connection():
+async def test_a_connection_with_nothing_but_malformed_requests_is_closed():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
@@ -225,7 +225,7 @@
         assert await client.ended()
 
 
-async def test_nothing_is_left_of_transactions_that_are_over():
+async def test_nothing_is_left_of_requests_that_are_over():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         client.tag, sizes = 0, []
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_link_that_breaks_is_resumed_by_the_last_notice_and_notices_count_once():
+async def test_a_broken_link_resumes_after_the_last_notification_and_each_counts_once():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -38,7 +38,7 @@
         assert [len(rig.pool.told("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
 
 
-async def test_of_starts_lost_with_a_link_only_the_replayable_are_repeated():
+async def test_only_idempotent_starts_are_resent_after_a_broken_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.pool.measures = False  # so that nothing proves that a command got there
@@ -52,7 +52,7 @@
         assert (await client.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
 
 
-async def test_a_link_that_breaks_again_before_it_caught_up_keeps_what_is_doubtful_and_holds_up_nothing():
+async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_blocks_nothing():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.pool.measures = False
@@ -69,7 +69,7 @@
             assert (await client.answer())[:2] == (tag, "done")
 
 
-async def test_a_command_after_the_end_of_its_link_was_never_written_and_goes_out_on_the_next():
+async def test_a_command_issued_after_its_link_closed_is_sent_on_the_next_one():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -79,7 +79,7 @@
         assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
 
 
-async def test_commands_wait_while_there_is_no_link_and_a_late_worker_pool_is_waited_for():
+async def test_commands_wait_for_a_link_and_the_server_for_a_late_worker_pool():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         port = rig.pool.port
@@ -94,7 +94,7 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-async def test_new_addresses_are_taken_up_under_load_and_a_faulty_file_changes_nothing():
+async def test_new_addresses_are_adopted_under_load_and_an_invalid_file_changes_nothing():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -123,7 +123,7 @@
         await wait_until(lambda: rig.reports)
 
 
-async def test_a_move_that_is_taken_back_before_it_is_done_leaves_a_link_that_works():
+async def test_an_address_change_reverted_before_it_completes_leaves_a_working_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         old, told = rig.pool, dict(rig.config)
@@ -138,7 +138,7 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-async def test_new_addresses_are_taken_up_while_there_is_no_link_at_all():
+async def test_new_addresses_are_adopted_while_there_is_no_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.pool.down()
@@ -155,7 +155,7 @@
         assert len(first.told("spawn", A)) + len(rig.pool.told("spawn", A)) == 1
 
 
-async def test_an_address_overtaken_just_as_its_connection_came_about_is_not_bound(monkeypatch):
+async def test_an_address_superseded_just_as_its_connection_opened_is_not_bound(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         connect, overtaken = worker_pool_connection.connect, []
@@ -177,7 +177,7 @@
         assert overtaken and not overtaken[0].binds()
 
 
-async def test_a_single_use_run_whose_start_was_lost_leaves_its_slot_when_it_has_been_answered():
+async def test_a_non_idempotent_run_whose_start_was_lost_frees_its_slot_once_answered():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.pool.measures = False
@@ -189,7 +189,7 @@
         assert len(rig.pool.told("spawn", A)) == 1
 
 
-async def test_a_reply_lost_with_a_link_starts_a_replayable_run_anew_and_no_other():
+async def test_a_reply_lost_with_a_link_restarts_an_idempotent_run_and_no_other():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
@@ -206,7 +206,7 @@
         assert not rig.pool.told("suspend", B) and len(rig.pool.told("supply", B)) == 1
 
 
-async def test_a_start_that_is_not_known_fails_and_a_run_in_error_is_forfeited():
+async def test_an_unknown_start_and_a_run_in_error_fail_their_requests():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize(
     "line", (b"nonsense\n", b'{"op":"finished","seq":"x"}\n', b"[1]\n", b"x" * (3 * BUFFER_BYTES) + b"\n")
 )
-async def test_a_notice_that_cannot_be_read_is_passed_over(line):
+async def test_a_malformed_notification_is_skipped(line):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -229,7 +229,7 @@
         assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
 
 
-async def test_gauges_reach_the_timer_and_it_goes_on_where_they_never_come(monkeypatch):
+async def test_gauges_reach_the_control_timer_which_goes_on_without_them(monkeypatch):
     seen = []
     timer = AdmissionController.timer_fired
     monkeypatch.setattr(
@@ -249,7 +249,7 @@
         assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(seen, seen[1:], strict=False))
 
 
-async def test_a_wake_that_is_due_goes_before_what_happens_after_it(monkeypatch):
+async def test_a_due_timer_fires_before_later_events(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -266,7 +266,7 @@
         assert calls == ["timer_fired", "call_requested"]
 
 
-async def test_a_link_that_stands_and_says_nothing_is_given_up(monkeypatch):
+async def test_a_silent_link_is_closed(monkeypatch):
     monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
@@ -278,7 +278,7 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-async def test_those_who_come_in_cannot_take_the_buffers_of_the_worker_pool():
+async def test_load_balancer_connections_cannot_take_the_buffers_of_the_worker_pool():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -21,7 +21,7 @@
     return model
 
 
-def test_a_share_of_calls_that_was_cut_and_given_back_is_usable_at_once():
+def test_a_dependency_share_that_was_lowered_and_restored_is_usable_at_once():
     model = AdmissionModel(build_settings(dependency_concurrency_share=4.0, core_count=4))
     model.receive_request(1, READ)
     model.request_call(1)
@@ -39,7 +39,7 @@
     assert {2, 3} <= set(model.ids_in(Stage.CALL_IN_FLIGHT))
 
 
-def test_a_reserve_is_left_free_by_others_and_a_most_of_running_holds():
+def test_reserved_slots_stay_free_and_the_maximum_concurrency_holds():
     model = AdmissionModel(
         build_settings(
             core_count=4, traffic_classes=(READ, replace(PAY, reserved_slot_count=2), BOOK), max_concurrency=4
@@ -55,14 +55,14 @@
     assert model.ids_in(Stage.RUNNING) == [1, 2, 8, 9]
 
 
-def test_a_free_core_runs_what_is_read_and_a_full_server_holds_it():
+def test_a_free_core_runs_a_request_and_a_full_server_queues_it():
     model = busy_model()
     assert model.ids_in(Stage.RUNNING) == [1, 2]
     assert states(model.receive_request(3, READ)) == []
     assert states(model.end_run(1)) == [(3, RequestState.RUNNING)]
 
 
-def test_an_arrival_predicted_late_is_dismissed_at_once_and_cuts_the_weight_before_the_next():
+def test_a_request_predicted_late_is_rejected_at_once_and_lowers_the_weight_before_the_next():
     model = busy_model()
     request_id = 3
     while not model.receive_request(request_id, READ).state_changes:
@@ -80,7 +80,7 @@
     assert model.advertised_weights[-1] > 0.8
 
 
-def test_held_work_starts_by_credit_over_work_and_first_tries_first():
+def test_queued_requests_start_by_priority_weight_over_work_and_first_attempts_first():
     model = AdmissionModel()
     for request_id, traffic_class, is_retry in (
         (1, PAY, False),
@@ -93,14 +93,14 @@
     assert [states(model.end_run(request_id))[0][0] for request_id in (1, 2, 5)] == [5, 4, 3]
 
 
-def test_work_worth_far_more_does_not_wait_for_all_that_runs():
+def test_a_request_of_far_higher_priority_weight_does_not_wait_for_running_ones():
     model = busy_model()
     assert states(model.receive_request(3, READ)) == []
     assert states(model.receive_request(4, PAY)) == [(4, RequestState.RUNNING)]
     assert states(model.receive_request(5, PAY)) == []
 
 
-def test_in_a_storm_of_further_tries_a_first_one_of_lower_credit_starts_first():
+def test_in_a_retry_storm_a_first_attempt_of_lower_priority_weight_starts_first():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.0))
     for request_id in range(1, 13):
         model.receive_request(request_id, PAY, is_retry=True)
@@ -115,7 +115,7 @@
     assert states(model.end_run(30)) == [(33, RequestState.RUNNING)]
 
 
-def test_beyond_its_share_a_customer_is_not_held_and_others_go_ahead():
+def test_a_tenant_over_its_quota_is_not_queued_and_others_go_first():
     model = AdmissionModel(build_settings(tenants=(Tenant("a", 1.0), Tenant("b", 50.0)), over_quota_value_fraction=0.1))
     for request_id in range(1, 31):
         model.receive_request(request_id, READ, tenant="a")
@@ -126,7 +126,7 @@
     assert states(model.end_run(40)) == [(43, RequestState.RUNNING)]
 
 
-def test_a_share_grows_with_what_a_quick_server_starts():
+def test_a_quota_grows_with_what_a_fast_server_starts():
     model = AdmissionModel(
         build_settings(tenants=(Tenant("a", 1.0), Tenant("b", 1.0)), dependency_concurrency_share=0.0)
     )
@@ -138,12 +138,12 @@
     assert model.requests[72].stage is Stage.QUEUED
 
 
-def test_a_quiet_server_runs_what_only_a_rough_hint_calls_hopeless():
+def test_an_idle_server_runs_a_request_that_only_its_cost_hint_predicts_late():
     model = AdmissionModel()
     assert states(model.receive_request(1, READ, cost_hint_ms=5000.0)) == [(1, RequestState.RUNNING)]
 
 
-def test_what_was_learned_under_pressure_does_not_keep_an_idle_server_dismissing():
+def test_durations_measured_under_load_do_not_keep_an_idle_server_rejecting():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.0))
     for request_id in range(1, 9):
         model.receive_request(request_id, READ)
@@ -153,11 +153,11 @@
     assert states(model.receive_request(11, READ)) == [(11, RequestState.RUNNING)]
 
 
-def test_what_came_too_late_to_be_worth_anything_is_not_started_on_a_free_core():
+def test_a_request_that_arrives_too_late_is_rejected_on_a_free_core():
     assert states(AdmissionModel().receive_request(1, READ, read_delay_ms=990.0)) == [(1, RequestState.REJECTED)]
 
 
-def test_time_unread_cuts_the_weight_and_the_advice_covers_it():
+def test_a_read_delay_lowers_the_weight_and_retry_after_covers_it():
     model = AdmissionModel()
     model.receive_request(1, PAY, read_delay_ms=450.0)
     assert model.last_decisions.state_changes[0].duration_ms > 450 / 80
@@ -167,13 +167,13 @@
     assert model.advertised_weights == [0.8]
 
 
-def test_cores_that_hang_send_new_work_on():
+def test_stalled_runs_cause_new_requests_to_be_rejected():
     model = busy_model(preemption=Preemption.NEVER)
     model.advance(800)
     assert states(model.receive_request(3, READ)) == [(3, RequestState.REJECTED)]
 
 
-def test_an_answer_due_is_given_while_its_run_goes_on_and_keeps_its_core():
+def test_an_answer_is_given_at_its_deadline_while_the_run_keeps_its_core():
     model = busy_model()
     model.receive_request(3, PAY, timeout_ms=3000.0)
     model.advance(2995)
@@ -181,19 +181,19 @@
     assert states(model.end_run(1)) == []
 
 
-def test_an_abandoned_run_is_stopped_where_it_can_be():
+def test_a_cancelled_run_is_stopped_where_preemption_allows():
     model = busy_model(preemption=Preemption.DISCARD_PROGRESS)
     assert states(model.disconnect_client(1)) == [(1, RequestState.ORPHANED)]
 
 
-def test_a_run_that_has_had_its_effect_is_forfeited_never_dismissed():
+def test_a_non_idempotent_run_fails_and_is_never_rejected():
     model = AdmissionModel()
     model.receive_request(1, PAY, timeout_ms=400.0)
     model.advance(400)  # the model fails on a dismissal
     assert model.requests[1].answer_count == 1
 
 
-def test_a_call_of_single_use_work_is_repeated_only_if_it_never_ran():
+def test_a_non_idempotent_call_is_retried_only_if_it_never_ran():
     model = AdmissionModel()
     model.receive_request(1, PAY)
     assert states(model.request_call(1)) == [(1, RequestState.CALL_IN_FLIGHT)]
@@ -203,7 +203,7 @@
     assert states(model.return_call(1, Outcome.RESET)) == [(1, RequestState.FAILED)]
 
 
-def test_a_call_that_cannot_be_in_time_is_left_out_where_that_earns_credit():
+def test_an_optional_call_that_would_be_late_is_skipped():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.0001))
     model.receive_request(1, READ)
     assert states(model.request_call(1)) in ([], [(1, RequestState.DEGRADED)])
@@ -211,7 +211,7 @@
     assert model.requests[1].answer_count == 0 and model.ids_in(Stage.RUNNING) == [1]
 
 
-def test_where_one_that_needs_its_call_stood_long_others_leave_theirs_to_it_for_a_while():
+def test_optional_calls_yield_for_a_while_after_a_required_call_was_slow():
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
     model.receive_request(1, PAY)
     assert states(model.request_call(1)) == [(1, RequestState.CALL_IN_FLIGHT)]
@@ -228,7 +228,7 @@
     assert states(model.request_call(4)) == [(4, RequestState.CALL_IN_FLIGHT)], "once that is over, all call again"
 
 
-def test_what_stands_too_late_at_the_calls_gives_way_to_what_can_still_be_in_time():
+def test_a_late_awaiting_call_yields_to_one_that_can_still_be_in_time():
     model = AdmissionModel(build_settings(dependency_concurrency_share=1.3, core_count=4))
     for request_id, timeout_ms in ((1, 500.0), (2, 150.0), (3, 450.0)):
         model.receive_request(request_id, PAY, timeout_ms=timeout_ms)
@@ -239,7 +239,7 @@
     assert model.ids_in(Stage.CALL_IN_FLIGHT) == [3]
 
 
-def test_what_can_leave_its_call_out_starts_although_a_line_stands_at_the_calls():
+def test_a_request_with_an_optional_call_starts_while_others_await_calls():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.0001))
     for request_id in (1, 2):
         model.receive_request(request_id, PAY)
@@ -250,7 +250,7 @@
     ]
 
 
-def test_calls_given_up_count_until_they_have_left():
+def test_abandoned_calls_count_until_they_have_lingered():
     model = AdmissionModel(build_settings(dependency_concurrency_share=1.3, core_count=4))
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=500.0)
@@ -282,7 +282,7 @@
     return waited
 
 
-def test_slow_calls_leave_fewer_out_at_once():
+def test_slow_calls_lower_the_number_in_flight():
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
     calls_in_turn(model, range(1, 21), 20)  # quick calls show what is usual
     for request_id in range(31, 39):
@@ -299,13 +299,13 @@
     assert len(model.ids_in(Stage.CALL_IN_FLIGHT)) < before
 
 
-def test_a_part_under_one_call_rests_between_slow_calls():
+def test_a_dependency_share_below_one_pauses_between_slow_calls():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.6))
     calls_in_turn(model, range(1, 21), 20)
     assert max(calls_in_turn(model, range(31, 41), 80)[1:]) >= 100
 
 
-def test_a_repeat_of_referenced_work_joins_its_forerunner_and_never_runs():
+def test_a_repeated_key_is_coalesced_with_its_original_and_never_runs():
     model = AdmissionModel()
     model.receive_request(1, BOOK)
     assert states(model.receive_request(2, BOOK, original_request_id=1)) == [(2, RequestState.COALESCED)]
@@ -313,13 +313,13 @@
     assert states(model.receive_request(3, BOOK, original_request_id=1)) == [(3, RequestState.COALESCED)]
 
 
-def test_referenced_work_that_cannot_be_remembered_is_dismissed():
+def test_a_keyed_request_without_memory_for_its_record_is_rejected():
     assert states(AdmissionModel(build_settings(idempotency_record_kb=5000.0)).receive_request(1, BOOK)) == [
         (1, RequestState.REJECTED)
     ]
 
 
-def test_memory_yields_held_work_of_least_credit():
+def test_a_lack_of_memory_rejects_the_queued_request_of_lowest_priority_weight():
     model = busy_model(memory_kb=400.0)
     for request_id, traffic_class, memory_kb in ((3, READ, 100.0), (4, PAY, 50.0), (5, PAY, 180.0)):
         model.receive_request(request_id, traffic_class, memory_kb=memory_kb)
@@ -327,7 +327,7 @@
 
 
 @pytest.mark.parametrize("marks", (True, False))
-def test_a_grade_that_a_crowd_would_leave_nothing_has_its_part_where_further_tries_are_marked(marks):
+def test_a_starved_class_has_its_minimum_admission_fraction_where_retries_are_marked(marks):
     low, high = (
         replace(READ, makes_calls=False, degraded_value_fraction=0.0),
         replace(PAY, makes_calls=False, priority_weight=30.0),
@@ -345,7 +345,7 @@
     assert (0.3 < ran[low] / 300 < 1.0 and ran[high] / 600 > 0.4) if marks else ran[low] / 300 < 0.2
 
 
-def test_a_drain_says_so_and_runs_nothing_that_came_past_the_grace():
+def test_a_drain_is_reported_and_runs_nothing_that_came_after_the_grace():
     model = AdmissionModel()
     model.receive_request(1, READ)
     result = model.drain(3000.0)
@@ -360,7 +360,7 @@
     assert model.requests[1].answer_count == 1
 
 
-def test_the_weight_has_a_meaning_for_every_kind_of_caller():
+def test_the_advertised_weight_has_a_value_for_every_load_signal():
     said = {}
     for meaning in LoadSignal:
         model = AdmissionModel(build_settings(load_signal=meaning, client_count=4))
@@ -390,7 +390,7 @@
     return [each for each in told if each is not None]
 
 
-def test_unused_connections_go_sooner_while_cores_idle_and_stay_longer_while_they_are_busy():
+def test_the_idle_timeout_shrinks_while_cores_idle_and_grows_while_they_are_busy():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=100))
     assert idle_told(model, cpu_utilization=1.0, connections=50.0, windows=3) == []  # the callers' own time
     sooner = idle_told(model, cpu_utilization=0.5, connections=50.0, windows=30)
@@ -402,12 +402,12 @@
     assert longer == sorted(longer) and longer[-1] > 7000.0
 
 
-def test_where_all_callers_find_a_place_unused_connections_stay():
+def test_the_idle_timeout_stays_where_all_clients_find_a_connection():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=12))
     assert idle_told(model, cpu_utilization=0.1, connections=50.0, windows=10) == []
 
 
-def test_news_of_transactions_already_ended_is_harmless():
+def test_events_of_requests_that_have_ended_are_ignored():
     control = AdmissionModel().controller
     for result in (
         control.call_requested(1.0, 99),
@@ -418,13 +418,13 @@
         assert states(result) == []
 
 
-def test_grades_that_keep_most_credit_late_are_judged_by_their_abandon_time():
+def test_classes_that_keep_most_value_late_are_judged_by_their_timeout():
     late = READ.__class__("late", 1.0, 100.0, 5000.0, RetrySafety.IDEMPOTENT, late_value_fraction=0.8)
     model = AdmissionModel(build_settings(traffic_classes=(late,)))
     assert states(model.receive_request(1, late, read_delay_ms=500.0)) == [(1, RequestState.RUNNING)]
 
 
-def test_many_that_wait_for_leave_to_call_cost_one_look_at_the_calls_that_are_out(monkeypatch):
+def test_many_awaiting_calls_cost_one_look_at_the_calls_in_flight(monkeypatch):
     looks, room = [], DependencyUsage.max_call_duration_ms
     monkeypatch.setattr(
         DependencyUsage,
@@ -448,7 +448,7 @@
     assert waiting > 10 and len(looks) <= 1
 
 
-def test_a_server_short_of_its_own_core_does_not_take_its_lag_for_a_slow_dependency():
+def test_a_server_short_of_cpu_does_not_take_its_lag_for_a_slow_dependency():
     model = AdmissionModel(build_settings(core_count=8, memory_kb=1e6, dependency_concurrency_share=6.0))
 
     def call(request_id, duration_ms, read_delay_ms=0.0):
@@ -472,7 +472,7 @@
         model.end_run(request_id)
 
 
-def test_a_wait_cut_short_by_its_clients_end_tells_that_a_try_is_too_old_to_wait():
+def test_a_timeout_shorter_than_usual_marks_an_attempt_too_old_to_queue():
     model = AdmissionModel()
     told_waits(model, usual=1500.0, many=30)
     for request_id in (1, 2, 3):
@@ -486,14 +486,14 @@
     assert not model.receive_request(6, READ, timeout_ms=2900.0).state_changes  # the first try came 100 ms ago
 
 
-def test_an_old_try_is_run_where_a_core_is_free():
+def test_an_old_attempt_is_run_where_a_core_is_free():
     model = AdmissionModel()
     told_waits(model, usual=1500.0, many=30)
     assert states(model.receive_request(1, READ, timeout_ms=1400.0)) == [(1, RequestState.RUNNING)]
 
 
 @pytest.mark.parametrize("usual", ([1500.0], [600.0, 1500.0, 2900.0]))
-def test_waits_are_usual_while_few_are_known_and_where_several_habits_meet(usual):
+def test_timeouts_are_usual_while_few_are_known_and_where_several_are_common(usual):
     model = AdmissionModel()
     for request_id in (1, 2):
         model.receive_request(request_id, READ, timeout_ms=3000.0)
@@ -503,7 +503,7 @@
         model.disconnect_client(request_id)
 
 
-def test_the_memory_of_waits_follows_a_new_habit():
+def test_the_timeout_histogram_follows_a_new_usual_timeout():
     model = AdmissionModel()
     told_waits(model, usual=1500.0, many=1000)
     told_waits(model, usual=900.0, many=200)
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -47,7 +47,7 @@
         {"end": "fine", "ms": 20.0, "body": GOOD * BUFFER_BYTES},
     ),
 )
-async def test_a_run_whose_end_cannot_be_read_is_over_all_the_same(spoilt):
+async def test_a_run_with_a_malformed_result_is_over(spoilt):
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -59,7 +59,7 @@
         assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.links == 1
 
 
-async def test_a_line_that_is_no_json_still_ends_the_run_that_it_names():
+async def test_a_line_that_is_not_json_still_ends_the_run_that_it_names():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -69,7 +69,7 @@
         await wait_until(lambda: not rig.node.requests)
 
 
-async def test_a_call_that_cannot_be_read_is_never_made_and_its_run_is_waited_for_no_longer_than_its_time():
+async def test_a_malformed_call_is_never_made_and_its_run_ends_at_its_deadline():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay", timeout=300)
@@ -78,7 +78,7 @@
         assert not rig.records.seen and not rig.pool.told("supply", A)
 
 
-async def test_a_full_mailbox_still_takes_the_end(monkeypatch):
+async def test_a_full_mailbox_still_accepts_the_end_of_a_run(monkeypatch):
     monkeypatch.setattr(requests, "MAILBOX_CAPACITY", 2)
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
@@ -98,7 +98,7 @@
     "reply", (b"DONE 3\r\nabc\r\n", b"DONE 3\r\nabcdef\r\n", b"ERROR\r\n", b"WAIT\r\n", b"nonsense\r\n")
 )
 @pytest.mark.parametrize("order", ("before", "after"))
-async def test_a_reply_that_crosses_its_call_being_given_up(reply, order):
+async def test_a_reply_that_crosses_the_cancellation_of_its_call(reply, order):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -120,7 +120,7 @@
         assert rig.pool.told("supply", B)[0]["body"] == b64encode(b"B's own").decode()
 
 
-async def test_an_error_in_one_call_ends_that_call_alone(monkeypatch):
+async def test_an_error_in_one_call_fails_that_call_alone(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -135,7 +135,7 @@
         assert (await client.answer())[1] == "done" and rig.clean is None
 
 
-async def test_a_call_that_is_given_up_while_it_is_dialled_frees_its_descriptor_at_once(monkeypatch):
+async def test_a_call_cancelled_while_connecting_frees_its_descriptor_at_once(monkeypatch):
     with socket.socket() as full:  # its door is full: whoever dials it waits
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -160,7 +160,7 @@
             each.close()
 
 
-async def test_calls_keep_to_their_share_of_descriptors_and_one_too_many_was_never_made():
+async def test_calls_keep_to_their_descriptor_share_and_one_too_many_is_never_sent():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
         await rig.up()
         rig.set_descriptor_shares(calls=2)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -43,7 +43,7 @@
 # A connection that has rested too long, and a transaction
 
 
-async def test_a_transaction_that_came_just_before_its_resting_connection_was_to_be_ended_is_answered():
+async def test_a_request_just_before_its_idle_connection_is_closed_is_answered():
     async with ServerRig() as rig:
         await rig.up()
         front, peer = rig.node.listeners[0], await resting(rig)
@@ -57,7 +57,7 @@
         assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
 
 
-async def test_a_transaction_that_comes_just_after_its_resting_connection_was_ended_destroys_no_answer():
+async def test_a_request_just_after_its_idle_connection_was_closed_destroys_no_answer():
     async with ServerRig() as rig:
         await rig.up()
         front, peer = rig.node.listeners[0], await resting(rig)
@@ -71,7 +71,7 @@
         await wait_until(lambda: not front.table.connections)
 
 
-async def test_where_places_run_short_one_with_something_unread_is_not_the_one_to_go():
+async def test_a_connection_with_unread_input_is_not_shed():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=2)
@@ -89,7 +89,7 @@
         assert b"healthy" in await knocking.until(b"healthy")
 
 
-async def test_one_that_finds_no_place_is_ended_without_a_reset_under_what_it_brought():
+async def test_a_newcomer_without_a_slot_is_closed_without_a_reset():
     async with ServerRig(cpus=32) as rig:
         client = await (await rig.up()).caller()
         rig.set_descriptor_shares(balancers=1)
@@ -103,7 +103,9 @@
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
-async def test_a_first_transaction_that_crosses_the_end_of_patience_is_answered_or_ends_plainly(order, monkeypatch):
+async def test_a_first_request_that_crosses_the_first_byte_timeout_is_answered_or_closed_without_a_reset(
+    order, monkeypatch
+):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 100.0)
     peers = []
     fill = Stream.fill
@@ -136,7 +138,7 @@
             assert b"result" in await peer.until(b"result")
 
 
-async def test_half_a_message_keeps_its_connection_until_it_is_whole():
+async def test_a_partial_message_keeps_its_connection_until_it_is_complete():
     async with ServerRig() as rig:
         await rig.up()
         front, peer, whole = rig.node.listeners[0], await resting(rig), encode_request(A)
@@ -152,7 +154,7 @@
         assert b"result" in await peer.until(b"result")
 
 
-async def test_an_answer_that_is_still_on_its_way_keeps_its_connection():
+async def test_an_unsent_answer_keeps_its_connection():
     async with ServerRig() as rig:
         await rig.up()
         front, peer = rig.node.listeners[0], await resting(rig)
@@ -168,7 +170,7 @@
 # Those that linger
 
 
-async def test_those_that_linger_give_their_descriptors_once_nothing_can_cross_any_more_and_no_sooner():
+async def test_lingering_connections_free_their_descriptors_once_nothing_can_cross_and_no_sooner():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=1, lingering=1)
@@ -191,7 +193,7 @@
     return peer
 
 
-async def test_a_crowd_of_the_silent_is_ended_for_those_who_ask_however_many_linger():
+async def test_silent_connections_are_shed_for_those_that_ask_however_many_linger():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=8, lingering=2)
@@ -206,7 +208,7 @@
             assert await each.to_the_end() == b""
 
 
-async def test_those_whose_patience_ran_out_and_who_linger_are_not_taken_for_a_full_table(monkeypatch):
+async def test_timed_out_connections_that_linger_are_not_taken_for_a_full_table(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
         await rig.up()
@@ -223,7 +225,7 @@
 
 
 @pytest.mark.parametrize("code", (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EINVAL))
-async def test_a_newcomer_that_failed_before_it_was_taken_costs_nobody_else_anything(code):
+async def test_a_newcomer_that_failed_before_it_was_accepted_affects_nobody_else(code):
     async with ServerRig() as rig:
         await rig.up()
         listener = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -72,7 +72,7 @@
 # What is in hand
 
 
-async def test_what_is_in_hand_in_every_state_ends_under_the_generation_it_was_read_under(witness):
+async def test_requests_in_every_state_end_under_the_generation_they_were_read_under(witness):
     async with ServerRig(change_rules=RULES, cpus=1) as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")  # at a call
@@ -100,7 +100,7 @@
         assert not witness.mixed and witness.across >= 4 and len(witness.first) == 4
 
 
-async def test_the_witness_catches_a_transaction_that_is_moved_to_another_generation(witness):
+async def test_the_witness_catches_a_request_that_is_moved_to_another_generation(witness):
     async with ServerRig(change_rules=RULES) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -112,7 +112,7 @@
         assert witness.mixed == {int(A, 16)}
 
 
-async def test_the_module_carries_over_what_it_learned_and_says_the_weight_it_had():
+async def test_the_controller_keeps_its_measurements_and_advertised_weight_over_a_change():
     async with ServerRig(change_rules=RULES) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -130,7 +130,7 @@
 # Courses of changes
 
 
-async def test_ten_changes_in_a_row_each_waits_for_the_one_before():
+async def test_ten_changes_in_a_row_are_applied_one_after_the_other():
     async with ServerRig(change_rules=RULES) as rig:
         await rig.up()
         for at in range(10):
@@ -144,7 +144,7 @@
         assert rig.node.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
 
 
-async def test_two_at_once_are_never_merged_and_one_in_the_middle_of_an_undoing_waits(tmp_path, monkeypatch):
+async def test_concurrent_changes_are_never_merged_and_one_during_a_rollback_waits(tmp_path, monkeypatch):
     rules = replace(RULES, history=str(tmp_path))
     async with ServerRig(change_rules=rules) as rig:
         await rig.up()
@@ -205,7 +205,7 @@
         assert caught.value.reason is RejectionReason.SHUTTING_DOWN
 
 
-async def test_harm_is_undone_by_itself_and_a_change_that_does_none_is_confirmed():
+async def test_a_harmful_change_is_rolled_back_and_a_harmless_one_confirmed():
     async with ServerRig(change_rules=replace(RULES, probation_most_ms=6000.0)) as rig:
         await rig.up()
         chance, begin = random.Random(3), rig.node.clock() - 14_500
@@ -241,7 +241,7 @@
         assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
 
 
-async def test_sighup_moves_peers_at_once_takes_the_rest_as_a_change_and_leaves_what_did_not_change():
+async def test_sighup_moves_peers_at_once_and_applies_the_rest_as_a_change():
     async with ServerRig(change_rules=RULES) as rig:
         await rig.up()
         await rig.push({"machine": {"cores": 5}})
@@ -262,7 +262,7 @@
 # Files
 
 
-async def test_a_file_replaced_or_written_while_it_is_read_is_never_taken_by_half(tmp_path, monkeypatch):
+async def test_a_file_replaced_or_written_while_it_is_read_is_never_applied_in_part(tmp_path, monkeypatch):
     file = tmp_path / "c.json5"
     file.write_text(OURS)
     real, writes = os.fstat, []
@@ -297,7 +297,7 @@
     """The process ends here."""
 
 
-def test_killed_at_any_step_of_writing_the_last_confirmed_one_is_in_force(tmp_path, monkeypatch):
+def test_killed_at_any_step_of_writing_the_last_confirmed_document_is_in_force(tmp_path, monkeypatch):
     """Every call to the system in turn is the last one; of a write, any part may have reached the disk."""
     document, real = ours().document, {name: getattr(os, name) for name in CALLS}
     made = 0
@@ -357,7 +357,7 @@
     assert done and made > 20
 
 
-async def test_a_history_that_cannot_be_written_refuses_a_change_and_keeps_the_order_of_what_happened(tmp_path):
+async def test_an_unwritable_history_rejects_a_change_and_keeps_the_order_of_records(tmp_path):
     async with ServerRig(change_rules=replace(RULES, history=str(tmp_path))) as rig:
         await rig.up()
         real = rig.configuration_manager.history.store.append
@@ -400,7 +400,7 @@
         return time.monotonic() + self.ahead_s
 
 
-async def test_a_message_in_pieces_from_a_peer_that_rested_is_answered(tmp_path, monkeypatch):
+async def test_a_control_message_in_pieces_from_an_idle_peer_is_answered(tmp_path, monkeypatch):
     shifted, pieces = ShiftedTime(), []
 
     class Watched(FrameDecoder):
@@ -429,7 +429,7 @@
         assert told[1]["ok"]
 
 
-async def test_peers_that_send_half_or_nonsense_or_too_many_hold_up_nobody(tmp_path, monkeypatch):
+async def test_partial_malformed_and_too_many_control_messages_block_nobody(tmp_path, monkeypatch):
     monkeypatch.setattr(control_socket, "MESSAGE_TIMEOUT_S", 0.3)
     path = str(tmp_path / "control")
     async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
@@ -481,7 +481,7 @@
 # The whole program
 
 
-async def test_a_roll_out_undoes_by_its_own_mark_what_it_pushed_and_nothing_else():
+async def test_a_roll_out_rolls_back_by_its_own_mark_what_it_applied_and_nothing_else():
     """The shell over nodes that are here: the second wave meets one that undoes, and one that never answers."""
     origins, told = {}, []
 
@@ -551,7 +551,7 @@
     return process, base
 
 
-def test_operators_push_confirm_go_back_and_find_it_all_again_after_a_kill(tmp_path):
+def test_operators_apply_confirm_and_roll_back_and_the_history_survives_a_kill(tmp_path):
     run, path = CliRunner(), ["--socket", str(tmp_path / "s")]
 
     def ask(*words, code=0):
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("descriptors", (32, 48))
-async def test_a_small_limit_is_served(descriptors, tmp_path):
+async def test_a_small_descriptor_limit_is_served(descriptors, tmp_path):
     async with ServerRig(in_subprocess=True, cpus=32) as rig:
         rig.config["limits"]["sockets"] = descriptors
         rig.pool.up.set()
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("calls", (0.0, 0.5, 6.0, 90.0, 1e4))
-async def test_every_limit_is_shared_out_within_itself_with_one_for_each_at_least(calls):
+async def test_every_descriptor_limit_is_divided_within_itself_with_at_least_one_each(calls):
     for descriptors in range(32, 2000):
         shares = shares_of(descriptors, calls)
         assert min(shares) >= 1 and sum(shares) + OWN <= descriptors
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("kind", FLOODS)
-async def test_a_flood_on_one_connection_holds_up_no_other(kind):
+async def test_a_flood_on_one_connection_delays_no_other(kind):
     flood = FLOODS[kind]
     async with ServerRig(cpus=32) as rig:
         client = await (await rig.up()).caller()
@@ -146,7 +146,7 @@
         await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1, 4.0)
 
 
-async def test_hundreds_withdrawn_at_once_leave_nothing_behind():
+async def test_hundreds_of_cancellations_at_once_leave_nothing_behind():
     async with ServerRig(cpus=2, **{"memory-kb": 1e6}) as rig:
         await rig.up()
         peers = [RawClient(rig.port) for _ in range(12)]
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("over", (False, True))
 @pytest.mark.parametrize("other", ({"body": b"another"}, {"owner": "other"}))
-async def test_a_key_seen_and_sent_with_another_body_or_by_another_customer_brings_nobodys_result(over, other):
+async def test_a_key_repeated_with_another_body_or_by_another_tenant_returns_no_result(over, other):
     async with ServerRig() as rig:
         rig.platform_settings["tenants"].append({"name": "other", "quota-rps": 100.0})
         rig.reload_settings()
@@ -39,7 +39,7 @@
         assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
 
 
-async def test_a_key_that_came_with_an_id_nobody_knows_is_free_for_the_one_that_is_known():
+async def test_the_key_of_a_request_unknown_to_the_worker_pool_is_free_again():
     async with ServerRig() as rig:
         stranger, client = await (await rig.up()).caller(), await rig.caller()
         await rig.running(stranger, A, "book", opkey="k1", body=b"made up")
@@ -51,7 +51,7 @@
         assert (await client.answer())[1::2] == ("done", b"once")
 
 
-async def test_a_key_longer_than_any_is_refused():
+async def test_an_oversized_key_fails():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.ask(A, "book", opkey="k" * 257)
@@ -60,7 +60,7 @@
         assert (await client.answer())[1] == "error"
 
 
-async def test_a_first_try_that_was_given_up_before_it_ran_leaves_its_key_free():
+async def test_a_first_attempt_cancelled_before_it_ran_leaves_its_key_free():
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, C, "pay")  # the one core is taken
@@ -84,7 +84,7 @@
     rig.reload_settings()
 
 
-async def test_a_repeat_that_came_in_its_window_and_lay_unread_past_it_is_still_one(monkeypatch):
+async def test_a_repeat_within_its_window_that_was_read_after_it_is_still_coalesced(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         short_window(rig, 300.0)
@@ -99,7 +99,7 @@
         await rig.running(client, C, "book", opkey="k1", ts=began + 500)  # and one that came after it is none
 
 
-async def test_a_repeat_after_the_window_waits_for_a_run_that_is_still_out(monkeypatch):
+async def test_a_repeat_after_the_window_waits_for_a_run_in_progress(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         short_window(rig, 100.0)
@@ -117,7 +117,7 @@
         await wait_until(lambda: not rig.node.requests)
 
 
-async def test_what_can_serve_no_repeat_any_more_is_let_go(monkeypatch):
+async def test_records_that_can_serve_no_repeat_are_purged(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         short_window(rig, 100.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -68,7 +68,7 @@
     st.sampled_from((0.0, 0.4, 2.0)),
     st.sampled_from((600.0, 3000.0)),
 )
-def test_the_rules_hold_on_any_day(events, preemption, starts_cold, dependency_share, memory_kb):
+def test_the_rules_hold_on_generated_events(events, preemption, starts_cold, dependency_share, memory_kb):
     model = AdmissionModel(
         build_settings(
             preemption=preemption,
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -61,7 +61,7 @@
         return getattr(self._real, name)
 
 
-async def test_who_knocks_between_the_last_look_and_the_shutting_is_refused_and_not_reset():
+async def test_a_connection_between_the_last_accept_and_the_close_is_refused_and_not_reset():
     async with ServerRig() as rig:
         await rig.up()
         front = rig.node.listeners[0]
@@ -74,7 +74,7 @@
         knocking.late.close()
 
 
-async def test_who_stands_at_the_door_when_it_is_shut_is_let_in():
+async def test_a_connection_in_the_backlog_when_the_listener_closes_is_accepted():
     async with ServerRig() as rig:
         await rig.up()
         peer = RawClient(rig.port)
@@ -87,7 +87,7 @@
             RawClient(rig.port)
 
 
-async def test_the_door_stays_open_for_the_grace_and_no_longer():
+async def test_the_listener_stays_open_for_the_grace_and_no_longer():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -107,7 +107,7 @@
 # Those who rest until the server ends them
 
 
-async def test_those_who_rest_do_not_hold_up_the_end_and_keep_their_answers():
+async def test_idle_connections_do_not_delay_the_shutdown_and_keep_their_answers():
     async with ServerRig() as rig:
         await rig.up()
         rests, silent = await ready(rig), RawClient(rig.port)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
-async def test_a_transaction_that_crosses_the_end_of_its_resting_connection(order, monkeypatch):
+async def test_a_request_that_crosses_the_close_of_its_idle_connection(order, monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
         peer, front = await ready(rig), rig.node.listeners[0]
@@ -154,7 +154,7 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_half_a_message_is_waited_for_to_the_end_and_answered_when_it_is_whole():
+async def test_a_partial_message_is_waited_for_to_the_end_and_answered_once_complete():
     async with ServerRig() as rig:
         await rig.up()
         peer, whole = await ready(rig), encode_request(A)
@@ -171,7 +171,7 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_half_a_message_that_never_ends_is_cut_off_before_the_kill_with_a_plain_end():
+async def test_a_partial_message_that_never_ends_is_closed_before_the_kill_without_a_reset():
     async with ServerRig() as rig:
         await rig.up()
         peer = await ready(rig)
@@ -183,7 +183,7 @@
         assert time.monotonic() - began < 0.7
 
 
-async def test_an_answer_that_its_caller_is_slow_to_read_is_not_cut_off_while_there_is_time():
+async def test_an_answer_to_a_slow_reader_is_not_cut_off_while_there_is_time():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
         client = await (await rig.up()).caller()
         (connection,) = rig.node.listeners[0].table.connections
@@ -204,7 +204,7 @@
         assert words == ["done"] * 31 + ["closing"]
 
 
-async def test_runs_that_nothing_ends_do_not_keep_the_server_to_the_kill_once_all_is_answered():
+async def test_orphaned_runs_do_not_delay_the_shutdown_once_all_is_answered():
     async with ServerRig(**{"stop-mode": "silent"}) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -220,7 +220,7 @@
 # Notices
 
 
-async def test_notices_that_come_while_the_server_leaves_change_nothing():
+async def test_signals_during_the_shutdown_change_nothing():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -234,7 +234,7 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_a_notice_while_the_worker_pool_is_not_up_answers_what_comes_and_ends():
+async def test_a_signal_before_the_worker_pool_is_up_answers_requests_and_ends():
     async with ServerRig() as rig:
         client = await rig.caller()
         await client.send("STATUS", "1", "")
@@ -247,7 +247,7 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_an_interrupted_leaving_still_ends(monkeypatch):
+async def test_an_interrupted_shutdown_still_ends(monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
         await ready(rig)
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("size", (20, 1))
 @pytest.mark.parametrize("leaving", (False, True))
-async def test_a_message_in_pieces_on_a_connection_that_rested_is_answered(size, leaving):
+async def test_a_message_in_pieces_on_an_idle_connection_is_answered(size, leaving):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         clock, peer = Clock(rig), await resting(rig)
@@ -90,7 +90,7 @@
         await rig.pool.finish(B)
 
 
-async def test_a_first_message_has_its_time_from_its_first_byte():
+async def test_the_timeout_of_a_first_message_starts_at_its_first_byte():
     async with ServerRig() as rig:
         await rig.up()
         clock, peer = Clock(rig), RawClient(rig.port)
@@ -106,7 +106,7 @@
         await served(rig, peer, A)
 
 
-async def test_a_message_begun_behind_the_end_of_another_has_its_own_time():
+async def test_a_message_begun_behind_another_has_its_own_timeout():
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         clock, peer = Clock(rig), await resting(rig)
@@ -125,7 +125,7 @@
         await served(rig, peer, B)
 
 
-async def test_one_that_stands_still_half_way_is_ended_by_the_longest_that_callers_wait(monkeypatch):
+async def test_a_stalled_partial_message_is_closed_after_the_longest_timeout(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig(cpus=32) as rig:
         await rig.up()
@@ -146,7 +146,7 @@
         )
 
 
-async def test_slow_messages_take_a_part_of_the_places_and_no_more(monkeypatch):
+async def test_slow_messages_take_a_fraction_of_the_connections_and_no_more(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig(cpus=32) as rig:
         await rig.up()
@@ -170,7 +170,7 @@
         assert not front.table.slow_writers
 
 
-async def test_a_connection_that_ends_half_way_is_no_slow_writer_any_more(monkeypatch):
+async def test_a_connection_closed_within_a_message_is_no_slow_writer_any_more(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
         await rig.up()
