--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -31,13 +31,13 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-@pytest.mark.parametrize(("word", "again"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
-async def test_a_non_idempotent_call_is_retried_only_if_it_never_ran(word, again):
+@pytest.mark.parametrize(("word", "is_retried"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
+async def test_a_non_idempotent_call_is_retried_only_if_it_never_ran(word, is_retried):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         await rig.records.reply(A, word)
-        if again:
+        if is_retried:
             await wait_until(lambda: rig.records.seen.count(("OP", A, CALL_BODY)) == 2)
         else:
             assert (await client.answer())[:2] == (1, "error")
@@ -55,7 +55,7 @@
         await rig.running(client, B, "pay")
         await rig.pool.block(B)
         await anyio.sleep(0.05)
-        assert rig.node.requests  # refused, and tried again in its time
+        assert rig.node.requests  # refused, and retried in its time
         await rig.records.listen(rig._tasks, rig.records.port)
         await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
 
--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -4,7 +4,6 @@
 import os
 import pathlib
 import signal
-import socket
 import subprocess
 import sys
 import time
@@ -13,7 +12,7 @@
 import pytest
 
 from tests.support.request_ids import A, B, C
-from tests.support.server_rig import ServerRig
+from tests.support.server_rig import ServerRig, free_port
 from tests.support.waiting import wait_until
 
 pytestmark = pytest.mark.anyio
@@ -56,9 +55,7 @@
 async def test_the_program_serves_shuts_down_on_a_signal_and_writes_nothing(notice, tmp_path):
     async with ServerRig(in_subprocess=True) as rig:
         rig.pool.up.set()
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            port = probe.getsockname()[1]
+        port = free_port()
         file = tmp_path / "config.json"
         file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{port}"}))
         environment = {**os.environ, "ROUTER_CONFIG": str(file)}
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -142,7 +142,7 @@
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
     async with ServerRig() as rig:
         await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest that any caller waits
+        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest timeout of any client
         client, held = await rig.caller(), await rig.caller()
         await held.send("STATUS", "1", "")
         await client.stream.send(begun)
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -85,9 +85,9 @@
         for number in range(1, 31):
             await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
         answers = [await client.answer() for _ in range(30)]
-        dismissed = [fields for _, word, fields, _ in answers if word == "later"]
-        assert dismissed and all(0 < float(fields["holdoff"]) <= 1000 for fields in dismissed if "holdoff" in fields)
-        assert all(fields.get("nomore", "1") == "1" for fields in dismissed)
+        rejected = [fields for _, word, fields, _ in answers if word == "later"]
+        assert rejected and all(0 < float(fields["holdoff"]) <= 1000 for fields in rejected if "holdoff" in fields)
+        assert all(fields.get("nomore", "1") == "1" for fields in rejected)
         assert not any({"holdoff", "nomore"} & set(fields) for _, word, fields, _ in answers if word != "later")
         await wait_until(lambda: rig.node.advertised_weight is not None)
         await client.send("STATUS", "900", "")
@@ -240,5 +240,5 @@
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
         await wait_until(lambda: not rig.node.requests)
-        assert sizes[1] - sizes[0] < 400  # one object for each transaction between would be too many
+        assert sizes[1] - sizes[0] < 400  # one object for each request between would be too many
         assert len(rig.node.buffers._free) < 4
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -49,7 +49,7 @@
         await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
         await wait_until(lambda: rig.node.worker_pool.is_up)
         assert len(rig.pool.told("spawn", B)) == 1
-        assert (await client.answer())[:2] == (2, "error")  # it may have run: neither dismissed nor repeated
+        assert (await client.answer())[:2] == (2, "error")  # it may have run: neither rejected nor retried
 
 
 async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_blocks_nothing():
@@ -101,10 +101,10 @@
         await rig.running(client, B, "pay")
         old_pool, old_records = rig.pool, rig.records
         rig.node.reload()  # nothing new: the link stays
-        told = dict(rig.config)
+        config_before = dict(rig.config)
         rig.config["pool"] = "nowhere"
         rig.node.reload()
-        rig.config = {**told, "stop_ms": 5}  # which needs a restart
+        rig.config = {**config_before, "stop_ms": 5}  # which needs a restart
         await rig.move()
         rig.pool.measures = False  # and at the new address nothing more is proven
         await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
@@ -126,11 +126,11 @@
 async def test_an_address_change_reverted_before_it_completes_leaves_a_working_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        old, told = rig.pool, dict(rig.config)
+        old, config_before = rig.pool, dict(rig.config)
         old.measures = False  # so that the move waits for its proof
         await rig.move()
         await wait_until(lambda: rig.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
-        rig.pool, rig.config = old, told
+        rig.pool, rig.config = old, config_before
         rig.node.reload()
         await client.ask(A)
         await wait_until(lambda: old.told("spawn", A), 1.0)  # and not when the link is found to be silent
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -215,7 +215,8 @@
         return tag
 
 
-def _free_port() -> int:
+def free_port() -> int:
+    """Return a loopback port that nothing listens on."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
@@ -224,7 +225,7 @@
 @asynccontextmanager
 async def run_program(rig: ServerRig, folder: Path) -> AsyncIterator[subprocess.Popen[bytes]]:
     """Run the program in a process of its own among the rig's services, and kill it at the end."""
-    rig.port = _free_port()
+    rig.port = free_port()
     file = folder / "config.json"
     file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{rig.port}"}))
     with (
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -147,7 +147,7 @@
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.0))
     for request_id in range(1, 9):
         model.receive_request(request_id, READ)
-        model.end_run(request_id, duration_ms=1500.0)  # longer than the quoted time
+        model.end_run(request_id, duration_ms=1500.0)  # longer than the latency objective
     assert states(model.receive_request(10, READ)) == [(10, RequestState.REJECTED)]
     model.advance(2100)  # nothing ran for as long as what is learned looks back
     assert states(model.receive_request(11, READ)) == [(11, RequestState.RUNNING)]
@@ -189,7 +189,7 @@
 def test_a_non_idempotent_run_fails_and_is_never_rejected():
     model = AdmissionModel()
     model.receive_request(1, PAY, timeout_ms=400.0)
-    model.advance(400)  # the model fails on a dismissal
+    model.advance(400)  # the model fails on a rejection
     assert model.requests[1].answer_count == 1
 
 
@@ -215,7 +215,7 @@
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
     model.receive_request(1, PAY)
     assert states(model.request_call(1)) == [(1, RequestState.CALL_IN_FLIGHT)]
-    model.advance(150)  # over a quarter of its quoted time
+    model.advance(150)  # over a quarter of its latency objective
     model.return_call(1, Outcome.OK)
     model.receive_request(2, READ)
     assert states(model.request_call(2)) == [(2, RequestState.DEGRADED)]
@@ -262,8 +262,8 @@
     assert len(model.ids_in(Stage.CALL_IN_FLIGHT)) == 1
 
 
-def calls_in_turn(model, request_ids, duration_ms):
-    """Each is read, calls alone, and ends; how long each waited for its leave."""
+def make_calls_in_turn(model, request_ids, duration_ms):
+    """Receive, call and end one request after the other; return how long each awaited its call."""
     waited = []
     for request_id in request_ids:
         model.receive_request(request_id, READ)
@@ -284,7 +284,7 @@
 
 def test_slow_calls_lower_the_number_in_flight():
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
-    calls_in_turn(model, range(1, 21), 20)  # quick calls show what is usual
+    make_calls_in_turn(model, range(1, 21), 20)  # quick calls show what is usual
     for request_id in range(31, 39):
         model.receive_request(request_id, READ)
         model.request_call(request_id)
@@ -301,8 +301,8 @@
 
 def test_a_dependency_share_below_one_pauses_between_slow_calls():
     model = AdmissionModel(build_settings(dependency_concurrency_share=0.6))
-    calls_in_turn(model, range(1, 21), 20)
-    assert max(calls_in_turn(model, range(31, 41), 80)[1:]) >= 100
+    make_calls_in_turn(model, range(1, 21), 20)
+    assert max(make_calls_in_turn(model, range(31, 41), 80)[1:]) >= 100
 
 
 def test_a_repeated_key_is_coalesced_with_its_original_and_never_runs():
@@ -334,7 +334,7 @@
     )
     model = AdmissionModel(build_settings(traffic_classes=(low, high, BOOK), clients_mark_retries=marks))
     ran, request_id = {low: 0, high: 0}, 0
-    for step in range(400):  # of one grade as much as the cores can do, and half as much of the other
+    for step in range(400):  # of one class as much as the cores can do, and half as much of the other
         for traffic_class in (low, high, high):
             request_id += 1
             model.receive_request(request_id, traffic_class)
@@ -361,13 +361,13 @@
 
 
 def test_the_advertised_weight_has_a_value_for_every_load_signal():
-    said = {}
-    for meaning in LoadSignal:
-        model = AdmissionModel(build_settings(load_signal=meaning, client_count=4))
+    weights_by_signal = {}
+    for load_signal in LoadSignal:
+        model = AdmissionModel(build_settings(load_signal=load_signal, client_count=4))
         model.receive_request(1, PAY, read_delay_ms=450.0)
         model.advance(100)
-        said[meaning] = model.advertised_weights
-    assert said == {
+        weights_by_signal[load_signal] = model.advertised_weights
+    assert weights_by_signal == {
         LoadSignal.NONE: [],
         LoadSignal.SELECTION_PROBABILITY: [0.8],
         LoadSignal.CLIENT_CONCURRENCY: [0.8 * 2],
@@ -375,36 +375,36 @@
     }
 
 
-def idle_told(model, cpu_utilization, connections, windows):
-    """The idle times that are told in so many windows."""
-    told = []
+def idle_timeouts_ms(model, cpu_utilization, connections, windows):
+    """The idle connection timeouts decided in so many windows."""
+    timeouts_ms = []
     for _ in range(windows):
         model.now_ms += 100.0
-        told.append(
+        timeouts_ms.append(
             model.apply(
                 model.controller.timer_fired(
                     model.now_ms, Gauges(cpu_utilization=cpu_utilization, connection_count=connections)
                 )
             ).idle_connection_timeout_ms
         )
-    return [each for each in told if each is not None]
+    return [each for each in timeouts_ms if each is not None]
 
 
 def test_the_idle_timeout_shrinks_while_cores_idle_and_grows_while_they_are_busy():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=100))
-    assert idle_told(model, cpu_utilization=1.0, connections=50.0, windows=3) == []  # the callers' own time
-    sooner = idle_told(model, cpu_utilization=0.5, connections=50.0, windows=30)
+    assert idle_timeouts_ms(model, cpu_utilization=1.0, connections=50.0, windows=3) == []  # the clients' own timeout
+    sooner = idle_timeouts_ms(model, cpu_utilization=0.5, connections=50.0, windows=30)
     assert sooner == sorted(sooner, reverse=True) and sooner[0] < 8000.0 and 80.0 <= sooner[-1] <= 90.0
     assert (
-        idle_told(model, cpu_utilization=0.5, connections=5.0, windows=5) == []
+        idle_timeouts_ms(model, cpu_utilization=0.5, connections=5.0, windows=5) == []
     )  # few are open: nobody is turned back
-    longer = idle_told(model, cpu_utilization=1.0, connections=50.0, windows=60)
+    longer = idle_timeouts_ms(model, cpu_utilization=1.0, connections=50.0, windows=60)
     assert longer == sorted(longer) and longer[-1] > 7000.0
 
 
 def test_the_idle_timeout_stays_where_all_clients_find_a_connection():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=12))
-    assert idle_told(model, cpu_utilization=0.1, connections=50.0, windows=10) == []
+    assert idle_timeouts_ms(model, cpu_utilization=0.1, connections=50.0, windows=10) == []
 
 
 def test_events_of_requests_that_have_ended_are_ignored():
@@ -465,8 +465,8 @@
     assert call(42, 90.0) < 5.1
 
 
-def told_waits(model, usual, many):
-    """So many have been read and have ended, all of which told the usual wait."""
+def end_requests_with_timeout(model, usual, many):
+    """Receive and end so many requests, all with the usual timeout."""
     for request_id in range(100, 100 + many):
         model.receive_request(request_id, READ, timeout_ms=usual)
         model.end_run(request_id)
@@ -474,21 +474,21 @@
 
 def test_a_timeout_shorter_than_usual_marks_an_attempt_too_old_to_queue():
     model = AdmissionModel()
-    told_waits(model, usual=1500.0, many=30)
+    end_requests_with_timeout(model, usual=1500.0, many=30)
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=1500.0)
     assert model.ids_in(Stage.RUNNING) == [1, 2] and model.ids_in(Stage.QUEUED) == [3]
     (change,) = model.receive_request(
         4, READ, timeout_ms=1400.0
-    ).state_changes  # its first try came 1600 ms ago, quoted are 1000
+    ).state_changes  # its first attempt came 1600 ms ago, the objective is 1000
     assert change == (4, RequestState.REJECTED, change.duration_ms, True)
-    assert not model.receive_request(5, READ, timeout_ms=1500.0).state_changes  # a usual wait tells nothing
-    assert not model.receive_request(6, READ, timeout_ms=2900.0).state_changes  # the first try came 100 ms ago
+    assert not model.receive_request(5, READ, timeout_ms=1500.0).state_changes  # a usual timeout tells nothing
+    assert not model.receive_request(6, READ, timeout_ms=2900.0).state_changes  # the first attempt came 100 ms ago
 
 
 def test_an_old_attempt_is_run_where_a_core_is_free():
     model = AdmissionModel()
-    told_waits(model, usual=1500.0, many=30)
+    end_requests_with_timeout(model, usual=1500.0, many=30)
     assert states(model.receive_request(1, READ, timeout_ms=1400.0)) == [(1, RequestState.RUNNING)]
 
 
@@ -505,8 +505,8 @@
 
 def test_the_timeout_histogram_follows_a_new_usual_timeout():
     model = AdmissionModel()
-    told_waits(model, usual=1500.0, many=1000)
-    told_waits(model, usual=900.0, many=200)
+    end_requests_with_timeout(model, usual=1500.0, many=1000)
+    end_requests_with_timeout(model, usual=900.0, many=200)
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=1500.0)
     assert not model.receive_request(4, READ, timeout_ms=900.0).state_changes
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -1,5 +1,7 @@
-"""What comes spoilt, twice, late or under a foreign name from the worker pool and the records: it costs its own
-transaction at most, and that one still ends once."""
+"""Malformed, duplicate, late and misaddressed messages of the worker pool and the records service.
+
+Each fails its own request at most, and that one still ends once.
+"""
 
 import os
 import socket
@@ -104,14 +106,14 @@
         await rig.calling(client, A, "pay")
         (one,) = rig.node.requests.values()
         line = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
-        said = A.encode() + b" " + reply
+        reply_line = A.encode() + b" " + reply
         if order == "before":
-            os.write(line, said)  # in the system's hands, unread here
+            os.write(line, reply_line)  # in the system's hands, unread here
         rig.node.dependency_client.give_up(one)
         one.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
-                os.write(line, said)
+                os.write(line, reply_line)
         assert (await client.answer())[1] == "error"  # given up, it may have run: it is not made again
         assert len(rig.records.seen) == 1 and not rig.pool.told("supply", A)
         await rig.calling(client, B, "pay")  # and nobody else is told what was its
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,5 +1,4 @@
-"""Connections that the server ends, in the instant in which something comes on them: both sides held until that
-instant, in each of the two orders."""
+"""Connections that the server closes just as something arrives on them, in each of the two orders."""
 
 import errno
 from math import inf
@@ -25,13 +24,13 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def rested(rig: ServerRig, peer: RawClient, ago_ms: float) -> None:
-    """Have its connection be one that was last used so long ago."""
+def set_idle_for(rig: ServerRig, peer: RawClient, ago_ms: float) -> None:
+    """Have the client's connection be one that was last used so long ago."""
     rig.connection_of(peer).last_used_at_ms -= ago_ms
 
 
-async def resting(rig: ServerRig) -> RawClient:
-    """One that has asked once, has not read what it was answered, and rests."""
+async def connect_idle_client(rig: ServerRig) -> RawClient:
+    """Connect a client that has sent a health check, has not read the answer, and is idle."""
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await wait_until(
@@ -40,16 +39,16 @@
     return peer
 
 
-# A connection that has rested too long, and a transaction
+# A connection that has been idle too long, and a request
 
 
 async def test_a_request_just_before_its_idle_connection_is_closed_is_answered():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await resting(rig)
-        rested(rig, peer, 1000.0)
-        front.close_idle(500.0)  # it is told; and rests on, as some clients do
-        rested(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
+        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        set_idle_for(rig, peer, 1000.0)
+        front.close_idle(500.0)  # it is asked to close, and stays open, as some clients do
+        set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
         peer.send(encode_request(A))  # in the system's hands, unread here
         front.close_idle(500.0)
         await wait_until(lambda: rig.pool.told("spawn", A))
@@ -60,10 +59,10 @@
 async def test_a_request_just_after_its_idle_connection_was_closed_destroys_no_answer():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await resting(rig)
-        rested(rig, peer, 1000.0)
+        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        set_idle_for(rig, peer, 1000.0)
         front.close_idle(500.0)
-        rested(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
+        set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
         front.close_idle(500.0)
         peer.send(encode_request(A))  # the end has been sent and not been read
         got = await peer.to_the_end()  # and not a reset, which would take the first answer along
@@ -75,8 +74,8 @@
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=2)
-        asked, rests = await resting(rig), await resting(rig)
-        rested(rig, asked, 1000.0)  # unused for longest
+        asked, rests = await connect_idle_client(rig), await connect_idle_client(rig)
+        set_idle_for(rig, asked, 1000.0)  # unused for longest
         asked.send(encode_request(A))
         knocking = RawClient(rig.port)
         rig.node.listeners[0]._accept()
@@ -141,10 +140,10 @@
 async def test_a_partial_message_keeps_its_connection_until_it_is_complete():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer, whole = rig.node.listeners[0], await resting(rig), encode_request(A)
+        front, peer, whole = rig.node.listeners[0], await connect_idle_client(rig), encode_request(A)
         peer.send(whole[:20])
         await wait_until(lambda: any(each.stream.data is not None for each in front.table.connections))
-        rested(rig, peer, 1e6)
+        set_idle_for(rig, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
         assert not front.table.make_room()
@@ -157,10 +156,10 @@
 async def test_an_unsent_answer_keeps_its_connection():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await resting(rig)
+        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
         (connection,) = front.table.connections
         connection.stream._backlog.append(memoryview(b"rest of an answer"))
-        rested(rig, peer, 1e6)
+        set_idle_for(rig, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
         connection.begin_close(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
@@ -174,8 +173,8 @@
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=1, lingering=1)
-        front, first = rig.node.listeners[0], await resting(rig)
-        second, third = await connected(rig, first), RawClient(rig.port)
+        front, first = rig.node.listeners[0], await connect_idle_client(rig)
+        second, third = await connect_client_in_place_of(rig, first), RawClient(rig.port)
         third.send(STATUS)
         front._accept()
         # the third waits at the door
@@ -185,8 +184,8 @@
         assert b"healthy" in await third.until(b"healthy") and b"healthy" in await first.to_the_end()
 
 
-async def connected(rig: ServerRig, other: RawClient) -> RawClient:
-    """A newcomer that is taken at once, for which another one has to go."""
+async def connect_client_in_place_of(rig: ServerRig, other: RawClient) -> RawClient:
+    """Connect a client that is accepted at once, for which the other one is shed."""
     peer = RawClient(rig.port)
     rig.node.listeners[0]._accept()
     assert rig.connection_of(peer) and rig.connection_of(other).close_began_at_ms
@@ -213,7 +212,7 @@
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=10, lingering=10)
-        front, rests = rig.node.listeners[0], await resting(rig)
+        front, rests = rig.node.listeners[0], await connect_idle_client(rig)
         silent = [RawClient(rig.port) for _ in range(9)]  # more than are looked at for one that may go
         await wait_until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
         asks = RawClient(rig.port)
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -1,11 +1,10 @@
-"""Changes of configuration in a running server: what is in hand, crashes at each step, peers that misbehave."""
+"""Changes of configuration in a running server: requests in progress, crashes at each step, misbehaving peers."""
 
 import errno
 import json
 import os
 import random
 import signal
-import socket
 import struct
 import subprocess
 import sys
@@ -38,13 +37,16 @@
 from nickelslip.server.decision_executor import DecisionExecutor
 from nickelslip.server.lifecycle import Phase
 from tests.support.request_ids import A, B, C
-from tests.support.server_rig import ServerRig
+from tests.support.server_rig import ServerRig, free_port
 from tests.support.waiting import wait_until
 from tests.test_configuration import OURS, fill, ours
 
 pytestmark = pytest.mark.anyio
 RULES = ChangeRules(probation_ms=1000.0, probation_most_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
-SOON = {"grades": {"pay": {"quoted_ms": 400.0, "credit": 2.0}, "book": None}, "machine": {"running_most": 2}}
+CHANGED_DOCUMENT = {
+    "grades": {"pay": {"quoted_ms": 400.0, "credit": 2.0}, "book": None},
+    "machine": {"running_most": 2},
+}
 
 
 @pytest.fixture
@@ -54,7 +56,7 @@
 
 @pytest.fixture
 def witness(monkeypatch):
-    """A watch over every event of every transaction."""
+    """A witness of every event of every request."""
     for part, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
     seen = Witness()
@@ -62,7 +64,7 @@
     return seen
 
 
-async def asked(path, do, wait_ms=3000.0, **fields):
+async def send_command(path, do, wait_ms=3000.0, **fields):
     """One command as another process would send it."""
     return await anyio.to_thread.run_sync(
         partial(anyio.run, partial(control_client.ask_once, path, do, wait_ms, **fields))
@@ -77,13 +79,13 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")  # at a call
         await rig.running(client, B, "book", opkey="k1")
-        await client.ask(C, "book", opkey="k1", resent=1)  # joined to its forerunner
+        await client.ask(C, "book", opkey="k1", resent=1)  # coalesced with its original
         held = "00000000000000d4"
         await client.ask(held, "pay")
         await wait_until(lambda: len(rig.node.requests) == 4)
         states = {one.state for one in rig.node.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
-        reply = await rig.push(SOON)
+        reply = await rig.push(CHANGED_DOCUMENT)
         assert reply["change"]["step"] == "on_probation" and rig.node.generation.number == 2
         assert "book" not in rig.node.generation.retry_safety_by_class  # gone, yet what was read of it goes on
         await rig.records.reply(A, "DONE", b"reply")
@@ -104,7 +106,7 @@
     async with ServerRig(change_rules=RULES) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        await rig.push(SOON)
+        await rig.push(CHANGED_DOCUMENT)
         control = rig.node.decision_executor.controller
         control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
         await rig.pool.finish(A)
@@ -120,7 +122,7 @@
         await client.answer()
         control = rig.node.decision_executor.controller
         control._weight.weight, mean = 0.5, control._classes["pay"].run_ms
-        await rig.push(SOON)
+        await rig.push(CHANGED_DOCUMENT)
         assert control._classes["pay"].run_ms is mean and mean._sample_count == 1 and control._weight.weight <= 0.6
         statistics = control._classes["pay"]
         assert statistics.latency_objective_ms == 400.0 and isinstance(statistics, ClassStatistics)
@@ -209,9 +211,9 @@
     async with ServerRig(change_rules=replace(RULES, probation_most_ms=6000.0)) as rig:
         await rig.up()
         chance, begin = random.Random(3), rig.node.clock() - 14_500
-        quoted = {"payout": 100.0, "balance": 100.0}
+        objectives_ms = {"payout": 100.0, "balance": 100.0}
         rig.configuration_manager.observation.request_metrics = rig.node.request_metrics = RequestMetrics(
-            16_000.0, quoted
+            16_000.0, objectives_ms
         )
         fill(rig.configuration_manager.observation.request_metrics, chance, begin, rig.node.clock(), lambda pair: 0.97)
         await rig.push({"machine": {"cores": 6}})
@@ -227,11 +229,11 @@
                     fill(meter, chance, at, upto, kept)
                     at = (upto // 250) * 250
 
-        meter.set_latency_objectives(quoted)
+        meter.set_latency_objectives(objectives_ms)
         await go_on(lambda pair: 0.97, lambda: rig.configuration_manager.changes.current is None)
         assert rig.node.generation.number == number  # confirmed
         await rig.push({"machine": {"cores": 1}})
-        meter.set_latency_objectives(quoted)
+        meter.set_latency_objectives(objectives_ms)
         await go_on(lambda pair: 0.1, lambda: rig.configuration_manager.changes.current is None)
         assert rig.node.generation.settings.core_count == 6
         last = rig.configuration_manager.changes.records[-1]
@@ -344,13 +346,13 @@
                     confirmed = number
                 done = True
         begun.close()
-        again = HistoryStore(str(folder), 6.0)
-        kept = history.last_confirmed(again.records)
+        reopened = HistoryStore(str(folder), 6.0)
+        kept = history.last_confirmed(reopened.records)
         # the record that was being written may be whole already, or not be there; nothing in between
         assert kept is not None and kept.generation in (confirmed, confirmed + 1), (step, confirmed)
-        assert select_start(again.records, document, 1.0).document == json.loads(json.dumps(document))
-        again.append(history.HistoryRecord(999, history.HistoryEvent.REJECTED, 9, "d", "test", 0.0))
-        again.close()
+        assert select_start(reopened.records, document, 1.0).document == json.loads(json.dumps(document))
+        reopened.append(history.HistoryRecord(999, history.HistoryEvent.REJECTED, 9, "d", "test", 0.0))
+        reopened.close()
         made = max(made, count)
         if done:
             break
@@ -416,17 +418,17 @@
         await wait_until(lambda: os.path.exists(path))
         message = encode_frame({"protocol": 1, "id": 1, "do": "status"})
         async with await anyio.connect_unix(path) as stream:
-            frames, told = FrameDecoder(), []
+            frames, replies = FrameDecoder(), []
             with anyio.fail_after(2):
-                while not told:  # the greeting
-                    told += frames.feed(await stream.receive())
+                while not replies:  # the greeting
+                    replies += frames.feed(await stream.receive())
                 shifted.ahead_s += control_socket.MESSAGE_TIMEOUT_S + 1.0
                 for at in range(len(message)):
                     await stream.send(message[at : at + 1])
                     await wait_until(lambda at=at: len(pieces) == at + 1)  # each is read before the next one is sent
-                while len(told) < 2:
-                    told += frames.feed(await stream.receive())
-        assert told[1]["ok"]
+                while len(replies) < 2:
+                    replies += frames.feed(await stream.receive())
+        assert replies[1]["ok"]
 
 
 async def test_partial_malformed_and_too_many_control_messages_block_nobody(tmp_path, monkeypatch):
@@ -450,18 +452,18 @@
                     with anyio.fail_after(2), suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                         while True:
                             await stream.receive()
-        reply = await asked(path, "status")
+        reply = await send_command(path, "status")
         assert reply["ok"] and reply["generation"] == 1
-        assert (await asked(path, "apply", document={"machine": {"cores": "x"}}))["code"] == "faulty"
-        assert (await asked(path, "sing"))["code"] == "none"
-        assert (await asked(path, "apply", document={"machine": {"cores": 9}}, until_ms=1))["code"] == "late"
+        assert (await send_command(path, "apply", document={"machine": {"cores": "x"}}))["code"] == "faulty"
+        assert (await send_command(path, "sing"))["code"] == "none"
+        assert (await send_command(path, "apply", document={"machine": {"cores": 9}}, until_ms=1))["code"] == "late"
         async with await anyio.connect_unix(path) as stream:
-            frames, told = FrameDecoder(), []
+            frames, replies = FrameDecoder(), []
             await stream.send(encode_frame({"protocol": 99, "id": 5, "do": "status"}) + encode_frame({"do": 4}))
             with anyio.fail_after(2):
-                while len(told) < 3:
-                    told += frames.feed(await stream.receive())
-            assert told[0]["protocol"] == [1, 1] and [each["code"] for each in told[1:]] == ["improper"] * 2
+                while len(replies) < 3:
+                    replies += frames.feed(await stream.receive())
+            assert replies[0]["protocol"] == [1, 1] and [each["code"] for each in replies[1:]] == ["improper"] * 2
         with anyio.fail_after(2), suppress(anyio.BrokenResourceError), pytest.raises(anyio.EndOfStream):
             while True:
                 await half.receive()  # its first words, and then its end
@@ -469,11 +471,11 @@
         for each in crowd:
             await each.receive()
         with pytest.raises(control_client.ServerUnreachableError):
-            await asked(path, "status", 500.0)
+            await send_command(path, "status", 500.0)
         for each in crowd:
             await each.aclose()
         await wait_until(lambda: not rig.node.background_tasks[-1].__self__.open_connection_count)
-        assert (await asked(path, "status"))["ok"]
+        assert (await send_command(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
             control_socket.remove_stale_socket(path)
 
@@ -483,10 +485,10 @@
 
 async def test_a_roll_out_rolls_back_by_its_own_mark_what_it_applied_and_nothing_else():
     """The shell over nodes that are here: the second wave meets one that undoes, and one that never answers."""
-    origins, told = {}, []
+    origins, commands = {}, []
 
     async def ask(node, do, wait_ms, **fields):
-        told.append((node, do))
+        commands.append((node, do))
         if node == "n2":
             await anyio.sleep(0.05)
             raise control_client.ServerUnreachableError("no answer in time")
@@ -497,7 +499,7 @@
         if do == "rollback":
             good = origins.get(node) == fields["from"]
             return {"ok": good, "code": "overtaken"}
-        undone = node == "n1" and told.count((node, "status")) > 1
+        undone = node == "n1" and commands.count((node, "status")) > 1
         return {
             "ok": True,
             "digest": "d0" if undone else f"d-{node}",
@@ -517,17 +519,11 @@
         "n2": Place.STUCK,
         "n3": Place.REVERTED,
     }
-    assert ("n1", "rollback") not in told and len({*origins.values()}) == 1
+    assert ("n1", "rollback") not in commands and len({*origins.values()}) == 1
 
 
-def free_port():
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()[1]
-
-
-def served(tmp_path, port, **changes):
-    """A server of its own process without its peers: it waits for them, and takes changes meanwhile."""
+def start_program(tmp_path, port, **changes):
+    """Start the program without its peers: it waits for them, and applies changes meanwhile."""
     base, extra = tmp_path / "base.json5", tmp_path / "extra.json"
     if not base.exists():
         base.write_text(OURS)
@@ -563,7 +559,7 @@
     overlay.write_text("{machine: {cores: 6}, // as measured on Friday\n}")
     bad.write_text("{machine: {cores: 0,\n running_mots: 3}, grades: {payout: {repeat: 'often'}}}")
     port = free_port()
-    process, base = served(tmp_path, port)
+    process, base = start_program(tmp_path, port)
     try:
         assert "in order" in ask("check", str(base))
         faults = ask("check", str(base), str(bad), code=2)
@@ -575,15 +571,15 @@
         assert "on probation" in ask("apply", *path)
         process.send_signal(signal.SIGKILL)  # before it was confirmed
         process.wait()
-        process, _ = served(tmp_path, port)
+        process, _ = start_program(tmp_path, port)
         assert json.loads(ask("status", *path, "--json"))["generation"] == 1
         ask("apply", *path, str(overlay))
         ask("confirm", *path)
         process.send_signal(signal.SIGKILL)
         process.wait()
-        process, _ = served(tmp_path, port)
-        told = json.loads(ask("status", *path, "--json"))
-        assert told["generation"] == 3 and told["origin"] == "history, confirmed"
+        process, _ = start_program(tmp_path, port)
+        status = json.loads(ask("status", *path, "--json"))
+        assert status["generation"] == 3 and status["origin"] == "history, confirmed"
         assert "nothing differs" in ask("diff", *path, str(overlay))
         assert "nothing differs" in ask("apply", *path, str(overlay), code=3)
         assert "confirmed" in ask("history", *path)
@@ -594,7 +590,7 @@
         base.write_text(OURS.replace("cores: 2", "cores: 3"))  # another file is a later word
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
-        process, _ = served(tmp_path, port)
+        process, _ = start_program(tmp_path, port)
         assert json.loads(ask("status", *path, "--json"))["origin"] == "file"
     finally:
         process.kill()
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,5 +1,7 @@
-"""Crowds and floods: whoever comes in, however many and with whatever, keeps neither balancers nor checks, the worker
-pool's link, calls or reports out."""
+"""Floods of connections and messages.
+
+They may not keep out load balancers, health checks, the worker pool's link, calls or load reports.
+"""
 
 import resource
 import socket
@@ -24,14 +26,14 @@
     return "asyncio", {"use_uvloop": True}
 
 
-async def limited(rig: ServerRig, process, descriptors: int) -> None:
-    """Have the system itself keep the process to its limit from here on."""
+async def set_descriptor_limit(rig: ServerRig, process, descriptors: int) -> None:
+    """Set the descriptor limit of the process from here on."""
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
     await wait_until(lambda: rig.reports)
 
 
-async def crowd(rig: ServerRig, tasks: ExitStack, many: int, asks: bool) -> list[RawClient]:
-    """So many that rest until the server ends them, silent or after one check."""
+async def connect_clients(rig: ServerRig, tasks: ExitStack, many: int, asks: bool) -> list[RawClient]:
+    """Connect so many clients that stay idle until the server closes them, silent or after one health check."""
     peers = []
     for _ in range(many):
         peer = RawClient(rig.port)
@@ -51,12 +53,12 @@
         rig.pool.up.set()
         async with run_program(rig, tmp_path) as process:
             with ExitStack() as closing:
-                await limited(rig, process, 120)
+                await set_descriptor_limit(rig, process, 120)
                 port = await rig.directory_down()
-                await crowd(rig, closing, 200, asks)
-                balancer = RawClient(rig.port)
-                closing.callback(balancer.sock.close)
-                balancer.send(encode_request(A, "read"))
+                await connect_clients(rig, closing, 200, asks)
+                client = RawClient(rig.port)
+                closing.callback(client.sock.close)
+                client.send(encode_request(A, "read"))
                 await wait_until(lambda: rig.pool.told("spawn", A), 2.0)
                 await rig.pool.block(A)
                 await wait_until(lambda: rig.records.seen, 1.0)  # a call still finds a descriptor
@@ -65,7 +67,7 @@
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.told("supply", A), 1.0)
                 await rig.pool.finish(A)
-                assert b"result" in await balancer.until(b"result")
+                assert b"result" in await client.until(b"result")
                 check = RawClient(rig.port)
                 closing.callback(check.sock.close)
                 check.send(STATUS)
@@ -83,8 +85,8 @@
         rig.pool.up.set()
         async with run_program(rig, tmp_path) as process:
             with ExitStack() as closing:
-                await limited(rig, process, descriptors)
-                await crowd(rig, closing, 3 * descriptors, True)
+                await set_descriptor_limit(rig, process, descriptors)
+                await connect_clients(rig, closing, 3 * descriptors, True)
                 client = await rig.caller()
                 await rig.calling(client, A, "read")
                 await rig.records.reply(A, "DONE", b"reply")
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -1,5 +1,7 @@
-"""Settings that no earlier deployment had, as the real server takes them: no customers, runs that can be paused, a tier
-of servers below in place of a shared dependency, and no marks on further tries."""
+"""Settings that no earlier deployment had, in the real server.
+
+No tenants, runs that can be paused, a tier of servers below in place of a shared dependency, and no marks on retries.
+"""
 
 import anyio
 import pytest
@@ -20,7 +22,7 @@
 
 
 def new_operator(**facts: object) -> ServerRig:
-    """A server told what the operators without customers tell."""
+    """Build a rig with the settings of operators without tenants."""
     rig = ServerRig(below="next_hop", **facts)
     for name in ("dep-share", "calls-over-ms", "stays-for-ms"):
         del rig.platform_settings["specifics"][name]
@@ -30,18 +32,18 @@
     return rig
 
 
-async def test_without_customers_a_transaction_names_none_and_is_served():
+async def test_without_tenants_a_request_names_none_and_is_served():
     async with new_operator() as rig:
         client = await (await rig.up()).caller()
         assert not rig.node.generation.settings.tenants and not rig.node.generation.settings.clients_mark_retries
         await rig.running(client, A, without="owner")
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
-        await client.ask(B)  # for a customer that nobody knows
+        await client.ask(B)  # for an unknown tenant
         assert (await client.answer())[:2] == (2, "error")
 
 
-async def test_a_run_that_can_be_paused_is_stopped_once_its_caller_has_gone():
+async def test_a_run_that_can_be_paused_is_stopped_once_its_client_has_disconnected():
     async with new_operator(**{"stop-mode": "pause"}) as rig:
         client = await (await rig.up()).caller()
         assert rig.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
@@ -52,7 +54,7 @@
         await wait_until(lambda: not rig.node.requests)
 
 
-async def test_calls_to_a_tier_below_are_bound_by_no_part_and_a_broken_one_is_made_again_or_left_out():
+async def test_calls_to_a_downstream_tier_are_not_limited_and_a_broken_one_is_retried_or_skipped():
     async with new_operator(cpus=4) as rig:
         client = await (await rig.up()).caller()
         for request_id in (A, B, C):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats of a transaction that runs once within its window: what is taken for one, and when."""
+"""Repeats of a request that runs once within its window: what is taken for one, and when."""
 
 import time
 
@@ -79,7 +79,7 @@
 # When
 
 
-def short_window(rig: ServerRig, window_ms: float) -> None:
+def set_idempotency_window(rig: ServerRig, window_ms: float) -> None:
     rig.platform_settings["classes"][2]["memory-span-ms"] = window_ms
     rig.reload_settings()
 
@@ -87,7 +87,7 @@
 async def test_a_repeat_within_its_window_that_was_read_after_it_is_still_coalesced(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
-        short_window(rig, 300.0)
+        set_idempotency_window(rig, 300.0)
         client = await (await rig.up()).caller()
         began = int(time.time() * 1000)
         await rig.running(client, A, "book", opkey="k1", ts=began, timeout=200)
@@ -102,7 +102,7 @@
 async def test_a_repeat_after_the_window_waits_for_a_run_in_progress(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
-        short_window(rig, 100.0)
+        set_idempotency_window(rig, 100.0)
         client = await (await rig.up()).caller()
         await rig.running(client, A, "book", opkey="k1", timeout=300)
         assert (await client.answer())[1] == "error"  # it was due, and its run goes on
@@ -120,7 +120,7 @@
 async def test_records_that_can_serve_no_repeat_are_purged(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
-        short_window(rig, 100.0)
+        set_idempotency_window(rig, 100.0)
         for traffic_class in rig.platform_settings["classes"]:
             traffic_class["aim-ms"] = traffic_class["deadline-ms"] = 200.0
         rig.reload_settings()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The module and the plain model of the rules must agree on what is allowed, on generated days."""
+"""The controller and the plain model of the rules agree on what is allowed, on generated events."""
 
 from dataclasses import replace
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,5 +1,4 @@
-"""Leaving: what is owed when the server is told to, when it shuts its door, and when it ends, with what crosses each of
-these held until that instant."""
+"""Graceful shutdown: what is answered when the drain begins, when the listener closes and when the server ends."""
 
 import socket
 import time
@@ -24,8 +23,8 @@
     return "asyncio", {"use_uvloop": True}
 
 
-async def ready(rig: ServerRig) -> RawClient:
-    """One that has asked once, has not read what it was answered, and rests."""
+async def connect_idle_client(rig: ServerRig) -> RawClient:
+    """Connect a client that has sent a health check, has not read the answer, and is idle."""
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await wait_until(
@@ -34,11 +33,11 @@
     return peer
 
 
-# The door
+# The listener
 
 
-class Knocking:
-    """The listener, and somebody who knocks when the last look has found nobody, just before the door is shut."""
+class ListenerWithLateClient:
+    """A listener to which a client connects between the last accept and the close."""
 
     def __init__(self, real: socket.socket) -> None:
         self._real, self.late = real, socket.socket()
@@ -65,7 +64,7 @@
     async with ServerRig() as rig:
         await rig.up()
         front = rig.node.listeners[0]
-        knocking = front._listener = Knocking(rig.listener)
+        knocking = front._listener = ListenerWithLateClient(rig.listener)
         front.stop_accepting()
         with anyio.fail_after(5):
             await anyio.wait_writable(knocking.late)
@@ -104,17 +103,17 @@
         assert (await client.answer())[:2] == (1, "done") and b"result" in await late.until(b"result")
 
 
-# Those who rest until the server ends them
+# Idle connections until the server closes them
 
 
 async def test_idle_connections_do_not_delay_the_shutdown_and_keep_their_answers():
     async with ServerRig() as rig:
         await rig.up()
-        rests, silent = await ready(rig), RawClient(rig.port)
+        rests, silent = await connect_idle_client(rig), RawClient(rig.port)
         await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 2)
         began = time.monotonic()
         rig.node.begin_shutdown()
-        got = await rests.to_the_end()  # a plain end, with all that it was told
+        got = await rests.to_the_end()  # a close without a reset, after all that was sent
         assert b"healthy" in got and got.endswith(CLOSING) and await silent.to_the_end() == CLOSING
         await wait_until(lambda: rig.clean is True)
         assert time.monotonic() - began < 0.6  # the kill comes after 0.7 s
@@ -124,7 +123,7 @@
 async def test_a_request_that_crosses_the_close_of_its_idle_connection(order, monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
-        peer, front = await ready(rig), rig.node.listeners[0]
+        peer, front = await connect_idle_client(rig), rig.node.listeners[0]
         (connection,) = front.table.connections
         shut_down = connection.stream.shut_down
 
@@ -157,7 +156,7 @@
 async def test_a_partial_message_is_waited_for_to_the_end_and_answered_once_complete():
     async with ServerRig() as rig:
         await rig.up()
-        peer, whole = await ready(rig), encode_request(A)
+        peer, whole = await connect_idle_client(rig), encode_request(A)
         peer.send(whole[:30])
         rig.node.begin_shutdown()
         assert b"closing" in await peer.until(b"closing")
@@ -174,7 +173,7 @@
 async def test_a_partial_message_that_never_ends_is_closed_before_the_kill_without_a_reset():
     async with ServerRig() as rig:
         await rig.up()
-        peer = await ready(rig)
+        peer = await connect_idle_client(rig)
         peer.send(encode_request(A)[:30])
         began = time.monotonic()
         rig.node.begin_shutdown()
@@ -250,7 +249,7 @@
 async def test_an_interrupted_shutdown_still_ends(monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
-        await ready(rig)
+        await connect_idle_client(rig)
         monkeypatch.setattr(load_balancer_listener, "CLOSE_CROSSING_MS", 1e6)
         rig.node.begin_shutdown()
         await wait_until(lambda: rig.node.phase is Phase.SHUTTING_DOWN)
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -1,6 +1,6 @@
 """Messages that come in pieces: how long the rest of one is waited for, and from when that is counted.
 
-Time passes for the server by moving its clock while nothing is on its way, so that no test waits for a limit.
+The server's clock is moved while nothing is on its way, so that no test waits for a limit.
 """
 
 import time
@@ -26,11 +26,11 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def half_read(rig: ServerRig, peer: RawClient) -> bool:
+def has_partial_message(rig: ServerRig, peer: RawClient) -> bool:
     return (side := rig.connection_of(peer)) is not None and side.stream.data is not None
 
 
-class Clock:
+class ShiftedClock:
     """The server's clock, which a test moves forward."""
 
     def __init__(self, rig: ServerRig) -> None:
@@ -41,12 +41,12 @@
         self._moved_ms += ms
 
     def encode_request(self, request_id: str, later_ms: float = 0.0, **fields: object) -> bytes:
-        """A transaction that comes so much later than now, by this clock."""
+        """Encode a request that arrives so much later than now, by this clock."""
         return encode_request(request_id, ts=int(time.time() * 1000 + self._moved_ms + later_ms), **fields)
 
 
-async def resting(rig: ServerRig) -> RawClient:
-    """A peer that has asked once and rests."""
+async def connect_idle_client(rig: ServerRig) -> RawClient:
+    """Connect a client that has sent a health check, has read the answer, and is idle."""
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await peer.until(b"healthy")
@@ -67,7 +67,7 @@
             )
 
 
-async def served(rig: ServerRig, peer: RawClient, request_id: str) -> None:
+async def finish_request(rig: ServerRig, peer: RawClient, request_id: str) -> None:
     await wait_until(lambda: rig.pool.told("spawn", request_id))
     await rig.pool.finish(request_id)
     assert b"result" in await peer.until(b"result")
@@ -78,51 +78,51 @@
 async def test_a_message_in_pieces_on_an_idle_connection_is_answered(size, leaving):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
-        clock, peer = Clock(rig), await resting(rig)
-        other = await resting(rig)
+        clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
+        other = await connect_idle_client(rig)
         other.send(clock.encode_request(B))  # keeps a server that leaves from ending before
         await wait_until(lambda: rig.pool.told("spawn", B))
         clock.advance(MESSAGE_TIMEOUT_MS + 500.0)
         if leaving:
             rig.node.begin_shutdown()
         await send_in_pieces(rig, peer, clock.encode_request(A), size)
-        await served(rig, peer, A)
+        await finish_request(rig, peer, A)
         await rig.pool.finish(B)
 
 
 async def test_the_timeout_of_a_first_message_starts_at_its_first_byte():
     async with ServerRig() as rig:
         await rig.up()
-        clock, peer = Clock(rig), RawClient(rig.port)
+        clock, peer = ShiftedClock(rig), RawClient(rig.port)
         await wait_until(lambda: rig.connection_of(peer))
         clock.advance(NEARLY_MS)
         message = clock.encode_request(A, NEARLY_MS)  # when it is whole
         peer.send(message[:20])
-        await wait_until(lambda: half_read(rig, peer))
+        await wait_until(lambda: has_partial_message(rig, peer))
         clock.advance(NEARLY_MS)
         peer.send(message[20:40])
         await wait_until(lambda: rig.connection_of(peer) is None or rig.connection_of(peer).stream.end == 40)
         peer.send(message[40:])
-        await served(rig, peer, A)
+        await finish_request(rig, peer, A)
 
 
 async def test_a_message_begun_behind_another_has_its_own_timeout():
     async with ServerRig(cpus=32) as rig:
         await rig.up()
-        clock, peer = Clock(rig), await resting(rig)
+        clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
         first, second = (
             clock.encode_request(A, NEARLY_MS, tag=2),
             clock.encode_request(B, 2 * NEARLY_MS, tag=3),
         )  # when they are whole
         peer.send(first[:20])
-        await wait_until(lambda: half_read(rig, peer))
+        await wait_until(lambda: has_partial_message(rig, peer))
         clock.advance(NEARLY_MS)
         peer.send(first[20:] + second[:20])
-        await served(rig, peer, A)
+        await finish_request(rig, peer, A)
         clock.advance(NEARLY_MS)
         assert not rig.node.listeners[0].table.slow_writers
         peer.send(second[20:])
-        await served(rig, peer, B)
+        await finish_request(rig, peer, B)
 
 
 async def test_a_stalled_partial_message_is_closed_after_the_longest_timeout(monkeypatch):
@@ -130,7 +130,7 @@
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         vars(rig.node.generation)["longest_timeout_ms"] = 400.0
-        peer = await resting(rig)
+        peer = await connect_idle_client(rig)
         begun = time.monotonic()
         peer.send(encode_request(A) + encode_request(B, tag=3)[:30])
         await wait_until(lambda: rig.pool.told("spawn", A))
@@ -151,17 +151,17 @@
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         rig.set_descriptor_shares(balancers=8)
-        front, slow = rig.node.listeners[0], [await resting(rig) for _ in range(2)]
+        front, slow = rig.node.listeners[0], [await connect_idle_client(rig) for _ in range(2)]
         for peer in slow:
             peer.send(STATUS[:10])
         await wait_until(lambda: len(front.table.slow_writers) == 2)
-        beyond = await resting(rig)
+        beyond = await connect_idle_client(rig)
         beyond.send(STATUS[:10])
         assert await beyond.to_the_end(1.0) == b""
         slow[0].send(STATUS[10:])
         assert b"healthy" in await slow[0].until(b"healthy")
         assert len(front.table.slow_writers) == 1
-        late = await resting(rig)
+        late = await connect_idle_client(rig)
         late.send(STATUS[:10])
         await wait_until(lambda: rig.connection_of(late) in front.table.slow_writers)
         for peer in (slow[1], late):
@@ -174,7 +174,7 @@
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await resting(rig)
+        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
         peer.send(STATUS[:10])
         await wait_until(lambda: front.table.slow_writers)
         with suppress(OSError):
