--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -112,7 +112,7 @@
             lingered_ms = now_ms - (connection.close_began_at_ms or now_ms)
             if not connection.has_sent_complete_message or lingered_ms >= CLOSE_CROSSING_MS:
                 self.remove(connection)
-                connection.stream.end_with(CloseReason.SHED)
+                connection.stream.abort(CloseReason.SHED)
                 return True
         return False
 
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -151,7 +151,7 @@
             reason = CloseReason.FAULT
             context.log.error("control_connection_failed", error=repr(error), exc_info=error)
         finally:
-            stream.end_with(reason)
+            stream.abort(reason)
             self.open_connection_count -= 1
 
     async def _answer_requests(self, stream: Stream) -> None:
@@ -172,7 +172,7 @@
                 begun_s = time.monotonic()
             for message in messages:
                 stream.write(encode_frame(await self._reply(message)))
-                await stream.room()
+                await stream.wait_for_backlog()
 
     async def _reply(self, request: dict[str, Any]) -> dict[str, Any]:
         """Return the reply to one request."""
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -4,7 +4,7 @@
 
 * a close request asks the load balancer to send nothing new and to close;
 * a lingering close ends this side's direction and reads on for a moment, so that no answer on its way is lost;
-* an abort (`Stream.end_with`) closes the socket at once.
+* an abort (`Stream.abort`) closes the socket at once.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
             self._server.log.error("load_balancer_connection_failed", error=repr(error), exc_info=error)
             await self._drain()
         finally:
-            self.stream.end_with(closed.reason)
+            self.stream.abort(closed.reason)
             self.requests.abandon_all()
             self._log.report_close(closed)
 
@@ -92,7 +92,7 @@
             ConnectionClosedError: The connection is over; there is no other end of this method.
         """
         while True:
-            await self.stream.room()
+            await self.stream.wait_for_backlog()
             await self._receive()
             self._handle_received()
             if self.requests.consecutive_refusal_count > MAX_CONSECUTIVE_REFUSALS:
@@ -175,7 +175,7 @@
 
         What arrives later crosses the close.
         """
-        if not self.is_idle or not self.stream.quiet:
+        if not self.is_idle or not self.stream.is_open_and_unreadable:
             return False
         self.begin_close(reason)
         return True
@@ -201,5 +201,5 @@
     async def _wait_until_sent(self) -> None:
         """Wait for the other side to read its answers, for as long as a stream may stall."""
         with anyio.move_on_after(self._server.generation.longest_timeout_ms / 1000):
-            while not self.stream.all_sent and not self.stream.ending:
+            while not self.stream.all_sent and not self.stream.close_reason:
                 await anyio.sleep(SEND_POLL_INTERVAL_S)
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -158,7 +158,7 @@
         return (
             self._state is PooledConnectionState.IDLE
             and self._stream is not None
-            and self._stream.quiet
+            and self._stream.is_open_and_unreadable
             and self._address == self._context.generation.config.records
             and self._context.clock() - self._idle_since_ms <= MAX_REUSE_IDLE_MS
         )
@@ -171,7 +171,7 @@
         self._enter_on(PooledConnectionEvent.CLOSED)
         self._connect_scope.cancel()  # its descriptor is free at once for a call that somebody waits for
         if self._stream is not None:
-            self._stream.end_with(closed.reason)
+            self._stream.abort(closed.reason)
         if request is None:
             return
         self._pool.call_ended(request)
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -29,13 +29,13 @@
         buffers: The pool of buffers.
         task_group: Where the task runs that sends the backlog.
         stall_timeout_ms: How long the other side may pause in the middle of a message, or not read.
-        max_backlog_bytes: Unsent bytes over which `room` waits.
+        max_backlog_bytes: Unsent bytes over which `wait_for_backlog` waits.
         may_use_reserve: Whether the reserved buffers of the pool may be taken.
 
     Attributes:
         data: A buffer in which `data[start:end]` was read and not yet taken, or None if there is nothing.
         shut_down_reason: Why nothing more is sent, while the other side may still send; None before.
-        ending: Why the stream has ended; None before.
+        close_reason: Why the stream has ended; None before.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self._backlog = SendBacklog(buffers, may_use_reserve)
         self._backlog_shrunk = anyio.Event()
         self.shut_down_reason: CloseReason | None = None
-        self.ending: CloseReason | None = None
+        self.close_reason: CloseReason | None = None
 
     # Reading
 
@@ -90,9 +90,9 @@
         self.start = max(self.start, upto)
         self._release_if_empty()
 
-    async def room(self) -> None:
+    async def wait_for_backlog(self) -> None:
         """Wait until the other side has read most of what it was sent."""
-        while self._backlog.allocated_bytes > self._max_backlog_bytes and not self.ending:
+        while self._backlog.allocated_bytes > self._max_backlog_bytes and not self.close_reason:
             self._backlog_shrunk = anyio.Event()
             await self._backlog_shrunk.wait()
 
@@ -105,7 +105,7 @@
         self.shut_down(CloseReason.SHUTDOWN)
         with anyio.move_on_after(LINGER_TIMEOUT_S):
             try:
-                while not self.ending:
+                while not self.close_reason:
                     self.take(self.end)
                     await self._wait_for(anyio.wait_readable)
                     if not self._sock.recv_into(DISCARDED):
@@ -115,9 +115,9 @@
                 return
 
     @property
-    def quiet(self) -> bool:
+    def is_open_and_unreadable(self) -> bool:
         """Whether the stream is open with nothing to be read, neither bytes nor its end."""
-        if self.shut_down_reason or self.ending or self.data is not None:
+        if self.shut_down_reason or self.close_reason or self.data is not None:
             return False
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -128,7 +128,7 @@
         return False
 
     def _raise_if_over(self) -> None:
-        reason = self.shut_down_reason or self.ending
+        reason = self.shut_down_reason or self.close_reason
         if reason is not None:
             raise ConnectionClosedError(reason)
 
@@ -147,7 +147,7 @@
         try:
             await ready(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
-            raise ConnectionClosedError(self.shut_down_reason or self.ending or CloseReason.RESET) from None
+            raise ConnectionClosedError(self.shut_down_reason or self.close_reason or CloseReason.RESET) from None
 
     def _buffer_with_space(self) -> bytearray:
         """Return the buffer to read into, with what is not taken moved to its front."""
@@ -205,7 +205,7 @@
 
         An error is not raised here: it ends the stream, and `fill` raises it. False proves that nothing was sent.
         """
-        if self.shut_down_reason or self.ending:
+        if self.shut_down_reason or self.close_reason:
             return False
         sent_bytes = 0
         if self._backlog.is_empty:
@@ -214,7 +214,7 @@
             except (BlockingIOError, InterruptedError):
                 sent_bytes = 0
             except OSError:
-                self.end_with(CloseReason.RESET)
+                self.abort(CloseReason.RESET)
                 return False
         if sent_bytes < len(data):
             self._enqueue(memoryview(data)[sent_bytes:])
@@ -226,22 +226,22 @@
         try:
             self._backlog.append(data)
         except ConnectionClosedError as closed:
-            self.end_with(closed.reason)
+            self.abort(closed.reason)
 
     async def _flush(self) -> None:
         """Send the backlog until it is empty or the stream ends."""
         timeout_s = None if self._stall_timeout_ms == inf else self._stall_timeout_ms / 1000
         try:
-            while not self._backlog.is_empty and not self.ending:
+            while not self._backlog.is_empty and not self.close_reason:
                 with anyio.fail_after(timeout_s):
                     await self._wait_for(anyio.wait_writable)
-                if self.ending:
+                if self.close_reason:
                     return
                 self._send_backlog()
         except TimeoutError:
-            self.end_with(CloseReason.STALLED)
+            self.abort(CloseReason.STALLED)
         except (ConnectionClosedError, OSError):
-            self.end_with(CloseReason.RESET)
+            self.abort(CloseReason.RESET)
 
     def _send_backlog(self) -> None:
         try:
@@ -258,21 +258,21 @@
 
         `fill` raises the reason, and its caller goes on with `linger`. Only the first call counts.
         """
-        if self.shut_down_reason or self.ending:
+        if self.shut_down_reason or self.close_reason:
             return
         self.shut_down_reason = reason
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.end_with(CloseReason.RESET)
+            self.abort(CloseReason.RESET)
             return
         anyio.notify_closing(self._sock)
 
-    def end_with(self, reason: CloseReason) -> None:
+    def abort(self, reason: CloseReason) -> None:
         """Close the socket at once and give all buffers back; `fill` raises the reason. Only the first call counts."""
-        if self.ending:
+        if self.close_reason:
             return
-        self.ending = reason
+        self.close_reason = reason
         anyio.notify_closing(self._sock)
         self._sock.close()
         self._backlog.clear()
--- a/nickelslip/server/tagged_requests.py
+++ b/nickelslip/server/tagged_requests.py
@@ -101,7 +101,7 @@
 
     async def wait_until_answered(self) -> None:
         """Wait until no request is open, or the stream has ended."""
-        while self._requests and not self._stream.ending:
+        while self._requests and not self._stream.close_reason:
             self._drained = anyio.Event()
             await self._drained.wait()
 
--- a/nickelslip/server/worker_pool_connection.py
+++ b/nickelslip/server/worker_pool_connection.py
@@ -104,7 +104,7 @@
     @property
     def is_up(self) -> bool:
         """Whether a command can be written now."""
-        return self.state is LinkState.UP and self._stream is not None and not self._stream.ending
+        return self.state is LinkState.UP and self._stream is not None and not self._stream.close_reason
 
     def write(self, line: bytes) -> None:
         """Write a line, where there is a stream."""
@@ -131,7 +131,7 @@
             return
         self._queries_without_read += 1
         if self._queries_without_read > MAX_QUERIES_WITHOUT_READ:
-            self._stream.end_with(CloseReason.UNRESPONSIVE)
+            self._stream.abort(CloseReason.UNRESPONSIVE)
 
     async def run(self) -> None:
         """Keep the link, and take it up again when it is lost."""
@@ -169,7 +169,7 @@
             return None
         self._replacement = None
         if self._address != self._configured_address:
-            stream.end_with(CloseReason.ENDPOINT_CHANGED)
+            stream.abort(CloseReason.ENDPOINT_CHANGED)
             return None
         backoff.after_success()
         return stream
@@ -184,7 +184,7 @@
             await self._read(stream)
         except ConnectionClosedError as closed:
             self._context.log.warning("worker_pool_link_closed", reason=closed.reason.name, detail=closed.detail)
-            stream.end_with(closed.reason)
+            stream.abort(closed.reason)
             self._stream = None
             self._enter_on(LinkEvent.CLOSED)
             if closed.reason is not CloseReason.ENDPOINT_CHANGED:
@@ -223,7 +223,7 @@
         if self.is_up:
             self._context.task_group.start_soon(self._context.supervise, self._move_to, self._configured_address)
         elif self._stream is not None:
-            self._stream.end_with(CloseReason.ENDPOINT_CHANGED)
+            self._stream.abort(CloseReason.ENDPOINT_CHANGED)
         elif self._connect_scope is not None:
             self._connect_scope.cancel()
 
@@ -244,14 +244,14 @@
             with anyio.move_on_after(MAX_CONFIRMATION_WAIT_MS / 1000):
                 await self._all_confirmed.wait()
         if old is None or self._stream is not old or self.state is not LinkState.MOVING:
-            replacement.end_with(CloseReason.IDLE)
+            replacement.abort(CloseReason.IDLE)
             return
         if address == self._configured_address:
             self._replacement = replacement
             self._address = address
         else:  # the address changed again meanwhile: the old link ends all the same, since commands wait
-            replacement.end_with(CloseReason.IDLE)
-        old.end_with(CloseReason.ENDPOINT_CHANGED)
+            replacement.abort(CloseReason.IDLE)
+        old.abort(CloseReason.ENDPOINT_CHANGED)
 
     async def _connect_replacement(self, old: Stream | None, address: Address) -> Stream | None:
         """Return a connection to the new address; None where the move is not wanted any more."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -679,7 +679,7 @@
             (
                 each
                 for each in self.node.listeners[0].table.connections
-                if not each.stream.ending and each.stream._sock.getpeername() == peer.name
+                if not each.stream.close_reason and each.stream._sock.getpeername() == peer.name
             ),
             None,
         )
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -42,7 +42,7 @@
         stream = place.node.worker_pool._connection._stream
         if order == "before":
             unread(place, **notice)
-        stream.end_with(CloseReason.RESET)  # in the same step: the task that was woken finds it ended
+        stream.abort(CloseReason.RESET)  # in the same step: the task that was woken finds it ended
         assert (await caller.answer())[1::2] == ("done", b"once")
         await until(lambda: len(place.pool.binds()) == 2 and not place.node.requests)
         assert place.pool.binds()[1]["seq"] == 0 and len(place.pool.told("spawn", A)) == 1
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -460,7 +460,7 @@
     async with Place() as place:
         caller = await (await place.up()).caller()
         await place.running(caller, A, "pay")
-        place.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        place.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # of which its reader has not heard
         place.node.worker_pool.resume_with_reply(place.node.requests[int(A, 16)], b"reply")
         await until(lambda: place.pool.told("supply", A))
         assert place.pool.links == 2 and len(place.pool.told("spawn", A)) == 1
@@ -730,7 +730,7 @@
         await place.records.reply(A, "DONE", b"")
         await until(lambda: place.pool.told("supply", A))
         await place.running(caller, B, "pay")
-        place.node.dependency_client._idle_connections[0]._stream.end_with(
+        place.node.dependency_client._idle_connections[0]._stream.abort(
             CloseReason.RESET
         )  # of which its reader has not heard
         await place.pool.block(B)
