--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -324,24 +324,23 @@
     def restart(self, now_ms: float) -> None:
         """Discard what was recorded up to now, since it says nothing about the change."""
         self.evaluated_until_ms = now_ms + SETTLE_MS
-        self._since = MetricsWindow()
+        self._window_since_change = MetricsWindow()
         self._recent_buckets = deque[MetricsBucket](maxlen=int(RECENT_MS / BUCKET_MS))
         self._last_kind = ""  # of harm
         self._consecutive_findings = 0
 
-    def evaluate(self, now_ms: float, buckets: Iterable[MetricsBucket]) -> CanaryVerdict:
+    def evaluate(self, buckets: Iterable[MetricsBucket]) -> CanaryVerdict:
         """Return the verdict on all that was recorded since the change.
 
         Args:
-            now_ms: The present moment; the end of the buckets, so it decides nothing.
             buckets: The whole buckets from ``evaluated_until_ms`` to now, the oldest first.
         """
         for bucket in buckets:
-            self._since.add(bucket)
+            self._window_since_change.add(bucket)
             self._recent_buckets.append(bucket)
             self.evaluated_until_ms = (bucket.number + 1) * BUCKET_MS
-        harm = self._find_harm(self._since)
-        if harm is None and self._since.bucket_count > len(self._recent_buckets):
+        harm = self._find_harm(self._window_since_change)
+        if harm is None and self._window_since_change.bucket_count > len(self._recent_buckets):
             harm = self._find_harm(MetricsWindow(self._recent_buckets))
         if harm is None:
             self._last_kind = ""
@@ -373,12 +372,12 @@
     def _assess_without_harm(self) -> CanaryVerdict:
         """Return whether enough was recorded to call the change harmless."""
         baseline = self._baseline
-        load = load_ratio(baseline, self._since)
-        completed = self._since.total().completed_in_time
+        load = load_ratio(baseline, self._window_since_change)
+        completed = self._window_since_change.total().completed_in_time
         completed_before = baseline.total().completed_in_time
         expected = 0.0
         if baseline.duration_ms:
-            expected = completed_before * self._since.duration_ms / baseline.duration_ms
+            expected = completed_before * self._window_since_change.duration_ms / baseline.duration_ms
         figures = {"load": round(load, 3), "expected": round(expected, 1), "in_time": float(completed)}
         if expected < MIN_EXPECTED_COMPLETIONS or completed < MIN_COMPLETIONS:
             return CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "too few transactions to tell", figures)
--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -31,12 +31,12 @@
 
     Attributes:
         request_metrics: Where the server counts its requests.
-        verdict: The verdict of the latest look at a change.
+        verdict: The latest verdict on a change.
     """
 
     def __init__(self, server: Server, request_metrics: RequestMetrics) -> None:
         self._server = server
-        self._judge: CanaryAnalysis | None = None
+        self._analysis: CanaryAnalysis | None = None
         self._excluded_spans: list[TimeSpan] = []
         self.request_metrics = request_metrics
         self.verdict: CanaryVerdict | None = None
@@ -44,7 +44,7 @@
     @property
     def is_active(self) -> bool:
         """Whether a change is being analysed."""
-        return self._judge is not None
+        return self._analysis is not None
 
     @property
     def is_conclusive(self) -> bool:
@@ -95,23 +95,21 @@
 
     def begin(self, baseline: Baseline, standard_errors: float) -> None:
         """Begin to analyse a change that has just been adopted."""
-        self._judge = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
+        self._analysis = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
 
     def restart(self, now_ms: float) -> None:
         """Discard what was observed of the change up to now."""
-        if self._judge is not None:
-            self._judge.restart(now_ms)
+        if self._analysis is not None:
+            self._analysis.restart(now_ms)
 
-    def look(self, now_ms: float) -> CanaryVerdict | None:
+    def evaluate(self, now_ms: float) -> CanaryVerdict | None:
         """Return the verdict on the change with all that has been measured since, or None if there is no change."""
-        if self._judge is None:
+        if self._analysis is None:
             return None
-        self.verdict = self._judge.evaluate(
-            now_ms, self.request_metrics.between(self._judge.evaluated_until_ms, now_ms)
-        )
+        self.verdict = self._analysis.evaluate(self.request_metrics.between(self._analysis.evaluated_until_ms, now_ms))
         return self.verdict
 
     def end(self) -> None:
         """End the analysis: no change is in its canary period any more."""
-        self._judge = None
+        self._analysis = None
         self.request_metrics.set_latency_objectives(self._server.generation.latency_objectives_ms)
--- a/nickelslip/server/canary_watcher.py
+++ b/nickelslip/server/canary_watcher.py
@@ -60,13 +60,13 @@
         if not self._changes.is_in_canary_period:
             return
         try:
-            await self._look()
+            await self._evaluate()
         except Exception as error:
             self._server.log.error("canary_analysis_failed", error=repr(error), exc_info=error)
             if self._changes.is_in_canary_period:
                 await self._applier.roll_back(f"the judge failed: {error!r}"[:MAX_ERROR_LENGTH])
 
-    async def _look(self) -> None:
+    async def _evaluate(self) -> None:
         if not self._observation.is_active:
             return
         now_ms = self._server.clock()
@@ -74,7 +74,7 @@
             self._changes.extend_canary_period(BUCKET_MS)
             self._observation.restart(now_ms)
             return
-        verdict = self._observation.look(now_ms)
+        verdict = self._observation.evaluate(now_ms)
         if verdict is None:
             return
         state = self._changes.next_state(now_ms, verdict)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -361,7 +361,7 @@
     while now < 15_000.0 + until:
         fill(meter, chance, now, now + BUCKET_MS, kept, load, weight, busy)
         now += BUCKET_MS
-        verdict = judge.evaluate(now, meter.between(judge.evaluated_until_ms, now))
+        verdict = judge.evaluate(meter.between(judge.evaluated_until_ms, now))
         if verdict.status is CanaryStatus.HARM:
             break
     return verdict, now - 15_000.0
@@ -395,7 +395,7 @@
         while now < 20_000.0 and (verdict is None or verdict.status is not CanaryStatus.HARM):
             fill(meter, chance, now, now + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
             now += BUCKET_MS
-            verdict = judge.evaluate(now, meter.between(judge.evaluated_until_ms, now))
+            verdict = judge.evaluate(meter.between(judge.evaluated_until_ms, now))
         found += verdict.status is CanaryStatus.HARM
     assert found >= 11
 
