--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from nickelslip.configuration.canary_analysis import CanaryStatus, CanaryVerdict
@@ -21,7 +21,7 @@
     ConfigurationChange,
     RejectionReason,
 )
-from nickelslip.configuration.config import ChangeRules, Config
+from nickelslip.configuration.config import ChangeRules, Config, with_new_peer_addresses
 from nickelslip.configuration.document import Document
 from nickelslip.configuration.generations import Generation, digest_of
 from nickelslip.configuration.history import HistoryEvent, HistoryRecord
@@ -421,11 +421,10 @@
         return record
 
 
-def _with_peers_of(snapshot: GenerationSnapshot, other: GenerationSnapshot) -> GenerationSnapshot:
-    """Return a generation with the peer addresses of another one."""
+def _with_peers_of(snapshot: GenerationSnapshot, peers_source: GenerationSnapshot) -> GenerationSnapshot:
+    """Return a generation with the peer addresses of `peers_source`."""
     old = snapshot.generation
-    new_config = other.generation.config
-    document = {**snapshot.document, "peers": other.document["peers"]}
-    config = replace(old.config, pool=new_config.pool, records=new_config.records, directory=new_config.directory)
+    document = {**snapshot.document, "peers": peers_source.document["peers"]}
+    config, _ = with_new_peer_addresses(old.config, peers_source.generation.config)
     generation = Generation(old.number, config, old.origin, old.created_at_ms)
     return GenerationSnapshot(generation, document, digest_of(document))
--- a/nickelslip/server/connection_log.py
+++ b/nickelslip/server/connection_log.py
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING
 
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
+from nickelslip.server.log_sampling import is_power_of_two
 
 if TYPE_CHECKING:  # keeps imports at startup few
     from nickelslip.server.interfaces import ServerContext
@@ -29,7 +30,7 @@
     def report_malformed_request(self, error: str) -> None:
         """Log a request that could not be decoded."""
         self._malformed_count += 1
-        if _is_power_of_two(self._malformed_count):
+        if is_power_of_two(self._malformed_count):
             self._context.log.warning("malformed_request", error=error, count=self._malformed_count)
 
     def report_close(self, closed: ConnectionClosedError) -> None:
@@ -38,11 +39,7 @@
             return
         self._close_counts[closed.reason] += 1
         count = self._close_counts[closed.reason]
-        if _is_power_of_two(count):
+        if is_power_of_two(count):
             self._context.log.info(
                 "load_balancer_connection_closed", reason=closed.reason.name, detail=closed.detail, count=count
             )
-
-
-def _is_power_of_two(count: int) -> bool:
-    return count & (count - 1) == 0
--- a/nickelslip/server/control_timer.py
+++ b/nickelslip/server/control_timer.py
@@ -30,7 +30,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self.wake_at_ms = inf
         self._clock = clock
-        self._moved = anyio.Event()
+        self._wake_changed = anyio.Event()
 
     @property
     def is_due(self) -> bool:
@@ -42,21 +42,21 @@
         wake_at_ms = self._clock() + wait_ms
         if wake_at_ms < self.wake_at_ms:
             self.wake_at_ms = wake_at_ms
-            self._moved.set()
+            self._wake_changed.set()
 
     def clear(self) -> None:
         """Forget the wake, which is being carried out."""
         self.wake_at_ms = inf
-        self._moved.set()
+        self._wake_changed.set()
 
     async def wait_until(self, moment_at_ms: float) -> None:
         """Wait for a moment, or until the wake is moved or cleared."""
-        left_ms = moment_at_ms - self._clock()
-        if left_ms <= 0:
+        remaining_ms = moment_at_ms - self._clock()
+        if remaining_ms <= 0:
             return
-        self._moved = anyio.Event()
-        with anyio.move_on_after(None if left_ms == inf else left_ms / 1000):
-            await self._moved.wait()
+        self._wake_changed = anyio.Event()
+        with anyio.move_on_after(None if remaining_ms == inf else remaining_ms / 1000):
+            await self._wake_changed.wait()
 
 
 class ControlTimer:
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -13,6 +13,7 @@
     CloseReason,
     ConnectionClosedError,
 )
+from nickelslip.server.log_sampling import is_power_of_two
 from nickelslip.server.records_connection import PooledConnection
 from nickelslip.server.request_events import CallReturned
 from nickelslip.server.requests import Request
@@ -137,7 +138,7 @@
     def call_connection_closed(self, closed: ConnectionClosedError) -> None:
         """Count a call that ended with its connection; each time the count is a power of two it is logged."""
         self._broken_call_count += 1
-        if self._broken_call_count & (self._broken_call_count - 1) == 0:
+        if is_power_of_two(self._broken_call_count):
             self.context.log.warning(
                 "dependency_call_connection_closed",
                 reason=closed.reason.name,
