--- a/nickelslip/__init__.py
+++ b/nickelslip/__init__.py
@@ -1,3 +1,3 @@
-"""nickelslip: admission and scheduling for servers behind other people's balancers."""
+"""Admission control and scheduling of requests for servers behind load balancers."""
 
 __version__ = "0.1.0"
--- a/nickelslip/admission/__init__.py
+++ b/nickelslip/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions (control) and the types they are asked and answered in (interface)."""
+"""Admission control: the controller (controller) and the types of its inputs and decisions (interface)."""
--- a/nickelslip/configuration/__init__.py
+++ b/nickelslip/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration as transactions: documents, plans, generations, and their changes with probation and undoing."""
+"""Configuration documents, generations, and the life cycle of changes with canary period and rollback."""
--- a/nickelslip/configuration/control_protocol.py
+++ b/nickelslip/configuration/control_protocol.py
@@ -13,7 +13,8 @@
 
 import orjson
 
-MIN_VERSION, MAX_VERSION = 1, 1  # spoken by this program
+MIN_VERSION = 1  # the oldest and the newest version that this program speaks
+MAX_VERSION = 1
 MIN_FRAME_BYTES = 2  # an empty object
 MAX_FRAME_BYTES = 1 << 20
 FRAME_HEADER = struct.Struct(">I")
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -66,10 +66,10 @@
             raise InvalidDocumentError(self.faults)
 
 
-def merge(under: Document, over: Document) -> Document:
+def merge(base: Document, overlay: Document) -> Document:
     """Return one part merged over another; neither is changed."""
-    merged = {section: dict(values) for section, values in under.items()}
-    for section, values in over.items():
+    merged = {section: dict(values) for section, values in base.items()}
+    for section, values in overlay.items():
         if section not in NAMED_SECTIONS:
             merged[section] = {**merged.get(section, {}), **values}
             continue
--- a/nickelslip/emulator/__init__.py
+++ b/nickelslip/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that surrounds servers, emulated on loopback sockets, and fleets of true processes among it."""
+"""Emulation of what surrounds servers, on loopback sockets, and of fleets of server processes in it."""
--- a/nickelslip/server/__init__.py
+++ b/nickelslip/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real server: one program on sockets round the module of decisions."""
+"""The server: connects admission control to load balancers, worker pool, records service and directory."""
--- a/nickelslip/simulator_adapter/__init__.py
+++ b/nickelslip/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that lets the bench drive the decision module."""
+"""Adapter through which the simulator drives the admission controller."""
