--- a/nickelslip/server/configuration_reloader.py
+++ b/nickelslip/server/configuration_reloader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration files again on SIGHUP, and applies what may be applied.
+"""Reads the configuration files again on SIGHUP where changes are managed, and applies what may be applied.
 
 Peer addresses are adopted at once. The rest is a change like any other where the rules allow that, and else waits for
 a restart.
@@ -21,9 +21,9 @@
 from nickelslip.configuration.schema import Effect
 from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.change_applier import ChangeApplier
+from nickelslip.server.peer_address_reloader import RELOAD_ORIGIN
 from nickelslip.server.server import Server
 
-ORIGIN = "SIGHUP"
 MAX_PATHS_IN_LOG = 20
 
 
@@ -94,7 +94,7 @@
         moved, _ = with_new_peer_addresses(current, config)
         if moved != current:
             moved_document = {**self._changes.in_force.document, "peers": document["peers"]}
-            await self._applier.move_peers(moved, moved_document, ORIGIN)
+            await self._applier.move_peers(moved, moved_document, RELOAD_ORIGIN)
 
     def _log_applied(self, config: Config, remaining: list[Difference]) -> None:
         self._server.log.info(
@@ -110,7 +110,7 @@
         previous_digest = self._changes.file_digest
         self._changes.file_digest = digest_of(document)
         try:
-            await self._applier.stage_and_apply(self._applier.draft(config, document, ORIGIN, False))
+            await self._applier.stage_and_apply(self._applier.draft(config, document, RELOAD_ORIGIN, False))
             self._file_document = document
         except ChangeRejectedError as error:
             self._changes.file_digest = previous_digest
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -23,12 +23,13 @@
 from nickelslip.server.control_timer import ControlTimer, WakeSchedule
 from nickelslip.server.decision_executor import DecisionExecutor
 from nickelslip.server.directory_reporter import DirectoryReporter
+from nickelslip.server.generation_adopter import GenerationAdopter
 from nickelslip.server.graceful_shutdown import GracefulShutdown
 from nickelslip.server.idempotency_table import IdempotencyTable
 from nickelslip.server.lifecycle import Lifecycle, Phase
 from nickelslip.server.open_requests import OpenRequests
+from nickelslip.server.peer_address_reloader import PeerAddressReloader
 from nickelslip.server.records_client import RecordsClient
-from nickelslip.server.reload import ConfigurationReload
 from nickelslip.server.request_counter import RequestCounter
 from nickelslip.server.request_reports import RequestReports
 from nickelslip.server.requests import Request, fail_requests
@@ -151,13 +152,13 @@
             listeners=self.listeners,
             requests=self.requests,
         )
-        self._reload = ConfigurationReload(
-            target=self,
-            read_config=read_config,
+        self._generation_adopter = GenerationAdopter(
+            holder=self,
             executor=self.decision_executor,
             slow_start=self.slow_start,
             peer_links=(self.worker_pool, self.dependency_client, self.directory_reporter),
         )
+        self._peer_address_reloader = PeerAddressReloader(self, read_config, self._generation_adopter)
         self._signal_handler = SignalHandler(self.log, self.lifecycle, self)
 
     # What the components share
@@ -263,7 +264,7 @@
 
     def reload(self) -> None:
         """Read the configuration again and apply the addresses of the peers."""
-        self._reload.reload()
+        self._peer_address_reloader.reload()
 
     def reload_configuration(self) -> None:
         """Have the configuration read again by whoever handles it."""
@@ -271,7 +272,7 @@
 
     def apply_generation(self, generation: Generation) -> None:
         """Put a whole generation in force."""
-        self._reload.apply(generation)
+        self._generation_adopter.adopt(generation)
 
     def begin_shutdown(self) -> None:
         """Begin a graceful shutdown; repeated calls have no effect."""
