--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -308,17 +308,17 @@
 
     Args:
         baseline: The span before the change.
-        since_ms: The moment of the change.
+        changed_at_ms: The moment of the change.
         standard_errors: How many standard errors make a difference that is not chance.
 
     Attributes:
         evaluated_until_ms: End of the latest bucket that was evaluated.
     """
 
-    def __init__(self, baseline: Baseline, since_ms: float, standard_errors: float) -> None:
+    def __init__(self, baseline: Baseline, changed_at_ms: float, standard_errors: float) -> None:
         self._baseline = baseline
         self._min_standard_errors = standard_errors
-        self.restart(since_ms)
+        self.restart(changed_at_ms)
         self._profile = BaselineProfile(baseline)
 
     def restart(self, now_ms: float) -> None:
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -335,26 +335,38 @@
     help="Part of all nodes that have been "
     "asked when this wave ends; may be given again. [default: one node, 0.1, 0.5, 1]",
 )
-@click.option("--lost-most", default=0, show_default=True, help="Nodes that may be lost before all is undone.")
-@click.option("--silent-ms", default=15_000.0, show_default=True, help="After which a silent node is lost.")
-@click.option("--watch-ms", default=180_000.0, show_default=True, help="The longest probation.")
+@click.option(
+    "--lost-most",
+    "max_unreachable_count",
+    default=0,
+    show_default=True,
+    help="Nodes that may be lost before all is undone.",
+)
+@click.option(
+    "--silent-ms",
+    "unreachable_after_ms",
+    default=15_000.0,
+    show_default=True,
+    help="After which a silent node is lost.",
+)
+@click.option("--watch-ms", "max_canary_period_ms", default=180_000.0, show_default=True, help="The longest probation.")
 @JSON
 def rollout(
     file: str,
     nodes: tuple[str, ...],
     waves: tuple[float, ...],
-    lost_most: int,
-    silent_ms: float,
-    watch_ms: float,
+    max_unreachable_count: int,
+    unreachable_after_ms: float,
+    max_canary_period_ms: float,
     as_json: bool,
 ) -> None:
     """Apply a change on several servers in waves."""
     policy = RolloutPolicy(
         wave_fractions=waves or RolloutPolicy.wave_fractions,
-        max_unreachable_count=lost_most,
-        unreachable_after_ms=silent_ms,
-        max_canary_period_ms=watch_ms,
-        reply_timeout_ms=min(MAX_REPLY_TIMEOUT_MS, silent_ms),
+        max_unreachable_count=max_unreachable_count,
+        unreachable_after_ms=unreachable_after_ms,
+        max_canary_period_ms=max_canary_period_ms,
+        reply_timeout_ms=min(MAX_REPLY_TIMEOUT_MS, unreachable_after_ms),
     )
     try:
         state_machine = Rollout(nodes, policy, 0.0)
--- a/nickelslip/configuration/request_metrics.py
+++ b/nickelslip/configuration/request_metrics.py
@@ -210,13 +210,13 @@
             bucket.cpu_sum += cpu_fraction
             bucket.cpu_sample_count += 1
 
-    def between(self, begin_ms: float, end_ms: float) -> Iterator[MetricsBucket]:
+    def between(self, begin_at_ms: float, end_at_ms: float) -> Iterator[MetricsBucket]:
         """Yield the buckets that lie wholly in this span, the oldest first.
 
         A bucket in which nothing was recorded is yielded empty; one that is no longer kept is left out.
         """
-        first = -int(-begin_ms // BUCKET_MS)
-        end = int(end_ms // BUCKET_MS)
+        first = -int(-begin_at_ms // BUCKET_MS)
+        end = int(end_at_ms // BUCKET_MS)
         oldest_kept = self._current.number - len(self._ring) + 2
         for number in range(max(first, oldest_kept), end):
             bucket = self._ring[number % len(self._ring)]
--- a/nickelslip/configuration/rollout_runner.py
+++ b/nickelslip/configuration/rollout_runner.py
@@ -111,9 +111,9 @@
             return await self.ask(target, "status", timeout_ms)
         if instruction.action is Action.ROLL_BACK:
             return await self.ask(target, "rollback", timeout_ms, **{"from": self.origin})
-        until_ms = time.time() * 1000 + timeout_ms
+        expires_at_ms = time.time() * 1000 + timeout_ms
         reply = await self.ask(
-            target, "apply", timeout_ms, document=self.document, origin=self.origin, until_ms=until_ms
+            target, "apply", timeout_ms, document=self.document, origin=self.origin, until_ms=expires_at_ms
         )
         self._digests[target] = (reply.get("change") or {}).get("digest", "")
         return reply
--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -18,8 +18,8 @@
 class TimeSpan(NamedTuple):
     """From one moment up to another (Unix milliseconds)."""
 
-    begin_ms: float
-    end_ms: float
+    begin_at_ms: float
+    end_at_ms: float
 
 
 class CanaryObservation:
@@ -72,12 +72,12 @@
         now_ms = self._server.clock()
         return Baseline(self._included_buckets(now_ms - span_ms, now_ms))
 
-    def _included_buckets(self, begin_ms: float, end_ms: float) -> Iterator[MetricsBucket]:
-        self._excluded_spans = [span for span in self._excluded_spans if span.end_ms > begin_ms]
-        for bucket in self.request_metrics.between(begin_ms, end_ms):
+    def _included_buckets(self, begin_at_ms: float, end_at_ms: float) -> Iterator[MetricsBucket]:
+        self._excluded_spans = [span for span in self._excluded_spans if span.end_at_ms > begin_at_ms]
+        for bucket in self.request_metrics.between(begin_at_ms, end_at_ms):
             bucket_ms = bucket.number * BUCKET_MS
             if not any(
-                span.begin_ms < bucket_ms + BUCKET_MS and bucket_ms < span.end_ms for span in self._excluded_spans
+                span.begin_at_ms < bucket_ms + BUCKET_MS and bucket_ms < span.end_at_ms for span in self._excluded_spans
             ):
                 yield bucket
 
--- a/nickelslip/server/change_applier.py
+++ b/nickelslip/server/change_applier.py
@@ -144,8 +144,8 @@
         """
         change = self._changes.current
         if change is not None and change.generation is not None:
-            end_ms = self._server.clock() + change.config.settings.tick_ms
-            self._observation.exclude(TimeSpan(change.generation.created_at_ms, end_ms))
+            end_at_ms = self._server.clock() + change.config.settings.tick_ms
+            self._observation.exclude(TimeSpan(change.generation.created_at_ms, end_at_ms))
         generation, record = self._changes.roll_back(self._server.clock(), reason)
         self._adopt(generation)
         self._observation.end()
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -134,8 +134,8 @@
 
 def _decode_apply(request: Mapping[str, Any], now_ms: float) -> Command:
     """Return a command to apply, unless its sender has given it up: it may have been undone already."""
-    until_ms = request.get("until_ms")
-    if isinstance(until_ms, int | float) and now_ms > until_ms:
+    expires_at_ms = request.get("until_ms")
+    if isinstance(expires_at_ms, int | float) and now_ms > expires_at_ms:
         raise ChangeRejectedError(RejectionReason.EXPIRED)
     if "document" in request:
         return ApplyDocumentCommand(_decode_draft(request))
--- a/nickelslip/server/idempotency_table.py
+++ b/nickelslip/server/idempotency_table.py
@@ -104,8 +104,8 @@
         if outcome is Outcome.OK:
             record.apply(RecordEvent.ORIGINAL_SUCCEEDED)
             if not record.has_idempotency_key:
-                cached_until_ms = now_ms + request.generation.settings.response_cache_ms
-                record.expires_at_ms = min(record.expires_at_ms, cached_until_ms)
+                cache_expires_at_ms = now_ms + request.generation.settings.response_cache_ms
+                record.expires_at_ms = min(record.expires_at_ms, cache_expires_at_ms)
             self._cache_result(key, body)
         elif record.has_idempotency_key:
             record.apply(RecordEvent.ORIGINAL_FAILED)
--- a/nickelslip/server/load_balancer_listener.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -141,11 +141,11 @@
             await anyio.sleep(SHUTDOWN_POLL_INTERVAL_S)
             self._close_connections(began_at_ms + 2 * CLOSE_CROSSING_MS, began_at_ms + left_ms - CLOSE_CROSSING_MS)
 
-    def _close_connections(self, idle_from_ms: float, unread_from_ms: float) -> None:
+    def _close_connections(self, close_idle_at_ms: float, close_unread_at_ms: float) -> None:
         """Close idle connections from one moment on, and those with something unread from another."""
         for connection in list(self.table.connections):
             now_ms = self._server.clock()
-            if now_ms >= unread_from_ms:
+            if now_ms >= close_unread_at_ms:
                 connection.begin_close(CloseReason.SHUTDOWN)
-            elif connection.close_began_at_ms is None and now_ms >= idle_from_ms:
+            elif connection.close_began_at_ms is None and now_ms >= close_idle_at_ms:
                 connection.close_if_idle(CloseReason.SHUTDOWN)
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -93,7 +93,7 @@
         self._wait_ms = wait_ms
         self._state = PooledConnectionState.CONNECTING
         self._address: Address | None = self._context.generation.config.records
-        self._idle_since_ms = 0.0
+        self._became_idle_at_ms = 0.0
         self._stream: Stream | None = None
         self._connect_scope = anyio.CancelScope()
 
@@ -160,7 +160,7 @@
             and self._stream is not None
             and self._stream.is_open_and_unreadable
             and self._address == self._context.generation.config.records
-            and self._context.clock() - self._idle_since_ms <= MAX_REUSE_IDLE_MS
+            and self._context.clock() - self._became_idle_at_ms <= MAX_REUSE_IDLE_MS
         )
 
     def close(self, closed: ConnectionClosedError) -> None:
@@ -208,7 +208,7 @@
                 continue
             self._pool.call_ended(request)
             self._request = None
-            self._idle_since_ms = self._context.clock()
+            self._became_idle_at_ms = self._context.clock()
             stream.take(reply.end)
             self._enter_on(PooledConnectionEvent.REPLY_READ)
             request.deliver(CallReturned(reply.outcome, reply.body))
--- a/nickelslip/server/request_decoder.py
+++ b/nickelslip/server/request_decoder.py
@@ -155,8 +155,8 @@
     return fields
 
 
-def _decode_number(fields: Mapping[str, str], name: str, above: float, max_value: float) -> float | None:
-    """Return the number in a field, greater than `above` and at most `max_value`; None where the field is absent.
+def _decode_number(fields: Mapping[str, str], name: str, exclusive_min: float, max_value: float) -> float | None:
+    """Return the number in a field, above `exclusive_min` and at most `max_value`; None where the field is absent.
 
     Underscores between digits, which Python allows, are refused.
     """
@@ -167,7 +167,7 @@
         value = float(text)
     except ValueError:
         raise InvalidFieldError(name) from None
-    if not math.isfinite(value) or not above < value <= max_value or "_" in text:
+    if not math.isfinite(value) or not exclusive_min < value <= max_value or "_" in text:
         raise InvalidFieldError(name)
     return value
 
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -85,9 +85,9 @@
         self.end += self._receive(data, timeout_reason)
         self._release_if_empty()
 
-    def take(self, upto: int) -> None:
-        """Mark all before the index `upto` as understood."""
-        self.start = max(self.start, upto)
+    def take(self, end_index: int) -> None:
+        """Mark all before the index `end_index` as understood."""
+        self.start = max(self.start, end_index)
         self._release_if_empty()
 
     async def wait_for_backlog(self) -> None:
--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -98,7 +98,7 @@
 
     phase: SlowStartPhase
     call_limit: float
-    since_ms: float
+    began_at_ms: float
 
 
 class SlowStart:
@@ -106,7 +106,6 @@
 
     Attributes:
         phase: Where the start stands.
-        phase_since_ms: Since when.
         phases: The latest phases, each with the moment at which it was entered.
 
     Args:
@@ -137,13 +136,12 @@
             BACKOFF_SPAN_MS,
         )
         self.phase = SlowStartPhase.PROCESS_STARTED
-        self.phase_since_ms = now_ms
         self.phases: list[tuple[float, SlowStartPhase]] = [(now_ms, SlowStartPhase.PROCESS_STARTED)]
         self._is_cold = is_cold and dependency_share > 0
         self._warm_up_ms = warm_up_ms
         self._dependency_share = max(INITIAL_CONCURRENT_CALLS, dependency_share)
         self._call_limit = INITIAL_CONCURRENT_CALLS if self._is_cold else self._dependency_share
-        self._calls_paused_until_ms = now_ms
+        self._calls_resume_at_ms = now_ms
         self._round = RoundStatistics()
         self._last_pressure_at_ms = now_ms  # when the dependency was last seen slow or failing
         self._consecutive_failures = 0
@@ -159,7 +157,6 @@
         if phase is self.phase:
             return
         self.phase = phase
-        self.phase_since_ms = now_ms
         self.phases = [*self.phases[1 - MAX_KEPT_PHASES :], (now_ms, phase)]
 
     # What happens to the server
@@ -233,16 +230,16 @@
             self._interruption = Interruption(self.phase, self._call_limit, now_ms)
         self._call_limit = INITIAL_CONCURRENT_CALLS
         self._round.discard_round()
-        paused_until_ms = now_ms + self._backoff.after_failure(now_ms)
-        self._calls_paused_until_ms = max(self._calls_paused_until_ms, paused_until_ms)
+        resume_at_ms = now_ms + self._backoff.after_failure(now_ms)
+        self._calls_resume_at_ms = max(self._calls_resume_at_ms, resume_at_ms)
         self._enter_on(SlowStartEvent.DEPENDENCY_FAILED, now_ms)
 
     def _end_backing_off(self, now_ms: float) -> None:
         interruption = self._interruption
-        was_short = now_ms - interruption.since_ms < MAX_SHORT_OUTAGE_MS
+        was_short = now_ms - interruption.began_at_ms < MAX_SHORT_OUTAGE_MS
         goes_on = was_short and interruption.phase is not SlowStartPhase.WORKER_POOL_CONNECTED
         self._call_limit = interruption.call_limit if goes_on else INITIAL_CONCURRENT_CALLS
-        self._calls_paused_until_ms = now_ms
+        self._calls_resume_at_ms = now_ms
         self._enter_on(
             SlowStartEvent.SHORT_OUTAGE_ENDED if goes_on else SlowStartEvent.LONG_OUTAGE_ENDED,
             now_ms,
@@ -288,4 +285,4 @@
 
     def call_pause_ms(self, now_ms: float) -> float:
         """Return how long no call is to go out."""
-        return max(0.0, self._calls_paused_until_ms - now_ms)
+        return max(0.0, self._calls_resume_at_ms - now_ms)
