--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -42,7 +42,7 @@
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
 SETTLE_MS = 250.0  # after the change: requests that were decided before it are still being answered
-RECENT_MS = 3000.0  # judged by itself, so that late harm is not diluted by the good time before it
+RECENT_MS = 3000.0  # evaluated by itself, so that late harm is not diluted by the good time before it
 REQUIRED_CONSECUTIVE_FINDINGS = 2
 
 # Evidence that a change does no harm
--- a/nickelslip/startup/round_statistics.py
+++ b/nickelslip/startup/round_statistics.py
@@ -22,7 +22,7 @@
         self._answer_count = 0
         self._rejected_count = 0  # answers that are slow whatever they took
         self._mean_ms = 0.0  # of the other answers
-        self._usual_mean_ms = inf  # until a round was judged
+        self._usual_mean_ms = inf  # until a round was evaluated
 
     def add_answer(self, took_ms: float) -> None:
         """Count an answer; inf for a call that was rejected or given up, which is slow in any case."""
@@ -37,11 +37,11 @@
         return self._answer_count >= max(MIN_ROUND_ANSWERS, max_concurrent_calls)
 
     def discard_round(self) -> None:
-        """Begin a new round without judging the present one; the first answer replaces its mean."""
+        """Begin a new round without evaluating the present one; the first answer replaces its mean."""
         self._answer_count = 0
         self._rejected_count = 0
 
-    def judge_round(self) -> bool:
+    def evaluate_round(self) -> bool:
         """Return whether the round was slow, learn from it and begin a new one."""
         is_slow = (
             2 * self._rejected_count > self._answer_count or self._mean_ms > SLOW_ROUND_RATIO * self._usual_mean_ms
--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -251,7 +251,7 @@
         self._round.add_answer(took_ms)
         if not self._round.is_complete(self._call_limit):
             return
-        if self._round.judge_round():
+        if self._round.evaluate_round():
             self._call_limit = max(INITIAL_CONCURRENT_CALLS, self._call_limit / RAMP_FACTOR)
             self._last_pressure_at_ms = now_ms
         else:
