--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -18,8 +18,8 @@
 class TimeSpan(NamedTuple):
     """From one moment up to another (Unix milliseconds)."""
 
-    begin_ms: float
-    end_ms: float
+    begin_at_ms: float
+    end_at_ms: float
 
 
 class CanaryObservation:
@@ -31,12 +31,12 @@
 
     Attributes:
         request_metrics: Where the server counts its requests.
-        verdict: The verdict of the latest look at a change.
+        verdict: The latest verdict on a change.
     """
 
     def __init__(self, server: Server, request_metrics: RequestMetrics) -> None:
         self._server = server
-        self._judge: CanaryAnalysis | None = None
+        self._analysis: CanaryAnalysis | None = None
         self._excluded_spans: list[TimeSpan] = []
         self.request_metrics = request_metrics
         self.verdict: CanaryVerdict | None = None
@@ -44,7 +44,7 @@
     @property
     def is_active(self) -> bool:
         """Whether a change is being analysed."""
-        return self._judge is not None
+        return self._analysis is not None
 
     @property
     def is_conclusive(self) -> bool:
@@ -72,12 +72,12 @@
         now_ms = self._server.clock()
         return Baseline(self._included_buckets(now_ms - span_ms, now_ms))
 
-    def _included_buckets(self, begin_ms: float, end_ms: float) -> Iterator[MetricsBucket]:
-        self._excluded_spans = [span for span in self._excluded_spans if span.end_ms > begin_ms]
-        for bucket in self.request_metrics.between(begin_ms, end_ms):
+    def _included_buckets(self, begin_at_ms: float, end_at_ms: float) -> Iterator[MetricsBucket]:
+        self._excluded_spans = [span for span in self._excluded_spans if span.end_at_ms > begin_at_ms]
+        for bucket in self.request_metrics.between(begin_at_ms, end_at_ms):
             bucket_ms = bucket.number * BUCKET_MS
             if not any(
-                span.begin_ms < bucket_ms + BUCKET_MS and bucket_ms < span.end_ms for span in self._excluded_spans
+                span.begin_at_ms < bucket_ms + BUCKET_MS and bucket_ms < span.end_at_ms for span in self._excluded_spans
             ):
                 yield bucket
 
@@ -95,23 +95,21 @@
 
     def begin(self, baseline: Baseline, standard_errors: float) -> None:
         """Begin to analyse a change that has just been adopted."""
-        self._judge = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
+        self._analysis = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
 
     def restart(self, now_ms: float) -> None:
         """Discard what was observed of the change up to now."""
-        if self._judge is not None:
-            self._judge.restart(now_ms)
+        if self._analysis is not None:
+            self._analysis.restart(now_ms)
 
-    def look(self, now_ms: float) -> CanaryVerdict | None:
+    def evaluate(self, now_ms: float) -> CanaryVerdict | None:
         """Return the verdict on the change with all that has been measured since, or None if there is no change."""
-        if self._judge is None:
+        if self._analysis is None:
             return None
-        self.verdict = self._judge.evaluate(
-            now_ms, self.request_metrics.between(self._judge.evaluated_until_ms, now_ms)
-        )
+        self.verdict = self._analysis.evaluate(self.request_metrics.between(self._analysis.evaluated_until_ms, now_ms))
         return self.verdict
 
     def end(self) -> None:
         """End the analysis: no change is in its canary period any more."""
-        self._judge = None
+        self._analysis = None
         self.request_metrics.set_latency_objectives(self._server.generation.latency_objectives_ms)
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -93,7 +93,7 @@
         self._wait_ms = wait_ms
         self._state = PooledConnectionState.CONNECTING
         self._address: Address | None = self._context.generation.config.records
-        self._idle_since_ms = 0.0
+        self._became_idle_at_ms = 0.0
         self._stream: Stream | None = None
         self._connect_scope = anyio.CancelScope()
 
@@ -158,9 +158,9 @@
         return (
             self._state is PooledConnectionState.IDLE
             and self._stream is not None
-            and self._stream.quiet
+            and self._stream.is_open_and_unreadable
             and self._address == self._context.generation.config.records
-            and self._context.clock() - self._idle_since_ms <= MAX_REUSE_IDLE_MS
+            and self._context.clock() - self._became_idle_at_ms <= MAX_REUSE_IDLE_MS
         )
 
     def close(self, closed: ConnectionClosedError) -> None:
@@ -171,7 +171,7 @@
         self._enter_on(PooledConnectionEvent.CLOSED)
         self._connect_scope.cancel()  # its descriptor is free at once for a call that somebody waits for
         if self._stream is not None:
-            self._stream.end_with(closed.reason)
+            self._stream.abort(closed.reason)
         if request is None:
             return
         self._pool.call_ended(request)
@@ -208,7 +208,7 @@
                 continue
             self._pool.call_ended(request)
             self._request = None
-            self._idle_since_ms = self._context.clock()
+            self._became_idle_at_ms = self._context.clock()
             stream.take(reply.end)
             self._enter_on(PooledConnectionEvent.REPLY_READ)
             request.deliver(CallReturned(reply.outcome, reply.body))
--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -67,7 +67,7 @@
         await rig.records.reply(A, "DONE", b"")
         await wait_until(lambda: rig.pool.told("supply", A))
         await rig.running(client, B, "pay")
-        rig.node.dependency_client._idle_connections[0]._stream.end_with(
+        rig.node.dependency_client._idle_connections[0]._stream.abort(
             CloseReason.RESET
         )  # of which its reader has not heard
         await rig.pool.block(B)
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -73,7 +73,7 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        rig.node.worker_pool._connection._stream.end_with(CloseReason.RESET)  # of which its reader has not heard
+        rig.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # of which its reader has not heard
         rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
         await wait_until(lambda: rig.pool.told("supply", A))
         assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -192,7 +192,7 @@
             (
                 connection
                 for connection in listener.table.connections
-                if not connection.stream.ending and connection.stream._sock.getpeername() == client.name
+                if not connection.stream.close_reason and connection.stream._sock.getpeername() == client.name
             ),
             None,
         )
