--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -30,8 +30,8 @@
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.load_balancers import GradeTraffic
 from nickelslip.emulator.models import MachineKind, ServiceKind, warmth
-from nickelslip.emulator.parties import Work
 from nickelslip.emulator.processes import Process
+from nickelslip.emulator.worker_pool import WorkProfile
 from nickelslip.server import resp
 
 BEFORE = "494928a"
@@ -68,7 +68,7 @@
         "pay": GradeTraffic(0.3, 3.0, 1000.0, 2000.0, False),
         "book": GradeTraffic(0.1, 2.0, 1200.0, 2200.0, False, True),
     }
-    work = Work({"read": 200.0, "pay": 120.0, "book": 80.0}, {"read": 1.0, "pay": 1.0})
+    work = WorkProfile({"read": 200.0, "pay": 120.0, "book": 80.0}, {"read": 1.0, "pay": 1.0})
     machine = MachineKind(cold_from=COLD_FROM, cold_ms=COLD_MS, cold_calls=COLD_CALLS)
     survives = CALLS_A_SERVER * size
     service = ServiceKind(
@@ -98,7 +98,7 @@
     )
 
 
-def capacity(grades: dict[str, GradeTraffic], work: Work, machine: MachineKind) -> float:
+def capacity(grades: dict[str, GradeTraffic], work: WorkProfile, machine: MachineKind) -> float:
     """Transactions a second that one warm machine can do."""
     mean = sum(each.part * work.work_ms[name] for name, each in grades.items())
     return 1000 * machine.cores * machine.speed / mean
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -25,9 +25,9 @@
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.load_balancers import GradeTraffic, Habits
 from nickelslip.emulator.models import MachineKind, ServiceKind
-from nickelslip.emulator.parties import Work
 from nickelslip.emulator.processes import Process, alive, program, with_its_parent
 from nickelslip.emulator.shared_services import Places, Spec, Surround
+from nickelslip.emulator.worker_pool import WorkProfile
 
 ROOT = Path(__file__).parent.parent.parent
 LISTEN, POOL, RECORDS, DIRECTORY, HELD = 6565, 7300, 8900, 7946, 20001
@@ -60,8 +60,8 @@
     rate: float = 60.0  # transactions a second, of all clients together
     balancers: int = 4
     grades: dict[str, GradeTraffic] = field(default_factory=grades)
-    work: Work = field(
-        default_factory=lambda: Work({"read": 30.0, "pay": 15.0, "book": 10.0}, {"read": 1.0, "pay": 1.0})
+    work: WorkProfile = field(
+        default_factory=lambda: WorkProfile({"read": 30.0, "pay": 15.0, "book": 10.0}, {"read": 1.0, "pay": 1.0})
     )
     machine: MachineKind = field(default_factory=MachineKind)
     service: ServiceKind = field(default_factory=ServiceKind)
@@ -479,7 +479,7 @@
         """Whether these are listed and have their worker pools; of surroundings in this process."""
         assert self.here is not None and self.here.directory is not None
         return set(names) <= set(self.here.directory.listed()) and all(
-            name in self.here.pools and self.here.pools[name].linked for name in names
+            name in self.here.pools and self.here.pools[name].is_linked for name in names
         )
 
     async def up(self, *names: str, wait_s: float = 15.0) -> None:
--- a/nickelslip/emulator/load_balancers.py
+++ b/nickelslip/emulator/load_balancers.py
@@ -17,7 +17,7 @@
 from typing import cast
 
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.parties import turned_round
+from nickelslip.emulator.worker_pool import expected_response
 from nickelslip.server import resp
 
 Address = tuple[str, int]
@@ -285,7 +285,7 @@
         if len(self._over) > 4 * LINE_MOST:
             del self._over[next(iter(self._over))]
         said = word.decode()
-        good = body == turned_round(one.body)
+        good = body == expected_response(one.body)
         self._history.add(Kind.ANSWERED, self._name, one.ident, [said, good])
         self._balancer.heard(self._name, said, dict(pair.split("=") for pair in fields.decode().split(",") if pair))
         if not one.over.done():
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -16,12 +16,14 @@
 from pathlib import Path
 from typing import Any
 
+from nickelslip.emulator.directory_service import DirectoryService
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.links import Way
 from nickelslip.emulator.load_balancers import Balancer, GradeTraffic, Habits, Traffic
 from nickelslip.emulator.models import MachineKind, ServiceKind
-from nickelslip.emulator.parties import Directory, Pool, Records, Work
+from nickelslip.emulator.records_service import RecordsService
 from nickelslip.emulator.relay import Relay
+from nickelslip.emulator.worker_pool import WorkerPool, WorkProfile
 
 Address = tuple[str, int]
 BEHIND = 1  # a party behind a relay stands at the relay's port and so much more
@@ -47,7 +49,7 @@
 
     servers: dict[str, Places]
     grades: dict[str, GradeTraffic]
-    work: Work
+    work: WorkProfile
     machine: MachineKind = field(default_factory=MachineKind)
     service: ServiceKind = field(default_factory=ServiceKind)
     habits: Habits = field(default_factory=Habits)
@@ -72,7 +74,7 @@
                 **value,
                 "servers": servers,
                 "grades": {name: GradeTraffic(**each) for name, each in value["grades"].items()},
-                "work": Work(**value["work"]),
+                "work": WorkProfile(**value["work"]),
                 "machine": MachineKind(**value["machine"]),
                 "service": ServiceKind(**value["service"]),
                 "habits": Habits(**value["habits"]),
@@ -92,13 +94,13 @@
         self, spec: Spec, pools: list[str], shared: bool, history: History, on_fall: Callable[[str], None]
     ) -> None:
         self.spec, self.history, self._names, self._shared, self._on_fall = spec, history, pools, shared, on_fall
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, WorkerPool] = {}
         self.relays: dict[str, dict[str, Relay]] = {name: {} for name in spec.servers}
         self._listeners: dict[str, list[asyncio.Server]] = {name: [] for name in spec.servers}
         self._tasks: list[asyncio.Task[None]] = []
         self._moves: dict[str, int] = {}  # by server, how often its peers have moved
-        self.directory: Directory | None = None
-        self.records: Records | None = None
+        self.directory: DirectoryService | None = None
+        self.records: RecordsService | None = None
         self.balancers: list[Balancer] = []
         self._worst = NO_EXCESS  # of cold machines that are gone
 
@@ -112,8 +114,8 @@
 
     async def _start_shared(self) -> None:
         spec = self.spec
-        self.directory = Directory(self.history, spec.lapse_ms)
-        self.records = Records(spec.service, self.history, spec.seed)
+        self.directory = DirectoryService(self.history, spec.lapse_ms)
+        self.records = RecordsService(spec.service, self.history, spec.seed)
         asks_at = {}
         for name, places in spec.servers.items():
             if spec.relayed:
@@ -129,7 +131,7 @@
         for address, name in {behind(each.records, spec.relayed): name for name, each in spec.servers.items()}.items():
             await self.records.listen(address, name if spec.relayed else "")
         for address in {behind(each.directory, spec.relayed) for each in spec.servers.values()}:
-            await self.directory.hear(address)
+            await self.directory.listen(address)
         traffic = Traffic(spec.rate / max(1, spec.balancers), spec.grades)
         self.balancers = [
             Balancer(number, asks_at, self.directory.listed, traffic, spec.habits, spec.seed, self.history)
@@ -176,7 +178,7 @@
     async def pool(self, server: str, up_ms: float = 0.0) -> None:
         """A new life of this server's worker pool, which knows nothing; the one before is gone."""
         self.end_pool(server, "replaced")
-        pool = self.pools[server] = Pool(
+        pool = self.pools[server] = WorkerPool(
             server, self.spec.machine, self.spec.work, self.spec.seed, self.history, up_ms, self._on_fall
         )
         self._listeners[server].append(await pool.listen(behind(self.spec.servers[server].pool, self.spec.relayed)))
@@ -186,13 +188,13 @@
             listener.close()
         self._listeners[server].clear()
         if server in self.pools:
-            self._worst = max(self._worst, self.pools[server].worst)
+            self._worst = max(self._worst, self.pools[server].worst_excess)
             self.pools[server].end(why)
 
     def came_up(self, server: str, up_ms: float = 0.0) -> None:
         """To the directory: this server's worker pool comes up after so long."""
         if self.directory is not None:
-            asyncio.get_running_loop().call_later(up_ms / 1000, self.directory.came_up, server)
+            asyncio.get_running_loop().call_later(up_ms / 1000, self.directory.register, server)
 
     def set_link(self, server: str, link: str = "", ways: list[str] | None = None, **faults: Any) -> None:
         """Faults on one of a server's links, or on all of them, one way or both."""
@@ -207,20 +209,20 @@
 
     def directory_down(self) -> None:
         if self.directory is not None:
-            self.directory.down()
+            self.directory.take_down()
 
     def directory_up(self, empty: bool = False) -> None:
         if self.directory is not None:
-            self.directory.up(empty)
+            self.directory.bring_up(empty)
 
     def directory_loses(self, part: float) -> None:
         """This part of all reports is lost on the way."""
         if self.directory is not None:
-            self.directory.lost = part
+            self.directory.lost_fraction = part
 
     def records_down(self, for_ms: float) -> None:
         if self.records is not None:
-            self.records.fall(for_ms)
+            self.records.fail(for_ms)
 
     def records_slow(self, by: float) -> None:
         if self.records is not None:
@@ -242,7 +244,7 @@
         records = self.records.service if self.records is not None else None
         return {
             "lag_ms": max((each.lag_ms for each in self.balancers), default=0.0),
-            "machines_worst": max([self._worst, *(each.worst for each in self.pools.values())]),
+            "machines_worst": max([self._worst, *(pool.worst_excess for pool in self.pools.values())]),
             **(
                 {
                     "records_falls": records.falls,
--- /dev/null
+++ b/nickelslip/emulator/worker_pool.py
@@ -0,0 +1,353 @@
+"""A fake worker pool: a listener, its connections and the runs on one emulated machine."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from math import inf
+from typing import cast
+
+from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.loop_timer import MS_PER_S, LoopTimer
+from nickelslip.emulator.models import Machine, MachineKind
+from nickelslip.emulator.worker_pool_messages import (
+    Bind,
+    Bound,
+    Command,
+    Line,
+    Notification,
+    Poll,
+    Polled,
+    Reply,
+    RunBlocked,
+    RunFinished,
+    RunOutcome,
+    SkipCall,
+    Spawn,
+    SupplyResult,
+    Suspend,
+    UnknownCommandError,
+    UnknownRun,
+    decode_command,
+    encode_line,
+)
+
+Address = tuple[str, int]
+MAX_KEPT_NOTIFICATIONS = 4000  # by the protocol's page
+WORK_BEFORE_CALLS_FRACTION = 0.5
+CALL_BODY = b"look up"
+MEMORY_USED_GAUGE = 0.2
+SOCKETS_GAUGE = 8
+
+
+def expected_response(body: bytes) -> bytes:
+    """Return what a run makes of a request's body; whoever checks a response knows it too."""
+    return body[::-1]
+
+
+@dataclass(frozen=True)
+class WorkProfile:
+    """What runs of each traffic class are like.
+
+    Attributes:
+        work_ms: Work by traffic class, in milliseconds at a speed of 1.
+        calls: Mean number of dependency calls by traffic class.
+        spread: Each run's work is drawn within this fraction of the mean.
+    """
+
+    work_ms: dict[str, float]
+    calls: dict[str, float] = field(default_factory=dict)
+    spread: float = 0.3
+
+
+@dataclass
+class Run:
+    """A run and how far it is.
+
+    Attributes:
+        parts_ms: Work still to be done, in parts with a dependency call after each but the last.
+        blocked_sequence: Sequence number of the notification of the call it waits for; 0 while it waits for none.
+    """
+
+    request_id: str
+    traffic_class: str
+    body: bytes
+    started_at_ms: float
+    parts_ms: list[float]
+    blocked_sequence: int = 0
+
+
+class WorkerPool:
+    """One incarnation of one server's worker pool.
+
+    Connections are accepted at once, but nothing is written on them before the pool is up.
+
+    Args:
+        server: The server it belongs to.
+        kind: Its machine.
+        profile: What runs are like.
+        seed: For the work and the calls of each run.
+        history: Where runs, connections and falls are recorded.
+        up_ms: How long it takes to come up.
+        on_fall: Called with the server's name when the machine falls over.
+    """
+
+    def __init__(
+        self,
+        server: str,
+        kind: MachineKind,
+        profile: WorkProfile,
+        seed: int,
+        history: History,
+        up_ms: float = 0.0,
+        on_fall: Callable[[str], None] = lambda server: None,
+    ) -> None:
+        self.server = server
+        self.ended = False
+        self._profile = profile
+        self._seed = seed
+        self._history = history
+        self._on_fall = on_fall
+        self._machine = Machine(kind, history.clock() + up_ms)
+        self._up_at_ms = history.clock() + up_ms
+        self._runs: dict[str, Run] = {}
+        self._known_ids: set[str] = set()
+        self._last_sequence = 0
+        self._notifications: deque[Notification] = deque(maxlen=MAX_KEPT_NOTIFICATIONS)
+        self._connections: list[WorkerPoolConnection] = []
+        self._timer = LoopTimer(history, self._advance)
+
+    async def listen(self, address: Address) -> asyncio.Server:
+        """Listen at an address; a pool that has moved listens at several."""
+        loop = asyncio.get_running_loop()
+        server = await loop.create_server(lambda: WorkerPoolConnection(self), *address)
+        if self._history.clock() < self._up_at_ms:
+            loop.call_later((self._up_at_ms - self._history.clock()) / MS_PER_S, self._come_up)
+        return server
+
+    @property
+    def is_up(self) -> bool:
+        """Whether it takes commands."""
+        return not self.ended and self._history.clock() >= self._up_at_ms
+
+    @property
+    def worst_excess(self) -> float:
+        """The worst excess of concurrency on its machine while that was warming up."""
+        return self._machine.worst
+
+    @property
+    def is_linked(self) -> bool:
+        """Whether a server has a bound connection here."""
+        return any(connection.bound for connection in self._connections)
+
+    def end(self, reason: str) -> None:
+        """End the incarnation: connections are reset and runs come to nothing."""
+        if self.ended:
+            return
+        self.ended = True
+        self._timer.set(inf)
+        self._history.add(Kind.FAULT, self.server, "", f"worker pool ended: {reason}")
+        self.reset_connections()
+
+    def reset_connections(self) -> None:
+        """Reset the connections; runs go on, and notifications are kept for the next."""
+        for connection in list(self._connections):
+            connection.abort()
+
+    # Connections
+
+    def connection_opened(self, connection: WorkerPoolConnection) -> None:
+        """Register a connection; one to a pool that has ended is reset."""
+        self._connections.append(connection)
+        self._history.add(Kind.CONNECTED, self.server, "", "pool")
+        if self.ended:
+            connection.abort()
+
+    def connection_closed(self, connection: WorkerPoolConnection) -> None:
+        """Forget a connection."""
+        if connection in self._connections:
+            self._connections.remove(connection)
+
+    def _come_up(self) -> None:
+        for connection in self._connections:
+            if connection.after_sequence is not None:
+                self._bind(connection, connection.after_sequence)
+
+    def _bind(self, connection: WorkerPoolConnection, after_sequence: int) -> None:
+        connection.bound = True
+        connection.send(Bound(self._history.clock() - self._up_at_ms))
+        for notification in list(self._notifications):
+            if notification.sequence > after_sequence:
+                connection.send(notification)
+        self._history.add(Kind.LINKED, self.server)
+
+    # Commands
+
+    def handle_line(self, connection: WorkerPoolConnection, line: Line) -> None:
+        """Carry out one decoded line; an unknown command resets the connection."""
+        if self.ended:
+            return
+        try:
+            command = decode_command(line)
+        except UnknownCommandError:
+            connection.abort()
+            return
+        self._handle(connection, command)
+
+    def _handle(self, connection: WorkerPoolConnection, command: Command) -> None:
+        match command:
+            case Bind(after_sequence):
+                connection.after_sequence = after_sequence
+                if self.is_up:
+                    self._bind(connection, after_sequence)
+            case Poll(tag):
+                gauges = (self._machine.busy, self._machine.running, MEMORY_USED_GAUGE, SOCKETS_GAUGE)
+                connection.send(Polled(tag, gauges))
+            case Spawn():
+                self._spawn(command)
+            case Suspend(request_id):
+                self._suspend(request_id)
+            case SupplyResult(request_id):
+                self._supply_result(connection, request_id)
+            case SkipCall(request_id, sequence):
+                self._skip_call(connection, request_id, sequence)
+
+    def _spawn(self, command: Spawn) -> None:
+        self._known_ids.add(command.request_id)
+        if command.request_id in self._runs:
+            return
+        now_ms = self._history.clock()
+        self._history.add(Kind.RUN, self.server, command.request_id, command.traffic_class, now_ms)
+        parts_ms = self._draw_parts(command, now_ms)
+        run = Run(command.request_id, command.traffic_class, command.body, now_ms, parts_ms)
+        self._runs[run.request_id] = run
+        self._start_next_part(run)
+
+    def _draw_parts(self, command: Spawn, now_ms: float) -> list[float]:
+        profile = self._profile
+        generator = random.Random(f"{self._seed} {command.request_id}")
+        factor = generator.uniform(1 - profile.spread, 1 + profile.spread)
+        work_ms = profile.work_ms[command.traffic_class] * factor
+        mean_calls = profile.calls.get(command.traffic_class, 0.0) * self._machine.calls_factor(now_ms)
+        call_count = int(mean_calls) + (generator.random() < mean_calls % 1)
+        if not call_count:
+            return [work_ms]
+        first_ms = work_ms * WORK_BEFORE_CALLS_FRACTION
+        last_ms = work_ms * (1 - WORK_BEFORE_CALLS_FRACTION)
+        return [first_ms, *[0.0] * (call_count - 1), last_ms]
+
+    def _suspend(self, request_id: str) -> None:
+        run = self._runs.get(request_id)
+        if run is None:
+            return
+        if self._machine.stop(self._history.clock(), request_id) or run.blocked_sequence:
+            self._finish(run, RunOutcome.SUSPENDED)
+            self._advance()
+
+    def _supply_result(self, connection: WorkerPoolConnection, request_id: str) -> None:
+        run = self._runs.get(request_id)
+        if run is None or not run.blocked_sequence:
+            self._reply_if_unknown(connection, "supply", request_id)
+            return
+        run.blocked_sequence = 0
+        self._start_next_part(run)
+
+    def _skip_call(self, connection: WorkerPoolConnection, request_id: str, sequence: int) -> None:
+        run = self._runs.get(request_id)
+        if run is None or not run.blocked_sequence or run.blocked_sequence != sequence:
+            self._reply_if_unknown(connection, "pass", request_id)
+            return
+        run.blocked_sequence = 0
+        self._history.add(Kind.LEFT_OUT, self.server, request_id)
+        self._start_next_part(run)
+
+    def _reply_if_unknown(self, connection: WorkerPoolConnection, command: str, request_id: str) -> None:
+        if request_id not in self._known_ids:
+            connection.send(UnknownRun(command, request_id))
+
+    # Runs
+
+    def _start_next_part(self, run: Run) -> None:
+        self._machine.start(self._history.clock(), run.request_id, run.parts_ms.pop(0))
+        self._advance()
+
+    def _advance(self) -> None:
+        """Notify of every part that is done by now, and wait for the next."""
+        now_ms = self._history.clock()
+        for key in self._machine.finished(now_ms):
+            run = self._runs[str(key)]
+            if run.parts_ms:
+                run.blocked_sequence = self._next_sequence()
+                self._notify(RunBlocked(run.blocked_sequence, run.request_id, CALL_BODY))
+            else:
+                self._finish(run, RunOutcome.COMPLETED)
+        if self._machine.fell and not self.ended:
+            self._history.add(Kind.FELL, self.server, "", "machine")
+            self.end("it fell over")
+            self._on_fall(self.server)
+            return
+        self._timer.set(self._machine.next_at())
+
+    def _finish(self, run: Run, outcome: RunOutcome) -> None:
+        del self._runs[run.request_id]
+        response = expected_response(run.body) if outcome is RunOutcome.COMPLETED else b""
+        run_ms = self._history.clock() - run.started_at_ms
+        self._notify(RunFinished(self._next_sequence(), run.request_id, outcome, run_ms, response))
+
+    def _next_sequence(self) -> int:
+        self._last_sequence += 1
+        return self._last_sequence
+
+    def _notify(self, notification: Notification) -> None:
+        self._notifications.append(notification)
+        if self._connections and self._connections[-1].bound:
+            self._connections[-1].send(notification)
+
+
+class WorkerPoolConnection(asyncio.Protocol):
+    """One connection of a server to its worker pool.
+
+    Args:
+        pool: The pool.
+
+    Attributes:
+        after_sequence: The server wants notifications after this one; None until it binds.
+        bound: Whether the pool has accepted it.
+    """
+
+    def __init__(self, pool: WorkerPool) -> None:
+        self.after_sequence: int | None = None
+        self.bound = False
+        self._pool = pool
+        self._buffer = b""
+        self._transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._pool.connection_opened(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Carry out every complete line."""
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
+        for line in lines:
+            self._pool.handle_line(self, json.loads(line))
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
+        self._transport = None
+        self._pool.connection_closed(self)
+
+    def send(self, message: Reply) -> None:
+        """Write a message, unless the connection is gone."""
+        if self._transport is not None:
+            self._transport.write(encode_line(message))
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self._transport is not None:
+            self._transport.abort()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -50,7 +50,7 @@
     async with Fleet(Plan(size=8, read_list=True), tmp_path) as fleet:
         await fleet.do("directory_down")
         await fleet.start()
-        await fleet.await_that(lambda: all(pool.linked for pool in fleet.here.pools.values()))
+        await fleet.await_that(lambda: all(pool.is_linked for pool in fleet.here.pools.values()))
         await asyncio.sleep(1.0)
         await fleet.do("directory_up", empty=True)
         back = fleet.history.clock()
@@ -127,7 +127,7 @@
         for _ in range(4):
             started = fleet.history.clock()
             await fleet.start("n1")
-            await fleet.await_that(lambda: fleet.here.pools["n1"].linked)
+            await fleet.await_that(lambda: fleet.here.pools["n1"].is_linked)
             took.append(fleet.history.clock() - started)
             await fleet.kill("n1")
         assert took[3] > took[2] > max(took[:2]) and took[3] > 500, took
