--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -26,7 +26,8 @@
 from benchmarks.cold_sums import measured
 from benchmarks.versions import ROOT, NoHistory, copied, unpacked
 from nickelslip.emulator import checkers
-from nickelslip.emulator.fleet import Fleet, Plan
+from nickelslip.emulator.fleet import Fleet
+from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.load_balancers import GradeTraffic
 from nickelslip.emulator.models import MachineKind, ServiceKind, warmth
@@ -141,26 +142,26 @@
     argv = started_by(version)
     fleet = Fleet(plan, folder, argv, cwd)
     async with fleet:
-        await fleet.ask()
+        await fleet.set_request_rate()
         begin = fleet.history.clock()
         await fleet.start()
         await asyncio.sleep(spans.rise)
         calm = fleet.history.clock()
         await asyncio.sleep(spans.calm)
         lossy = fleet.history.clock()
-        await fleet.do("directory_loses", part=LOST)
+        await fleet.run_command("directory_loses", part=LOST)
         await asyncio.sleep(spans.lossy)
         lossy_end = fleet.history.clock()
-        await fleet.do("directory_loses", part=0.0)
+        await fleet.run_command("directory_loses", part=0.0)
         stay, go = fleet.names[::2], fleet.names[1::2]
         await fleet.kill(*go)
-        await fleet.ask(plan.rate / LOAD * SERVING_LOAD * len(stay) / size)
+        await fleet.set_request_rate(plan.rate / LOAD * SERVING_LOAD * len(stay) / size)
         await asyncio.sleep(spans.settle)
         half = fleet.history.clock()
         await fleet.start(*go)
         await asyncio.sleep(spans.half)
         end = fleet.history.clock()
-        await fleet.quiet()
+        await fleet.stop_requests()
         figures = await fleet.figures()
     history = fleet.history
     usual = fleet_share(history, calm, lossy)
@@ -189,9 +190,9 @@
         "links_tried_per_s_peak": max(checkers.counts(tried, 1000.0, begin, end), default=0),
         "linked_ms": max(event.at for event in linked[:size]) - begin if len(linked) >= size else math.inf,
         "falls_over": sum("machine" in line for line in falls),
-        "rules_broken": len(broken := [line for line in fleet.broken(scripted_falls=True)]),
+        "rules_broken": len(broken := [line for line in fleet.violations(scripted_falls=True)]),
         "broken": broken[:5],
-        "left_behind": len(fleet.left_behind()),
+        "left_behind": len(fleet.remaining_pids()),
         "callers_lag_ms": figures["lag_ms"],
     }
 
@@ -215,7 +216,7 @@
     """CPU milliseconds of one process from its beginning to its first answer to a check."""
     fleet = Fleet(Plan(size=1, relayed=False, seed=number), folder)
     async with fleet:
-        await fleet.do("pool", "n1")
+        await fleet.run_command("pool", "n1")
         ended: list[int] = []
         process = Process(argv(str(fleet.config("n1"))), folder / "log", ended.append, cwd)
         try:
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -21,7 +21,8 @@
 from typing import Any
 
 from nickelslip.emulator import checkers
-from nickelslip.emulator.fleet import Fleet, Plan
+from nickelslip.emulator.fleet import Fleet
+from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.models import MachineKind, excess, warmth
 from nickelslip.server import resp
@@ -58,7 +59,7 @@
     """One fleet's worst excesses; at or under 1 is chance."""
     plan = replace(plan, balancers=BALANCERS)
     async with Fleet(plan, folder) as fleet:
-        await fleet.ask()
+        await fleet.set_request_rate()
         await fleet.start()
         await asyncio.sleep(rise_s)
         go = fleet.names[1::2]
@@ -66,7 +67,7 @@
         await asyncio.sleep(half_s / 2)
         await fleet.start(*go)
         await asyncio.sleep(half_s)
-        await fleet.quiet()
+        await fleet.stop_requests()
         figures = await fleet.figures()
     mean_ms = sum(each.part * plan.work.work_ms[name] for name, each in plan.grades.items())
     falls = checkers.falls(fleet.history)
@@ -75,7 +76,7 @@
         "cold_calls_excess": figures["records_worst"],
         "cold_asked_excess": asked_excess(fleet.history, plan.machine, mean_ms),
         "cold_falls": sum("machine" in line for line in falls) + figures["records_falls"],
-        "rules_broken": len(fleet.broken(scripted_falls=True)),
+        "rules_broken": len(fleet.violations(scripted_falls=True)),
         "callers_lag_ms": figures["lag_ms"],
     }
 
@@ -100,7 +101,7 @@
     times: list[float] = []
     async with AsyncExitStack() as stack:
         fleet = await stack.enter_async_context(Fleet(replace(plan, rate=1e-6), folder))
-        await fleet.do("directory_down")
+        await fleet.run_command("directory_down")
         for _ in range(os.cpu_count() or 1):
             busy = await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
             stack.push_async_callback(busy.wait)
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -1,260 +1,74 @@
-"""A fleet of true processes of the program among emulated surroundings, and what is done to it.
+"""A fleet of real server processes among emulated services, for one run.
 
-Owns addresses, configurations, processes and the history of one run. Surroundings are in this process, or packed into a
-few others so that the cores go to the servers. Whatever ends a run, nothing of it stays. It must never ask a server how
-it is: what is known of servers is what the parties round them saw.
+What is known of servers is what the services around them saw; no server is asked about itself. Whatever ends a run,
+none of its processes, sockets and temporary files stay.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
-import random
-import signal
-import socket
-import sys
-import tempfile
-from collections.abc import Callable, Iterable, Sequence
-from contextlib import suppress
-from dataclasses import dataclass, field, replace
+from collections.abc import Callable, Coroutine, Iterable
 from pathlib import Path
 from typing import Any
 
-from nickelslip.emulator import checkers
-from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.load_balancers import GradeTraffic, Habits
-from nickelslip.emulator.models import MachineKind, ServiceKind
-from nickelslip.emulator.processes import Process, alive, program, with_its_parent
-from nickelslip.emulator.shared_services import Places, Spec, Surround
-from nickelslip.emulator.worker_pool import WorkProfile
+from nickelslip.emulator import fleet_figures
+from nickelslip.emulator.fault_injection import FaultInjector
+from nickelslip.emulator.fleet_files import AddressBlock, FleetFiles, assign_addresses
+from nickelslip.emulator.fleet_plan import Plan
+from nickelslip.emulator.fleet_services import FleetServices
+from nickelslip.emulator.history import History
+from nickelslip.emulator.processes import Process, alive, program
+from nickelslip.emulator.server_processes import CommandLine, ServerProcesses
+from nickelslip.emulator.shared_services import Spec, Surround
 
 ROOT = Path(__file__).parent.parent.parent
-LISTEN, POOL, RECORDS, DIRECTORY, HELD = 6565, 7300, 8900, 7946, 20001
-EACH = 200  # servers under one third byte of an address
-SHARED = 250  # third byte of what is shared
-BLOCKS = range(16, 240)  # second bytes of addresses, one a fleet
-LEAVE_SLACK_S = 1.0  # past the time after which the platform would kill
-HOST_S = 30.0  # for a command to another process
-
-
-class NotInTime(Exception):
-    """What was waited for did not come about."""
-
-
-def grades() -> dict[str, GradeTraffic]:
-    """Three service grades, one of each kind."""
-    return {
-        "read": GradeTraffic(0.6, 1.0, 1000.0, 2000.0, True),
-        "pay": GradeTraffic(0.3, 3.0, 500.0, 1200.0, False),
-        "book": GradeTraffic(0.1, 2.0, 800.0, 1500.0, False, True),
-    }
-
-
-@dataclass(frozen=True)
-class Plan:
-    """What a fleet is made of."""
-
-    size: int = 3
-    seed: int = 1
-    rate: float = 60.0  # transactions a second, of all clients together
-    balancers: int = 4
-    grades: dict[str, GradeTraffic] = field(default_factory=grades)
-    work: WorkProfile = field(
-        default_factory=lambda: WorkProfile({"read": 30.0, "pay": 15.0, "book": 10.0}, {"read": 1.0, "pay": 1.0})
-    )
-    machine: MachineKind = field(default_factory=MachineKind)
-    service: ServiceKind = field(default_factory=ServiceKind)
-    habits: Habits = field(default_factory=Habits)
-    call_share: float | None = None  # of what the records survive, for each server; None: an even part of it
-    cold: bool = False
-    relayed: bool = True
-    read_list: bool = False
-    hosts: int = 0  # further processes for the surroundings; 0: all is in this one
-    stop_ms: float = 1500.0
-    grace_ms: float = 300.0
-    slack_ms: float = 500.0  # what a crowded machine may add to an answer
-    memory_mb: int = 64
-    window_ms: float = 4000.0
-    prefix: str = "n"
+POLL_INTERVAL_S = 0.005
+DRAIN_MARGIN_S = 0.2
+MS_PER_S = 1000
 
-    @property
-    def names(self) -> list[str]:
-        return [f"{self.prefix}{number}" for number in range(1, self.size + 1)]
-
-    def settings(self) -> dict[str, Any]:
-        """What each server is told, in the platform's form."""
-        kinds = {True: "read_like", False: "non_idempotent"}
-        share = self.service.survives / self.size if self.call_share is None else self.call_share
-        return {
-            "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
-            "classes": [
-                {
-                    "name": name,
-                    "gain": each.credit,
-                    "aim-ms": each.quoted_ms,
-                    "deadline-ms": each.patience_ms,
-                    "idempotency": "idempotency_key" if each.marked else kinds[each.replayable],
-                    **({"memory-span-ms": self.window_ms} if each.marked else {}),
-                }
-                for name, each in self.grades.items()
-            ],
-            "client-habits": {"marks-retry": True},
-            "tenants": [{"name": "acme", "quota-rps": self.rate}],
-            "tick-ms": 5.0,
-            "servers": self.size,
-            "invariants": {
-                "answer-slack-ms": 20.0,
-                "cold-from": self.machine.cold_from,
-                "cold-ms": max(1.0, self.machine.cold_ms),
-                "fall-multiple": self.machine.fall_multiple,
-                "stop-sending-within-ms": self.grace_ms,
-            },
-            "specifics": {
-                "cpus": self.machine.cores,
-                "memory-kb": 9000.0,
-                "run-factor": 16.0,
-                "say": "bias",
-                "callers": self.balancers,
-                "cold": self.cold,
-                "below": "common",
-                "dep-share": share,
-                "calls-over-ms": self.service.span_ms,
-                "stays-for-ms": self.service.linger_ms,
-                "kb-per-key": 20.0,
-                "stop-mode": "drop",
-                "idle-ms": 15000.0,
-                "class-calls": [self.work.calls.get(name, 0.0) > 0 for name in self.grades],
-                "class-skip-worth": [0.6 if each.replayable else 0.0 for each in self.grades.values()],
-                "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"],
-            },
-        }
-
-
-class Block:
-    """A block of loopback addresses that is this fleet's alone for as long as it holds it."""
-
-    def __init__(self) -> None:
-        order = list(BLOCKS)
-        random.Random(os.getpid()).shuffle(order)
-        for number in order:
-            self._held = socket.socket()
-            try:
-                self._held.bind((f"127.{number}.255.254", HELD))
-                self.number = number
-                return
-            except OSError:
-                self._held.close()
-        raise NotInTime("no block of loopback addresses is free")
-
-    def at(self, index: int, port: int) -> tuple[str, int]:
-        return f"127.{self.number}.{index // EACH}.{1 + index % EACH}", port
-
-    def shared(self, port: int) -> tuple[str, int]:
-        return f"127.{self.number}.{SHARED}.1", port
-
-    def give_back(self) -> None:
-        self._held.close()
-
-
-class Host:
-    """Another process with a part of the surroundings."""
-
-    def __init__(self, folder: Path, number: int, spec: Spec, pools: list[str], shared: bool) -> None:
-        self._spec_file, self.out = folder / f"host{number}.json", folder / f"host{number}.history"
-        self._spec_file.write_text(json.dumps({"spec": spec.dump(), "pools": pools, "shared": shared}))
-        self._log = (folder / f"host{number}.log").open("wb")
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
-        self._number = 0
-        self.on_fall: Callable[[str], None] = lambda server: None
-
-    async def start(self) -> None:
-        self._process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "nickelslip.emulator.shared_services",
-            str(self._spec_file),
-            str(self.out),
-            cwd=ROOT,
-            stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE,
-            stderr=self._log,
-            preexec_fn=with_its_parent(os.getpid()),
-        )
-        ready = self._waiting[0] = asyncio.get_running_loop().create_future()
-        self._reader = asyncio.get_running_loop().create_task(self._read())
-        async with asyncio.timeout(HOST_S):
-            await ready
 
-    @property
-    def pid(self) -> int:
-        return self._process.pid
-
-    async def _read(self) -> None:
-        assert self._process.stdout is not None
-        while line := await self._process.stdout.readline():
-            told = json.loads(line)
-            if "fell" in told:
-                self.on_fall(told["fell"])
-            elif (waiting := self._waiting.pop(told["n"], None)) is not None and not waiting.done():
-                waiting.set_result(told["result"])
-        for waiting in self._waiting.values():
-            if not waiting.done():
-                waiting.set_exception(NotInTime("the process of the surroundings has ended"))
-
-    async def do(self, what: str, **values: Any) -> Any:
-        assert self._process.stdin is not None
-        self._number += 1
-        answer = self._waiting[self._number] = asyncio.get_running_loop().create_future()
-        self._process.stdin.write(json.dumps({"n": self._number, "do": what, "values": values}).encode() + b"\n")
-        async with asyncio.timeout(HOST_S):
-            return await answer
-
-    async def close(self) -> History:
-        """End it, and take its history."""
-        assert self._process.stdin is not None
-        with suppress(OSError):
-            self._process.stdin.write(b'{"do": "end"}\n')
-            self._process.stdin.close()
-        with suppress(TimeoutError):
-            async with asyncio.timeout(HOST_S):
-                await self._process.wait()
-        if self._process.returncode is None:
-            self._process.kill()
-            await self._process.wait()
-        await self._reader
-        self._log.close()
-        return History.load(self.out) if self.out.exists() else History()
+class FleetTimeoutError(Exception):
+    """A condition that was waited for did not come about in time."""
+
+
+def serve_command_line(config: str) -> list[str]:
+    """Return the command line that serves this configuration."""
+    return program("serve", "--config", config)
 
 
 class Fleet:
-    """One run: servers, surroundings, faults and history."""
+    """One run, as an asynchronous context: servers, services, faults and history.
+
+    Args:
+        plan: What the fleet is made of.
+        folder: Where files are written; None for a temporary folder.
+        command_line: Gives a server's command line for the path of its configuration.
+        cwd: The working directory of servers.
+    """
 
     def __init__(
         self,
         plan: Plan,
         folder: Path | None = None,
-        argv: Callable[[str], Sequence[str]] | None = None,
+        command_line: CommandLine | None = None,
         cwd: Path = ROOT,
     ) -> None:
-        self.plan, self.names, self.history = plan, plan.names, History()
-        self._own_folder = tempfile.TemporaryDirectory(prefix="fleet") if folder is None else None
-        self.folder = Path(self._own_folder.name) if self._own_folder is not None else folder or Path()
-        self._argv = argv or (lambda config: program("serve", "--config", config))
+        self.plan = plan
+        self.names = plan.names
+        self.history = History()
+        self._files = FleetFiles(plan, folder)
+        self._command_line = command_line or serve_command_line
         self._cwd = cwd
-        self.processes: dict[str, Process] = {}
-        self.pids: list[int] = []
-        self._hosts: list[Host] = []
-        self._of: dict[str, Host] = {}  # whose worker pool is where
-        self.here: Surround | None = None
-        self._tasks: set[asyncio.Task[Any]] = set()
-        self._killed: set[int] = set()  # ids of processes that were killed from here
-        self._over = False
+        self._block: AddressBlock | None = None
+        self._services: FleetServices | None = None
+        self._processes: ServerProcesses | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._closed = False
 
     async def __aenter__(self) -> Fleet:
-        self._block = Block()
+        self._block = AddressBlock()
         try:
-            await self._furnish()
+            await self._set_up(self._block)
         except BaseException:
             await self.close()
             raise
@@ -263,15 +77,10 @@
     async def __aexit__(self, *error: object) -> None:
         await self.close()
 
-    async def _furnish(self) -> None:
-        plan, block, servers = self.plan, self._block, {}
-        for index, name in enumerate(self.names):
-            at = {port: block.at(index, port) for port in (LISTEN, POOL, RECORDS, DIRECTORY)}
-            if not plan.relayed:
-                at |= {port: block.shared(port) for port in (RECORDS, DIRECTORY)}
-            servers[name] = Places(*(at[port] for port in (LISTEN, POOL, RECORDS, DIRECTORY)))
+    async def _set_up(self, block: AddressBlock) -> None:
+        plan = self.plan
         self.spec = Spec(
-            servers,
+            assign_addresses(self.names, block, plan.relayed),
             plan.grades,
             plan.work,
             plan.machine,
@@ -284,227 +93,173 @@
             read_list=plan.read_list,
         )
         settings = plan.settings()
-        for name, places in servers.items():
-            self.configure(name, settings, places)
-        if not plan.hosts:
-            self.here = Surround(self.spec, self.names, True, self.history, self._fell)
-            await self.here.start()
-            return
-        self._hosts = [Host(self.folder, 0, self.spec, [], True)]
-        for number in range(1, plan.hosts + 1):
-            part = self.names[number - 1 :: plan.hosts]
-            self._hosts.append(Host(self.folder, number, self.spec, part, False))
-            self._of.update(dict.fromkeys(part, self._hosts[-1]))
-        for host in self._hosts:
-            host.on_fall = self._fell
-        await asyncio.gather(*(host.start() for host in self._hosts))
-
-    def configure(self, name: str, settings: dict[str, Any], places: Places) -> None:
-        """Write this server's configuration, whole or not at all."""
-        texts = {
-            what: f"{host}:{port}"
-            for what, (host, port) in (
-                ("listen", places.listen),
-                ("pool", places.pool),
-                ("records", places.records),
-                ("lookup", places.directory),
-            )
-        }
-        seed = f"{random.Random(f'{self.plan.seed} {name}').getrandbits(64):016x}"
-        config = {
-            "name": name,
-            **texts,
-            "seed": seed,
-            "stop_ms": self.plan.stop_ms,
-            "settings": settings,
-            "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": 256},
-        }
-        file = self.config(name)
-        file.with_suffix(".new").write_text(json.dumps(config))
-        file.with_suffix(".new").rename(file)
-
-    def config(self, name: str) -> Path:
-        return self.folder / f"{name}.json"
+        for name, places in self.spec.servers.items():
+            self._files.write_config(name, settings, places)
+        services = FleetServices(
+            self.spec, self.names, plan.hosts, self._files.folder, self.history, self._machine_fell
+        )
+        processes = ServerProcesses(self._files, services, self.history, self._command_line, self._cwd, plan.stop_ms)
+        self._services = services
+        self._processes = processes
+        self._faults = FaultInjector(plan, self._files, services, processes, self.history)
+        await services.start()
+
+    def _machine_fell(self, name: str) -> None:
+        """Kill a server whose machine fell over, as the platform does."""
+        self._spawn(self.kill(name, reason="its machine fell over"))
+
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End all of it. Nothing stays, whatever happened."""
-        if self._over:
+        """End everything and join the histories of all processes."""
+        if self._closed:
             return
-        self._over = True
+        self._closed = True
         for task in list(self._tasks):
             task.cancel()
-        for process in self.processes.values():
-            self._killed.add(process.pid)
-            process.signal(signal.SIGKILL)
-        await asyncio.gather(*(process.ended(10.0) for process in self.processes.values()))
-        if self.here is not None:
-            await self.here.close()
-        parts = await asyncio.gather(*(host.close() for host in self._hosts if hasattr(host, "_process")))
-        self.history = History.joined([self.history, *parts])
-        self._block.give_back()
-        if self._own_folder is not None:
-            self._own_folder.cleanup()
-
-    def left_behind(self) -> list[int]:
-        """Processes of this run that still are."""
-        return alive(self.pids)
+        if self._processes is not None:
+            await self._processes.close()
+        if self._services is not None:
+            self.history = History.joined([self.history, *await self._services.close()])
+        if self._block is not None:
+            self._block.release()
+        self._files.close()
 
-    async def do(self, what: str, server: str = "", **values: Any) -> Any:
-        """A command to the surroundings: to the part that has this server's worker pool, or to what is shared."""
-        if self.here is not None:
-            return await self.here.do(what, **({"server": server} if server else {}), **values)
-        pools = what in ("pool", "end_pool")
-        host = self._of[server] if pools else self._hosts[0]
-        result = await host.do(what, **({"server": server} if server else {}), **values)
-        if what in ("set_link", "reset_links"):  # the worker pool's relay is elsewhere
-            await self._of[server].do(what, server=server, **values)
-        return result
+    # What it consists of
 
-    async def figures(self) -> dict[str, float]:
-        """What only the parties can tell, of all their processes; of one figure in several the largest."""
-        if self.here is not None:
-            return self.here.figures()
-        out: dict[str, float] = {}
-        for each in await asyncio.gather(*(host.do("figures") for host in self._hosts)):
-            out |= {name: max(value, out.get(name, value)) for name, value in each.items()}
-        return out
+    @property
+    def services(self) -> FleetServices:
+        """The services; only inside the context."""
+        assert self._services is not None
+        return self._services
 
-    # What is done to servers
+    @property
+    def local_services(self) -> Surround:
+        """The services in this process; only for a plan without further processes."""
+        assert self.services.local is not None
+        return self.services.local
 
-    async def start(self, *names: str, up_ms: float = 0.0) -> None:
-        """New processes under these names, each with a worker pool that knows nothing and comes up so late."""
-        await asyncio.gather(*(self._start(name, up_ms) for name in names or self.names))
-
-    async def _start(self, name: str, up_ms: float) -> None:
-        await self.do("pool", name, up_ms=up_ms)
-        await self.do("came_up", name, up_ms=up_ms)
-        self.history.add(Kind.STARTED, name)
-        process = self.processes[name] = Process(
-            self._argv(str(self.config(name))),
-            self.folder / f"{name}.log",
-            lambda code: self._ended(name, process, code),
-            self._cwd,
-        )
-        self.pids.append(process.pid)
+    @property
+    def processes(self) -> dict[str, Process]:
+        """The last process under each name."""
+        return self._servers.by_name
 
-    def _ended(self, name: str, process: Process, code: int) -> None:
-        if process.pid not in self._killed:
-            self.history.add(Kind.ENDED, name, "", code)
+    @property
+    def pids(self) -> list[int]:
+        """Ids of all server processes that were ever started."""
+        return self._servers.pids
 
-    def _fell(self, name: str) -> None:
-        """Its machine fell over: the process dies with its worker pool, as on the platform."""
-        self._spawn(self.kill(name, why="its machine fell over"))
+    @property
+    def _servers(self) -> ServerProcesses:
+        assert self._processes is not None
+        return self._processes
 
-    def _spawn(self, part: Any) -> None:
-        task = asyncio.get_running_loop().create_task(part)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+    def config(self, name: str) -> Path:
+        """Return the path of a server's configuration."""
+        return self._files.config(name)
 
-    async def kill(self, *names: str, why: str = "a fault") -> None:
-        """Kill them outright, together with their worker pools."""
-        for name in names:
-            process = self.processes[name]
-            self._killed.add(process.pid)
-            self.history.add(Kind.KILLED, name, "", why)
-            process.signal(signal.SIGKILL)
-            await self.do("end_pool", name, why=why)
-        await asyncio.gather(*(self.processes[name].ended(10.0) for name in names))
-
-    async def leave(self, name: str) -> bool:
-        """Tell it to leave, and kill it when its time is up; whether it ended by itself."""
-        process = self.processes[name]
-        self.history.add(Kind.TOLD_TO_LEAVE, name)
-        process.signal(signal.SIGTERM)
-        by_itself = await process.ended(self.plan.stop_ms / 1000 + LEAVE_SLACK_S)
-        if not by_itself:
-            self.history.add(Kind.FAULT, name, "", "did not leave in time")
-            await process.kill()
-        await self.do("end_pool", name, why="it left")
-        return by_itself
+    def remaining_pids(self) -> list[int]:
+        """Return the ids of server processes of this run that still exist."""
+        return alive(self.pids)
 
-    async def replace(self, *names: str) -> None:
-        """Each leaves, and its successor starts under the same name."""
+    # Commands
 
-        async def one(name: str) -> None:
-            await self.leave(name)
-            await self.start(name)
+    async def run_command(self, command: str, server: str = "", **values: Any) -> Any:
+        """Have the services run a command of shared_services.COMMANDS."""
+        return await self.services.run(command, server, **values)
 
-        await asyncio.gather(*(one(name) for name in names))
+    async def set_request_rate(self, rate_per_s: float | None = None) -> None:
+        """Have clients send at this rate, or at the plan's."""
+        await self.run_command("ask", rate=self.plan.rate if rate_per_s is None else rate_per_s)
 
-    def stop(self, *names: str) -> None:
-        """Have them stand still."""
-        for name in names:
-            self.history.add(Kind.STOPPED, name)
-            self.processes[name].signal(signal.SIGSTOP)
+    async def start(self, *names: str, up_ms: float = 0.0) -> None:
+        """Start these servers, or all, with new worker pools that come up after `up_ms`."""
+        await self._servers.start(names or self.names, up_ms)
 
-    def go_on(self, *names: str) -> None:
-        for name in names:
-            self.history.add(Kind.CONTINUED, name)
-            self.processes[name].signal(signal.SIGCONT)
+    async def kill(self, *names: str, reason: str = "a fault") -> None:
+        """Kill servers together with their worker pools."""
+        await self._servers.kill(names, reason)
 
-    def reload(self, *names: str) -> None:
-        for name in names:
-            self.processes[name].signal(signal.SIGHUP)
+    async def shut_down(self, name: str) -> bool:
+        """Tell a server to shut down; return whether it ended in its time, or was killed."""
+        return await self._servers.shut_down(name)
 
-    async def move(self, name: str) -> None:
-        """Give this server's peers other addresses in its configuration, and tell it. The old ones take nothing new."""
-        places = await self.do("move", name)
-        self.configure(name, self.plan.settings(), Places(*(tuple(each) for each in places)))
-        self.reload(name)
+    async def replace(self, *names: str) -> None:
+        """Shut servers down and start each anew under its name."""
+        await self._servers.replace(names)
 
-    async def cut(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
-        """Cut these servers off, on one link or on all."""
-        for name in names:
-            await self.do("set_link", name, link=link, ways=ways, cut=True)
+    # Faults
 
-    async def heal(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
-        for name in names:
-            await self.do("set_link", name, link=link, ways=ways, cut=False)
-
-    async def ask(self, rate: float | None = None) -> None:
-        """Have clients ask, at the plan's rate or another."""
-        await self.do("ask", rate=self.plan.rate if rate is None else rate)
-
-    # Waiting, and the end
-
-    async def await_that(self, true: Callable[[], object], wait_s: float = 10.0, what: str = "") -> None:
-        """Wait until it holds. Raises NotInTime, with what was waited for."""
-        end = self.history.clock() + 1000 * wait_s
-        while not true():
-            if self.history.clock() > end:
-                raise NotInTime(f"{what or true}: not within {wait_s:g} s")
-            await asyncio.sleep(0.005)
-
-    def serving(self, names: Iterable[str]) -> bool:
-        """Whether these are listed and have their worker pools; of surroundings in this process."""
-        assert self.here is not None and self.here.directory is not None
-        return set(names) <= set(self.here.directory.listed()) and all(
-            name in self.here.pools and self.here.pools[name].is_linked for name in names
-        )
+    def pause(self, *names: str) -> None:
+        """Stop servers with SIGSTOP."""
+        self._faults.pause(names)
 
-    async def up(self, *names: str, wait_s: float = 15.0) -> None:
-        """Wait until these, or all, serve."""
-        await self.await_that(lambda: self.serving(names or self.names), wait_s, "servers that serve")
+    def resume(self, *names: str) -> None:
+        """Let paused servers go on."""
+        self._faults.resume(names)
 
-    async def quiet(self) -> None:
-        """Stop asking, and let all be answered."""
-        await self.ask(0.0)
-        longest = max(each.patience_ms for each in self.plan.grades.values())
-        await asyncio.sleep((longest + self.plan.slack_ms) / 1000 + 0.2)
+    def reload(self, *names: str) -> None:
+        """Have servers read their configuration again."""
+        self._faults.reload(names)
 
-    def broken(self, scripted_falls: bool = False) -> list[str]:
-        """What the history shows broken: rules 1 to 3, falls that nobody scripted, processes that ended badly."""
-        replayable = [name for name, each in self.plan.grades.items() if each.replayable]
-        found = checkers.rules(self.history, replayable, self.plan.grace_ms, self.plan.slack_ms, self.plan.window_ms)
-        found += checkers.bad_ends(self.history)
-        return found if scripted_falls else found + checkers.falls(self.history)
+    async def move_services(self, name: str) -> None:
+        """Give a server's services other addresses and reload it."""
+        await self._faults.move_services(name)
 
-    def share(self, since: float, until: float | None = None) -> float:
-        """Of the credit that clients asked for since then, the part that they had within the quoted time."""
-        asked, served = checkers.credit(self.history, since, self.history.clock() if until is None else until)
-        return served / asked if asked else 0.0
+    async def cut(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
+        """Cut one link of these servers, or all, in some directions or both."""
+        await self._faults.set_cut(names, link, ways, True)
+
+    async def heal(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
+        """Restore what was cut."""
+        await self._faults.set_cut(names, link, ways, False)
+
+    # Waiting
+
+    async def wait_until(self, condition: Callable[[], object], timeout_s: float = 10.0, what: str = "") -> None:
+        """Wait until a condition holds.
+
+        Raises:
+            FleetTimeoutError: It does not within `timeout_s`; the text says `what` was waited for.
+        """
+        deadline_at_ms = self.history.clock() + MS_PER_S * timeout_s
+        while not condition():
+            if self.history.clock() > deadline_at_ms:
+                raise FleetTimeoutError(f"{what or condition}: not within {timeout_s:g} s")
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def are_serving(self, names: Iterable[str]) -> bool:
+        """Whether these servers are listed and linked to their worker pools."""
+        directory = self.local_services.directory
+        pools = self.local_services.pools
+        assert directory is not None
+        listed = set(directory.listed())
+        return set(names) <= listed and all(name in pools and pools[name].is_linked for name in names)
+
+    async def wait_until_serving(self, *names: str, timeout_s: float = 15.0) -> None:
+        """Wait until these servers, or all, serve."""
+        await self.wait_until(lambda: self.are_serving(names or self.names), timeout_s, "servers that serve")
+
+    async def stop_requests(self) -> None:
+        """Have clients stop, and wait until every request can have been answered."""
+        await self.set_request_rate(0.0)
+        longest_ms = max(traffic.patience_ms for traffic in self.plan.grades.values())
+        await asyncio.sleep((longest_ms + self.plan.slack_ms) / MS_PER_S + DRAIN_MARGIN_S)
+
+    # Figures
+
+    async def figures(self) -> dict[str, float]:
+        """Return what only the services can tell."""
+        return await self.services.figures()
 
+    def violations(self, scripted_falls: bool = False) -> list[str]:
+        """Return what the history shows broken; falls count unless they were scripted."""
+        return fleet_figures.violations(self.history, self.plan, scripted_falls)
 
-def with_plan(plan: Plan, **changes: Any) -> Plan:
-    """The same plan but for some of it."""
-    return replace(plan, **changes)
+    def served_fraction(self, begin_at_ms: float, end_at_ms: float | None = None) -> float:
+        """Return the fraction of the priority weight asked for since then that was served in time."""
+        end = self.history.clock() if end_at_ms is None else end_at_ms
+        return fleet_figures.served_fraction(self.history, begin_at_ms, end)
--- a/nickelslip/emulator/scenario_runner.py
+++ b/nickelslip/emulator/scenario_runner.py
@@ -42,11 +42,11 @@
     if step.do == "cut" or step.do == "link":
         faults = {"cut": True} if step.do == "cut" else values["faults"]
         where: dict[str, Any] = {"link": values.get("link", ""), "ways": values.get("ways")}
-        await fleet.do("set_link", name, **where, **faults)
+        await fleet.run_command("set_link", name, **where, **faults)
         await asyncio.sleep(for_s)
-        await fleet.do("set_link", name, **where, **{word: NONE[word] for word in faults})
+        await fleet.run_command("set_link", name, **where, **{word: NONE[word] for word in faults})
     elif step.do == "reset":
-        await fleet.do("reset_links", name, link=values.get("link", ""))
+        await fleet.run_command("reset_links", name, link=values.get("link", ""))
     elif step.do == "reload":
         fleet.reload(name)
     else:
@@ -62,18 +62,18 @@
             await asyncio.sleep(values["back_after_ms"] / 1000)
             await fleet.start(name, up_ms=values.get("up_ms", 0.0))
     elif step.do == "leave":
-        await fleet.leave(name)
+        await fleet.shut_down(name)
     elif step.do == "replace":
         await asyncio.sleep(step.servers.index(name) * values.get("each_after_ms", 0.0) / 1000)
         await fleet.replace(name)
     elif step.do == "start":
         await fleet.start(name, up_ms=values.get("up_ms", 0.0))
     elif step.do == "stand_still":
-        fleet.stop(name)
+        fleet.pause(name)
         try:
             await asyncio.sleep(values["for_ms"] / 1000)
         finally:
-            fleet.go_on(name)
+            fleet.resume(name)
     elif step.do == "loop":
         for _ in range(int(values["times"])):
             await fleet.kill(name)
@@ -84,17 +84,17 @@
 async def _at_all(fleet: Fleet, step: Step) -> None:
     values, for_s = step.values, step.values.get("for_ms", 0.0) / 1000
     if step.do == "directory_down":
-        await fleet.do("directory_down")
+        await fleet.run_command("directory_down")
         await asyncio.sleep(for_s)
-        await fleet.do("directory_up", empty=values.get("empty", False))
+        await fleet.run_command("directory_up", empty=values.get("empty", False))
     elif step.do == "records_down":
-        await fleet.do("records_down", for_ms=values["for_ms"])
+        await fleet.run_command("records_down", for_ms=values["for_ms"])
         await asyncio.sleep(for_s)
     elif step.do == "records_slow":
-        await fleet.do("records_slow", by=values["by"])
+        await fleet.run_command("records_slow", by=values["by"])
         await asyncio.sleep(for_s)
-        await fleet.do("records_slow", by=1.0)
+        await fleet.run_command("records_slow", by=1.0)
     elif step.do == "restart_balancers":
-        await fleet.do("restart_balancers", part=values.get("part", 1.0))
+        await fleet.run_command("restart_balancers", part=values.get("part", 1.0))
     elif step.do == "ask":
-        await fleet.ask(values["rate"])
+        await fleet.set_request_rate(values["rate"])
--- /dev/null
+++ b/nickelslip/emulator/service_host.py
@@ -0,0 +1,139 @@
+"""Another process with a part of a fleet's services, driven by JSON lines over its standard input and output."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import sys
+from collections.abc import Callable
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+from nickelslip.emulator.history import History
+from nickelslip.emulator.processes import with_its_parent
+from nickelslip.emulator.shared_services import Spec
+
+ROOT = Path(__file__).parent.parent.parent
+COMMAND_TIMEOUT_S = 30.0
+READY_NUMBER = 0  # number of the reply that says that the services have started
+
+
+class ServiceHostEndedError(Exception):
+    """The process ended before it replied to a command."""
+
+
+class ServiceHost:
+    """A process with the worker pools of some servers, or with what is shared, or both.
+
+    Args:
+        folder: Where its files are written.
+        number: Tells its files from those of others.
+        spec: The services of the whole fleet.
+        pools: Servers whose worker pools are there.
+        shared: Whether what is shared is there.
+        on_fall: Called with the server's name when a machine falls over.
+    """
+
+    def __init__(
+        self,
+        folder: Path,
+        number: int,
+        spec: Spec,
+        pools: list[str],
+        shared: bool,
+        on_fall: Callable[[str], None],
+    ) -> None:
+        self._spec_path = folder / f"host{number}.json"
+        self._history_path = folder / f"host{number}.history"
+        self._spec_path.write_text(json.dumps({"spec": spec.dump(), "pools": pools, "shared": shared}))
+        self._log = (folder / f"host{number}.log").open("wb")
+        self._on_fall = on_fall
+        self._replies: dict[int, asyncio.Future[Any]] = {}
+        self._last_number = READY_NUMBER
+        self._process: asyncio.subprocess.Process | None = None
+
+    async def start(self) -> None:
+        """Start the process and wait until its services have started.
+
+        Raises:
+            TimeoutError: They have not within 30 s.
+            ServiceHostEndedError: The process ended instead.
+        """
+        self._process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "nickelslip.emulator.shared_services",
+            str(self._spec_path),
+            str(self._history_path),
+            cwd=ROOT,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self._log,
+            preexec_fn=with_its_parent(os.getpid()),
+        )
+        ready = asyncio.get_running_loop().create_future()
+        self._replies[READY_NUMBER] = ready
+        self._reader = asyncio.get_running_loop().create_task(self._read_replies(self._process))
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
+            await ready
+
+    @property
+    def is_started(self) -> bool:
+        """Whether there is a process, ended or not."""
+        return self._process is not None
+
+    @property
+    def pid(self) -> int:
+        """The process's id; only after `start`."""
+        assert self._process is not None
+        return self._process.pid
+
+    async def run(self, command: str, **values: Any) -> Any:
+        """Have a command carried out and return its result.
+
+        Raises:
+            TimeoutError: No reply came within 30 s.
+            ServiceHostEndedError: The process ended before it replied.
+        """
+        assert self._process is not None
+        assert self._process.stdin is not None
+        self._last_number += 1
+        reply = asyncio.get_running_loop().create_future()
+        self._replies[self._last_number] = reply
+        line = {"n": self._last_number, "do": command, "values": values}
+        self._process.stdin.write(json.dumps(line).encode() + b"\n")
+        async with asyncio.timeout(COMMAND_TIMEOUT_S):
+            return await reply
+
+    async def close(self) -> History:
+        """End the process and return its history."""
+        assert self._process is not None
+        assert self._process.stdin is not None
+        with suppress(OSError):
+            self._process.stdin.write(b'{"do": "end"}\n')
+            self._process.stdin.close()
+        with suppress(TimeoutError):
+            async with asyncio.timeout(COMMAND_TIMEOUT_S):
+                await self._process.wait()
+        if self._process.returncode is None:
+            self._process.kill()
+            await self._process.wait()
+        await self._reader
+        self._log.close()
+        return History.load(self._history_path) if self._history_path.exists() else History()
+
+    async def _read_replies(self, process: asyncio.subprocess.Process) -> None:
+        assert process.stdout is not None
+        while line := await process.stdout.readline():
+            message = json.loads(line)
+            if "fell" in message:
+                self._on_fall(message["fell"])
+                continue
+            reply = self._replies.pop(message["n"], None)
+            if reply is not None and not reply.done():
+                reply.set_result(message["result"])
+        for reply in self._replies.values():
+            if not reply.done():
+                reply.set_exception(ServiceHostEndedError("the process of the services has ended"))
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -10,7 +10,8 @@
 import pytest
 
 from nickelslip.emulator.checkers import counts
-from nickelslip.emulator.fleet import Fleet, Plan
+from nickelslip.emulator.fleet import Fleet
+from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Kind
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.processes import program
@@ -28,8 +29,8 @@
 
 async def over(fleet, scripted_falls=False):
     """Clients stop, all is answered, the rules are looked at."""
-    await fleet.quiet()
-    found = fleet.broken(scripted_falls)
+    await fleet.stop_requests()
+    found = fleet.violations(scripted_falls)
     assert not found, "\n".join(found[:20])
 
 
@@ -37,45 +38,45 @@
     kind = ServiceKind(slots=6, call_ms=40.0, survives=9.0, span_ms=500.0, cold_from=0.4, cold_ms=1500.0)
     plan = Plan(size=6, rate=90.0, service=kind, call_share=4.0, read_list=True, **COLD)
     async with Fleet(plan, tmp_path) as fleet:
-        await fleet.ask()
+        await fleet.set_request_rate()
         await fleet.start()
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(5.0)
-        assert fleet.here.records.service.falls == 0, "the records were not flattened"
-        assert fleet.share(fleet.history.clock() - 2500, fleet.history.clock() - 1200) > 0.7
+        assert fleet.local_services.records.service.falls == 0, "the records were not flattened"
+        assert fleet.served_fraction(fleet.history.clock() - 2500, fleet.history.clock() - 1200) > 0.7
         await over(fleet)
 
 
 async def test_a_directory_that_is_down_and_comes_back_empty_is_met_in_turn_and_lists_all_in_a_second(tmp_path):
     async with Fleet(Plan(size=8, read_list=True), tmp_path) as fleet:
-        await fleet.do("directory_down")
+        await fleet.run_command("directory_down")
         await fleet.start()
-        await fleet.await_that(lambda: all(pool.is_linked for pool in fleet.here.pools.values()))
+        await fleet.wait_until(lambda: all(pool.is_linked for pool in fleet.local_services.pools.values()))
         await asyncio.sleep(1.0)
-        await fleet.do("directory_up", empty=True)
+        await fleet.run_command("directory_up", empty=True)
         back = fleet.history.clock()
-        await fleet.up(wait_s=1.5)
+        await fleet.wait_until_serving(timeout_s=1.5)
         await asyncio.sleep(2.0)
         reports = fleet.history.of(Kind.REPORT)
         assert max(counts(reports, 100.0, back, back + 2000)) <= 5, "they keep apart"
         assert sum(counts(reports, 100.0, back, back + 2000)) <= 8 * 5, "and report no more than they have to"
-        await fleet.ask()
+        await fleet.set_request_rate()
         await asyncio.sleep(1.0)
         await over(fleet)
 
 
 async def test_pools_that_come_up_apart_and_a_notice_to_leave_in_the_middle_of_a_start(tmp_path):
     async with Fleet(Plan(size=5, **COLD), tmp_path) as fleet:
-        await fleet.ask()
+        await fleet.set_request_rate()
         for number, name in enumerate(fleet.names):
             await fleet.start(name, up_ms=700.0 * number)
         await asyncio.sleep(0.5)
-        assert await fleet.leave("n5"), "one that has no worker pool yet leaves at once"
+        assert await fleet.shut_down("n5"), "one that has no worker pool yet leaves at once"
         assert not fleet.history.of(Kind.REPORT, server="n5"), "and was never reported"
-        await fleet.up("n1", "n2")
-        assert await fleet.leave("n2"), "and one that has just begun to call in its time"
+        await fleet.wait_until_serving("n1", "n2")
+        assert await fleet.shut_down("n2"), "and one that has just begun to call in its time"
         await fleet.start("n2", "n5")
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         for name in fleet.names:
             link = fleet.history.of(Kind.LINKED, server=name)[0].at
@@ -88,14 +89,14 @@
     async with Fleet(plan, tmp_path) as fleet:
         stay, come = fleet.names[:3], fleet.names[3:]
         await fleet.start(*stay)
-        await fleet.up(*stay)
-        await fleet.ask()
+        await fleet.wait_until_serving(*stay)
+        await fleet.set_request_rate()
         await asyncio.sleep(3.5)
         begin = fleet.history.clock()
         await fleet.start(*come)
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(2.5)
-        alone, beside = (fleet.share(since, since + 1500) for since in (begin - 1700, begin + 500))
+        alone, beside = (fleet.served_fraction(since, since + 1500) for since in (begin - 1700, begin + 500))
         assert beside > 0.8 * alone, "of what is asked no less is satisfied than before they came"
         back, cut = zone_of(fleet.names, 3, 0), zone_of(fleet.names, 3, 1)
         await fleet.kill(*back)
@@ -104,7 +105,7 @@
         await fleet.start(*back)
         await asyncio.sleep(2.0)
         await fleet.heal(*cut)
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         await over(fleet)
 
@@ -120,23 +121,23 @@
 
     async with Fleet(Plan(size=3, read_list=True), tmp_path, argv) as fleet:
         await fleet.start("n2", "n3")
-        await fleet.up("n2", "n3")
-        await fleet.ask()
+        await fleet.wait_until_serving("n2", "n3")
+        await fleet.set_request_rate()
         await asyncio.sleep(1.0)
         begin, took = fleet.history.clock(), []
         for _ in range(4):
             started = fleet.history.clock()
             await fleet.start("n1")
-            await fleet.await_that(lambda: fleet.here.pools["n1"].is_linked)
+            await fleet.wait_until(lambda: fleet.local_services.pools["n1"].is_linked)
             took.append(fleet.history.clock() - started)
             await fleet.kill("n1")
         assert took[3] > took[2] > max(took[:2]) and took[3] > 500, took
         await fleet.start("n1")
-        await fleet.await_that(lambda: json.loads((starts / NAME).read_text())["row"] == 4)
-        assert await fleet.leave("n1"), "one that waits is told to leave, and does"
+        await fleet.wait_until(lambda: json.loads((starts / NAME).read_text())["row"] == 4)
+        assert await fleet.shut_down("n1"), "one that waits is told to leave, and does"
         assert json.loads((starts / NAME).read_text())["row"] == 0
         await asyncio.sleep(1.0)
-        assert fleet.share(begin, fleet.history.clock() - 1000) > 0.8
+        assert fleet.served_fraction(begin, fleet.history.clock() - 1000) > 0.8
         await over(fleet)
 
 
@@ -158,9 +159,9 @@
 
     async with Fleet(Plan(size=5, read_list=True, **COLD), tmp_path, argv) as fleet:
         await fleet.start()
-        await fleet.up()
+        await fleet.wait_until_serving()
         begin = fleet.history.clock()
-        await fleet.ask()
+        await fleet.set_request_rate()
         await asyncio.sleep(4.0)
         lists = [event.detail for event in fleet.history.of(Kind.LISTED) if event.at > begin]
         assert lists and all(set(each) == set(fleet.names) for each in lists)
@@ -170,33 +171,33 @@
 async def test_a_directory_that_hears_late_by_more_than_its_expiry_and_reports_lost_by_half(tmp_path):
     async with Fleet(Plan(size=4, **COLD), tmp_path) as fleet:
         for name in fleet.names[:2]:
-            await fleet.do("set_link", name, link="directory", delay_ms=3500.0)
+            await fleet.run_command("set_link", name, link="directory", delay_ms=3500.0)
         for name in fleet.names[2:]:
-            await fleet.do("set_link", name, link="directory", lost=0.5)
+            await fleet.run_command("set_link", name, link="directory", lost=0.5)
         await fleet.start()
-        await fleet.up()
-        await fleet.ask()
+        await fleet.wait_until_serving()
+        await fleet.set_request_rate()
         await asyncio.sleep(4.5)
         begin = fleet.history.clock()
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(2.0)
-        assert fleet.share(begin, fleet.history.clock() - 1000) > 0.7
+        assert fleet.served_fraction(begin, fleet.history.clock() - 1000) > 0.7
         await over(fleet)
 
 
 async def test_twenty_starts_in_a_row_of_the_same_server_leave_the_others_theirs(tmp_path):
     async with Fleet(Plan(size=3, **COLD), tmp_path) as fleet:
         await fleet.start("n2", "n3")
-        await fleet.up("n2", "n3")
-        await fleet.ask()
+        await fleet.wait_until_serving("n2", "n3")
+        await fleet.set_request_rate()
         await asyncio.sleep(2.0)
         begin = fleet.history.clock()
         for _ in range(20):
             await fleet.start("n1")
             await asyncio.sleep(0.25)
             await fleet.kill("n1")
-        assert fleet.share(begin, fleet.history.clock() - 1000) > 0.7
+        assert fleet.served_fraction(begin, fleet.history.clock() - 1000) > 0.7
         await fleet.start("n1")
-        await fleet.up()
+        await fleet.wait_until_serving()
         await over(fleet)
-    assert not fleet.left_behind() and len(fleet.pids) == 23
+    assert not fleet.remaining_pids() and len(fleet.pids) == 23
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,7 +13,8 @@
 import pytest
 
 from nickelslip.emulator import checkers
-from nickelslip.emulator.fleet import Fleet, NotInTime, Plan
+from nickelslip.emulator.fleet import Fleet, FleetTimeoutError
+from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Event, History, Kind
 from nickelslip.emulator.links import Course, Fate, Faults, Lane
 from nickelslip.emulator.models import Jobs, Level, Listing, Machine, MachineKind, Service, ServiceKind
@@ -243,59 +244,60 @@
 async def test_drawn_faults_break_no_rule_and_what_was_done_stands_in_the_history(tmp_path, seed):
     async with Fleet(Plan(size=4, seed=seed), tmp_path) as fleet:
         await fleet.start()
-        await fleet.up()
-        await fleet.ask()
+        await fleet.wait_until_serving()
+        await fleet.set_request_rate()
         steps = drawn(fleet.names, 5000.0, seed, every_ms=600.0)
         await play(fleet, steps)
-        await fleet.up()
-        await fleet.quiet()
-        assert not fleet.broken(scripted_falls=True), "\n".join(fleet.broken(scripted_falls=True)[:20])
+        await fleet.wait_until_serving()
+        await fleet.stop_requests()
+        assert not fleet.violations(scripted_falls=True), "\n".join(fleet.violations(scripted_falls=True)[:20])
         done = [event.detail.split()[0] for event in fleet.history.of(Kind.FAULT)]
         assert all(step.do in done for step in steps)
-    assert not fleet.left_behind()
+    assert not fleet.remaining_pids()
 
 
 @pytest.mark.anyio
 async def test_a_relay_cuts_one_way_and_a_process_that_stands_still_serves_again(tmp_path):
     async with Fleet(Plan(size=3), tmp_path) as fleet:
         await fleet.start()
-        await fleet.up()
+        await fleet.wait_until_serving()
         await fleet.cut("n1", link="directory", ways=["OUT"])
-        await fleet.await_that(lambda: "n1" not in fleet.here.directory.listed(), 5.0)
+        await fleet.wait_until(lambda: "n1" not in fleet.local_services.directory.listed(), 5.0)
         await fleet.heal("n1", link="directory", ways=["OUT"])
-        await fleet.await_that(lambda: "n1" in fleet.here.directory.listed(), 2.0)
-        await fleet.ask()
+        await fleet.wait_until(lambda: "n1" in fleet.local_services.directory.listed(), 2.0)
+        await fleet.set_request_rate()
         await play(fleet, [Step(0.0, "stand_still", ("n2",), {"for_ms": 1500.0})])
         await asyncio.sleep(0.5)
-        with pytest.raises(NotInTime):
-            await fleet.await_that(lambda: False, 0.1, "what never comes")
-        await fleet.quiet()
-        assert not fleet.broken(), "\n".join(fleet.broken()[:20])
+        with pytest.raises(FleetTimeoutError):
+            await fleet.wait_until(lambda: False, 0.1, "what never comes")
+        await fleet.stop_requests()
+        assert not fleet.violations(), "\n".join(fleet.violations()[:20])
 
 
 @pytest.mark.anyio
 async def test_surroundings_in_processes_of_their_own_tell_the_same_history(tmp_path):
     async with Fleet(Plan(size=3, relayed=False, hosts=1), tmp_path) as fleet:
         await fleet.start()
-        await fleet.ask()
+        await fleet.set_request_rate()
         await asyncio.sleep(2.0)
         await fleet.kill("n1")
         await fleet.start("n1")
         await asyncio.sleep(1.0)
-        await fleet.quiet()
-        assert (await fleet.do("figures"))["records_calls"] > 0
-    assert not fleet.broken() and fleet.share(fleet.history.events[0].at + 1000) > 0.5
+        await fleet.stop_requests()
+        assert (await fleet.run_command("figures"))["records_calls"] > 0
+    assert not fleet.violations() and fleet.served_fraction(fleet.history.events[0].at + 1000) > 0.5
     assert {event.kind for event in fleet.history.events} >= {Kind.RUN, Kind.ANSWERED, Kind.REPORT, Kind.LINKED}
-    assert not fleet.left_behind()
+    assert not fleet.remaining_pids()
 
 
 RIG = """
 import asyncio, sys
-from nickelslip.emulator.fleet import Fleet, Plan
+from nickelslip.emulator.fleet import Fleet
+from nickelslip.emulator.fleet_plan import Plan
 async def main():
     async with Fleet(Plan(size=3, hosts=1, relayed=False)) as fleet:
         await fleet.start()
-        print(*fleet.pids, *(host.pid for host in fleet._hosts), flush=True)
+        print(*fleet.pids, *(host.pid for host in fleet.services.hosts), flush=True)
         await asyncio.sleep(60)
 asyncio.run(main())
 """
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,8 @@
 import pytest
 
 from nickelslip.emulator.checkers import credit
-from nickelslip.emulator.fleet import Fleet, Plan
+from nickelslip.emulator.fleet import Fleet
+from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Kind
 
 pytestmark = pytest.mark.anyio
@@ -29,14 +30,14 @@
     """A fleet that serves, under load; in the end the rules are looked at."""
     async with Fleet(Plan(**plan), tmp_path) as fleet:
         await fleet.start()
-        await fleet.up()
-        await fleet.ask()
+        await fleet.wait_until_serving()
+        await fleet.set_request_rate()
         await asyncio.sleep(1.0)
         yield fleet
-        await fleet.quiet()
-        assert not fleet.broken(), "\n".join(fleet.broken()[:20])
+        await fleet.stop_requests()
+        assert not fleet.violations(), "\n".join(fleet.violations()[:20])
         assert set(fleet.processes) == {name for name in fleet.names if fleet.processes[name].code is None}
-    assert not fleet.left_behind()
+    assert not fleet.remaining_pids()
 
 
 async def test_calm_then_half_are_replaced_in_steps_while_a_reload_moves_the_addresses(tmp_path):
@@ -46,26 +47,26 @@
         for step in (fleet.names[:2], fleet.names[2:3]):
             await fleet.replace(*step)
             for name in stay:
-                await fleet.move(name)
-        await fleet.up()
+                await fleet.move_services(name)
+        await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         links = fleet.history.of(Kind.LINKED)
         assert all(sum(each.server == name for each in links) == 3 for name in stay), "each move made a link"
-        assert fleet.share(begin) > 0.8
+        assert fleet.served_fraction(begin) > 0.8
 
 
 async def test_most_balancers_restart_at_once_while_the_directory_is_down(tmp_path):
     async with day(tmp_path, size=4) as fleet:
         begin = fleet.history.clock()
-        await fleet.do("directory_down")
-        await fleet.do("restart_balancers", part=0.75)
+        await fleet.run_command("directory_down")
+        await fleet.run_command("restart_balancers", part=0.75)
         await asyncio.sleep(1.0)
         await fleet.kill("n1")
         await fleet.start("n1")
         await asyncio.sleep(1.5)
-        await fleet.do("directory_up")
-        await fleet.up()
-        assert fleet.share(begin, fleet.history.clock() - 1000) > 0.7
+        await fleet.run_command("directory_up")
+        await fleet.wait_until_serving()
+        assert fleet.served_fraction(begin, fleet.history.clock() - 1000) > 0.7
 
 
 async def test_a_third_is_killed_and_comes_back_cold(tmp_path):
@@ -74,7 +75,7 @@
         await fleet.kill(*gone)
         await asyncio.sleep(1.0)
         await fleet.start(*gone)
-        await fleet.up()
+        await fleet.wait_until_serving()
         back = fleet.history.clock()
         await asyncio.sleep(2.0)
         assert credit(fleet.history, back, fleet.history.clock(), set(gone))[1] > 0, "those that came back serve"
@@ -85,12 +86,12 @@
         off = fleet.names[:2]
         await fleet.cut(*off)
         await asyncio.sleep(6.0)
-        assert not set(off) & set(fleet.here.directory.listed())
+        assert not set(off) & set(fleet.local_services.directory.listed())
         await fleet.heal(*off)
         healed = fleet.history.clock()
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(2.5)
-        assert fleet.share(healed + 500, fleet.history.clock() - 1000) > 0.8
+        assert fleet.served_fraction(healed + 500, fleet.history.clock() - 1000) > 0.8
 
 
 async def test_most_are_replaced_within_seconds(tmp_path):
@@ -100,7 +101,7 @@
             for name in fleet.names[:4]:
                 tasks.create_task(fleet.replace(name))
                 await asyncio.sleep(chance.uniform(0.1, 0.6))
-        await fleet.up()
+        await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         ended = fleet.history.of(Kind.ENDED)
         assert len(ended) == 4 and all(each.detail == 0 for each in ended), "each left by itself"
