--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -25,7 +25,7 @@
 
 from benchmarks.cold_sums import measured
 from benchmarks.versions import ROOT, NoHistory, copied, unpacked
-from nickelslip.emulator import checkers
+from nickelslip.emulator import checkers, fleet_properties
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import History, Kind
@@ -126,8 +126,8 @@
     earn: the middle of the first second of which that holds, and inf if there is none. Answers count when they come:
     what was asked early and held until the fleet could do it shows no earlier strength."""
     at, most = begin, end - HOLD_MS
-    answers = [(event.at, worth) for event, worth in checkers.earned(history)]
-    asked = [(event.at, event.detail[1]) for event in history.of(Kind.ASKED)]
+    answers = [(event.at_ms, worth) for event, worth in fleet_properties.earned_answers(history)]
+    asked = [(event.at_ms, event.detail[1]) for event in history.of(Kind.ASKED)]
     while at <= most:
         given, wanted = (sum(each for when, each in of if at <= when < at + HOLD_MS) for of in (answers, asked))
         if wanted and given >= part * wanted:
@@ -171,7 +171,7 @@
     reports = history.of(Kind.REPORT)
     linked = history.of(Kind.LINKED)
     tried = [event for event in history.of(Kind.CONNECTED) if event.detail == "pool"]
-    first = min((event.at for event in reports), default=begin)
+    first = min((event.at_ms for event in reports), default=begin)
     falls = checkers.falls(history)
     return {
         "to_95_ms": time_to(history, begin, lossy, 0.95),
@@ -180,15 +180,15 @@
         "serving_loss": max(0.0, 1 - during_half / before_half) if before_half else 1.0,
         "serving_before": before_half,
         "serving_during": during_half,
-        "directory_peak_over_mean": checkers.peak_over_mean(reports, BIN_MS, first + 1000, lossy),
-        "reports_a_minute": 60_000 * sum(calm <= event.at < lossy for event in reports) / (lossy - calm) / size,
-        "falsely_unlisted": checkers.unlisted(history, fleet.names, lossy, lossy_end),
-        "unlisted_calm": checkers.unlisted(history, fleet.names, calm, lossy),
+        "directory_peak_over_mean": fleet_properties.peak_over_mean(reports, BIN_MS, first + 1000, lossy),
+        "reports_a_minute": 60_000 * sum(calm <= event.at_ms < lossy for event in reports) / (lossy - calm) / size,
+        "falsely_unlisted": fleet_properties.unlisted_count(history, fleet.names, lossy, lossy_end),
+        "unlisted_calm": fleet_properties.unlisted_count(history, fleet.names, calm, lossy),
         "records_over_survivable_ms": figures["records_over_ms"],
         "records_down": figures["records_falls"],
         "records_most": figures["records_most"],
-        "links_tried_per_s_peak": max(checkers.counts(tried, 1000.0, begin, end), default=0),
-        "linked_ms": max(event.at for event in linked[:size]) - begin if len(linked) >= size else math.inf,
+        "links_tried_per_s_peak": max(fleet_properties.counts_per_bin(tried, 1000.0, begin, end), default=0),
+        "linked_ms": max(event.at_ms for event in linked[:size]) - begin if len(linked) >= size else math.inf,
         "falls_over": sum("machine" in line for line in falls),
         "rules_broken": len(broken := [line for line in fleet.violations(scripted_falls=True)]),
         "broken": broken[:5],
@@ -198,7 +198,7 @@
 
 
 def fleet_share(history: History, begin: float, end: float, servers: set[str] | None = None) -> float:
-    asked, served = checkers.credit(history, begin, end, servers)
+    asked, served = fleet_properties.priority_weight_totals(history, begin, end, servers)
     return served / asked if asked else 0.0
 
 
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -39,9 +39,9 @@
     written: dict[str, list[float]] = {}
     for event in history.events:
         if event.kind is Kind.STARTED:
-            begun.setdefault(event.server, []).append(event.at)
+            begun.setdefault(event.server, []).append(event.at_ms)
         elif event.kind is Kind.WRITTEN:
-            written.setdefault(event.server, []).append(event.at)
+            written.setdefault(event.server, []).append(event.at_ms)
     worst = -1e9
     for server, starts in begun.items():
         times = sorted(written.get(server, []))
--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -1,242 +1,196 @@
-"""What a history has to keep: the four rules on what went over the sockets, and properties of a whole fleet.
+"""Rules that the history of a fleet's run has to keep; each rule returns a line for each violation.
 
-Owns plain functions over events, each of which returns what it found broken, a line each, or a figure. It must never
-look at anything but the history, and believes no server's word about itself.
+Only what went over the sockets counts, and no server's word about itself. A line begins with what was violated.
 """
 
 from __future__ import annotations
 
-from bisect import bisect_right
-from collections import Counter, defaultdict
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections import defaultdict
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from itertools import pairwise
 from math import inf
 
-from nickelslip.emulator.history import Event, History, Kind
-
-
-@dataclass
-class Life:
-    """One life of a server: from its start to its end, and how that came."""
-
-    server: str
-    started: float
-    told: float = inf  # to leave
-    ended: float = inf
-    killed: float = inf  # outright, together with its worker pool
-
-
-@dataclass
-class Tried:
-    """One transaction at one server, as both sides saw it."""
-
-    ident: str
-    server: str
-    written: float = inf
-    grade: str = ""
-    mark: str = ""
-    due: float = inf
-    gone: float = inf
-    crossed: bool = False
-    words: list[tuple[float, str, bool]] = field(default_factory=list)
-    runs: list[float] = field(default_factory=list)
-
-
-class Seen:
-    """A history sorted by lives, tries and cuts."""
-
-    def __init__(self, history: History) -> None:
-        self.lives: dict[str, list[Life]] = defaultdict(list)
-        self.tries: dict[tuple[str, str], Tried] = {}
-        self.cuts: dict[str, list[list[float]]] = defaultdict(list)  # in which a server, or its network, stood still
-        self._open_cuts: dict[str, dict[str, list[float]]] = defaultdict(dict)
-        self.last = history.events[-1].at if history.events else 0.0
-        for event in history.events:
-            self._take(event)
-
-    def _try(self, event: Event) -> Tried:
-        key = event.server, event.ident
-        return self.tries.setdefault(key, Tried(event.ident, event.server))
-
-    def _take(self, event: Event) -> None:
-        at, kind, server, _, detail = event
-        if kind is Kind.STARTED:
-            self.lives[server].append(Life(server, at))
-        elif kind is Kind.TOLD_TO_LEAVE:
-            self.lives[server][-1].told = at
-        elif kind is Kind.ENDED:
-            self.lives[server][-1].ended = at
-        elif kind is Kind.KILLED and self.lives[server]:
-            self.lives[server][-1].killed = min(self.lives[server][-1].killed, at)
-        elif kind in (Kind.CUT, Kind.STOPPED):
-            self._open_cuts[server][detail or ""] = cut = [at, inf]
-            self.cuts[server].append(cut)
-        elif kind in (Kind.HEALED, Kind.CONTINUED) and (detail or "") in self._open_cuts[server]:
-            self._open_cuts[server].pop(detail or "")[1] = at
-        elif kind is Kind.WRITTEN:
-            one = self._try(event)
-            one.written, (one.grade, one.mark, one.due) = at, detail
-        elif kind is Kind.ANSWERED:
-            self._try(event).words.append((at, *detail))
-        elif kind is Kind.GONE:
-            self._try(event).gone = min(self._try(event).gone, at)
-        elif kind is Kind.CROSSED:
-            self._try(event).crossed = True
-        elif kind is Kind.RUN:
-            one = self._try(event)
-            one.runs.append(at)
-            one.grade = one.grade or detail
-
-    def life(self, server: str, at: float) -> Life | None:
-        """The life in which something reached the server then."""
-        lives = self.lives[server]
-        number = bisect_right([each.started for each in lives], at)
-        return lives[number - 1] if number else None
-
-    def spared(self, server: str, due: float) -> float:
-        """By when what was due then could have got through, cuts considered."""
-        for since, until in sorted(self.cuts[server]):
-            if since <= due < until:
-                due = until
-        return due
-
-    def cut_off(self, server: str, begin: float, end: float) -> bool:
-        return any(since < end and begin < until for since, until in self.cuts[server])
-
-
-def rules(
-    history: History, replayable: Iterable[str], grace_ms: float, slack_ms: float, window_ms: float = inf
-) -> list[str]:
-    """What breaks rule 1, 2 or 3. The slack is what the rules and a crowded machine may add. What a server held that
-    was killed outright is no longer owed; one that was told to leave owes it to the end."""
-    seen, found = Seen(history), []
-    may_rerun = set(replayable)
-    by_mark: dict[tuple[str, float, str], list[Tried]] = defaultdict(list)
-    for one in seen.tries.values():
-        life = seen.life(one.server, one.written)
-        what = f"{one.grade} {one.ident} at {one.server}, written {one.written:.0f}"
-        due = seen.spared(one.server, one.due)
-        excused = (
-            one.gone <= due + slack_ms
-            or one.crossed
-            or one.written == inf
-            or (
-                life is not None
-                and (
-                    life.killed <= due + slack_ms
-                    or (life.ended < inf and seen.cut_off(one.server, one.written, life.ended))
-                )
-            )
-        )
-        words = [word for _, word, _ in one.words]
-        if len(words) > 1:
-            found.append(f"duplicate: {what}: answered {words}")
-        if not words and not excused and due + slack_ms < seen.last:
-            found.append(f"lost: {what}: never answered")
-        if words and one.words[0][0] > due + slack_ms and not excused:
-            found.append(f"lost: {what}: answered {one.words[0][0] - due:.0f} ms past its time")
-        if any(word == "done" and not good for _, word, good in one.words):
-            found.append(f"lost: {what}: answered with what no run made")
-        if "done" in words and not one.runs and not one.mark:
-            found.append(f"lost: {what}: satisfied and never run")
-        if one.grade not in may_rerun and len(one.runs) > 1:
-            found.append(f"duplicate: {what}: run {len(one.runs)} times")
-        if one.grade not in may_rerun and one.runs and "later" in words:
-            found.append(f"duplicate: {what}: dismissed after it ran")
-        late = one.written - life.told - grace_ms if life is not None else 0.0
-        if one.runs and late > slack_ms:
-            found.append(f"drain: {what}: came {late:.0f} ms after the grace, and was run")
-        if one.mark and one.runs and life is not None:
-            by_mark[one.server, life.started, one.mark].append(one)
-    for (server, _, mark), tries in by_mark.items():
-        runs = sorted(each.runs[0] for each in tries)
-        if any(later - earlier < window_ms for earlier, later in zip(runs, runs[1:], strict=False)):
-            found.append(f"duplicate: reference {mark} run {len(runs)} times at {server}")
-    return found
-
-
-def falls(history: History) -> list[str]:
-    """Rule 4: what fell over, other than by a fault that was scripted."""
-    return [f"fell: {event.detail} {event.server} at {event.at:.0f}" for event in history.of(Kind.FELL)]
-
-
-def bad_ends(history: History) -> list[str]:
-    """Processes that ended by themselves with a failure, or without having been told to leave."""
-    seen = Seen(history)
-    return [
-        f"ended: {event.server} with {event.detail}"
-        for event in history.of(Kind.ENDED)
-        if event.detail != 0 or seen.lives[event.server] and all(life.told == inf for life in seen.lives[event.server])
-    ]
-
+from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.observed_history import Attempt, Incarnation, ObservedHistory
 
-# Properties of a whole fleet
+COMPLETED_WORD = "done"
+REJECTED_WORD = "later"
 
 
-def counts(events: Iterable[Event], bin_ms: float, begin: float, end: float) -> list[int]:
-    """How many fell into each span of so many milliseconds."""
-    bins = [0] * max(0, int((end - begin) / bin_ms))
-    for event in events:
-        at = int((event.at - begin) // bin_ms)
-        if 0 <= at < len(bins):
-            bins[at] += 1
-    return bins
+@dataclass(frozen=True)
+class RuleLimits:
+    """What the rules allow.
 
+    Attributes:
+        idempotent_classes: Traffic classes whose requests may run more than once.
+        grace_ms: How long after a server was told to shut down load balancers may still send.
+        slack_ms: What the rules and a crowded machine may add to a response.
+        window_ms: How long a run under an idempotency key excludes another.
+    """
 
-def peak_over_mean(events: Iterable[Event], bin_ms: float, begin: float, end: float) -> float:
-    """The fullest span over the mean one; 0 where nothing came."""
-    bins = counts(events, bin_ms, begin, end)
-    return max(bins) * len(bins) / sum(bins) if sum(bins) else 0.0
+    idempotent_classes: frozenset[str]
+    grace_ms: float
+    slack_ms: float
+    window_ms: float
 
 
-def sum_over(events: Iterable[Event], amount: Callable[[Event], float], whole: float) -> list[str]:
-    """Instants at which the sum of what is out lay over the whole; `amount` says by how much an event changes it."""
-    out, found = 0.0, []
-    for event in events:
-        out += amount(event)
-        if out > whole + 1e-9:
-            found.append(f"sum: {out:g} of {whole:g} out at {event.at:.0f}, with {event.server} {event.ident}")
-    return found
-
+@dataclass(frozen=True)
+class AttemptContext:
+    """An attempt with what the rules need to know about it.
 
-def at_most(spans: Iterable[tuple[float, float]], most: int) -> list[str]:
-    """Instants at which more than so many of these spans overlap."""
-    steps = sorted([(begin, 1) for begin, _ in spans] + [(end, -1) for _, end in spans])
-    out, found = 0, []
-    for at, step in steps:
-        out += step
-        if out > most:
-            found.append(f"at most {most}: {out} at {at:.0f}")
-    return found
+    Attributes:
+        incarnation: The one that the attempt reached; None before the server's first start.
+        deadline_at_ms: The attempt's deadline, moved to the end of an outage that it lies in.
+        is_excused: Whether no answer is owed.
+    """
 
+    attempt: Attempt
+    incarnation: Incarnation | None
+    deadline_at_ms: float
+    is_excused: bool
+    last_at_ms: float
+    limits: RuleLimits
 
-def unlisted(history: History, names: Iterable[str], begin: float, end: float) -> int:
-    """Readings of the list, times servers, in which a server of these was missing from it."""
-    wanted = set(names)
-    return sum(len(wanted - set(event.detail)) for event in history.of(Kind.LISTED) if begin <= event.at < end)
+    @property
+    def may_rerun(self) -> bool:
+        """Whether its traffic class is idempotent."""
+        return self.attempt.traffic_class in self.limits.idempotent_classes
 
 
-def credit(history: History, begin: float, end: float, servers: set[str] | None = None) -> tuple[float, float]:
-    """Credit asked for by clients that began within this time, and credit satisfied of theirs within the quoted time;
-    the second by these servers alone, where some are named. A run without its call earns a part."""
-    asked = sum(event.detail[1] for event in history.of(Kind.ASKED) if begin <= event.at < end)
-    return asked, sum(
-        worth
-        for event, worth in earned(history)
-        if begin <= event.detail[3] < end and (servers is None or event.server in servers)
+def request_violations(
+    history: History,
+    idempotent_classes: Iterable[str],
+    grace_ms: float,
+    slack_ms: float,
+    window_ms: float = inf,
+) -> list[str]:
+    """Return what violates rules 1 to 3.
+
+    A server that was killed owes nothing of what it held; one that was told to shut down owes it to the end.
+    """
+    observed = ObservedHistory(history)
+    limits = RuleLimits(frozenset(idempotent_classes), grace_ms, slack_ms, window_ms)
+    contexts = [_context(observed, attempt, limits) for attempt in observed.attempts.values()]
+    found = [line for context in contexts for rule in ATTEMPT_RULES for line in rule(context)]
+    return found + list(idempotency_key_runs_once(contexts, window_ms))
+
+
+def _context(observed: ObservedHistory, attempt: Attempt, limits: RuleLimits) -> AttemptContext:
+    incarnation = observed.incarnation_at(attempt.server, attempt.written_at_ms)
+    deadline_at_ms = observed.extended_deadline(attempt.server, attempt.deadline_at_ms)
+    answer_by_ms = deadline_at_ms + limits.slack_ms
+    is_excused = (
+        attempt.cancelled_at_ms <= answer_by_ms
+        or attempt.was_never_read
+        or attempt.written_at_ms == inf
+        or _incarnation_excuses(observed, attempt, incarnation, answer_by_ms)
     )
+    return AttemptContext(attempt, incarnation, deadline_at_ms, is_excused, observed.last_at_ms, limits)
+
+
+def _incarnation_excuses(
+    observed: ObservedHistory, attempt: Attempt, incarnation: Incarnation | None, answer_by_ms: float
+) -> bool:
+    """Return whether the server was killed, or shut down while it could not be reached."""
+    if incarnation is None:
+        return False
+    if incarnation.killed_at_ms <= answer_by_ms:
+        return True
+    if incarnation.ended_at_ms == inf:
+        return False
+    return observed.was_cut_off(attempt.server, attempt.written_at_ms, incarnation.ended_at_ms)
+
+
+# Rules on one attempt
+
+
+def answered_at_most_once(context: AttemptContext) -> Iterator[str]:
+    """An attempt has one answer."""
+    if len(context.attempt.answers) > 1:
+        yield f"duplicate: {context.attempt}: answered {context.attempt.words}"
+
+
+def answered_in_time(context: AttemptContext) -> Iterator[str]:
+    """An attempt is answered by its deadline and the slack, unless no answer is owed."""
+    if context.is_excused:
+        return
+    attempt = context.attempt
+    answer_by_ms = context.deadline_at_ms + context.limits.slack_ms
+    if not attempt.answers and answer_by_ms < context.last_at_ms:
+        yield f"lost: {attempt}: never answered"
+    if attempt.answers and attempt.answers[0].at_ms > answer_by_ms:
+        late_ms = attempt.answers[0].at_ms - context.deadline_at_ms
+        yield f"lost: {attempt}: answered {late_ms:.0f} ms past its time"
+
+
+def answered_with_the_result_of_a_run(context: AttemptContext) -> Iterator[str]:
+    """A completed attempt has the body that a run made, and a run of its own unless it has an idempotency key."""
+    attempt = context.attempt
+    if any(answer.word == COMPLETED_WORD and not answer.is_valid for answer in attempt.answers):
+        yield f"lost: {attempt}: answered with what no run made"
+    if COMPLETED_WORD in attempt.words and not attempt.runs_at_ms and not attempt.idempotency_key:
+        yield f"lost: {attempt}: satisfied and never run"
+
+
+def non_idempotent_runs_once(context: AttemptContext) -> Iterator[str]:
+    """An attempt that is not idempotent runs once, and is not rejected after it ran."""
+    if context.may_rerun:
+        return
+    attempt = context.attempt
+    if len(attempt.runs_at_ms) > 1:
+        yield f"duplicate: {attempt}: run {len(attempt.runs_at_ms)} times"
+    if attempt.runs_at_ms and REJECTED_WORD in attempt.words:
+        yield f"duplicate: {attempt}: dismissed after it ran"
+
+
+def nothing_runs_after_the_grace(context: AttemptContext) -> Iterator[str]:
+    """What arrives later than the grace after a server was told to shut down is not run."""
+    if context.incarnation is None or not context.attempt.runs_at_ms:
+        return
+    late_ms = context.attempt.written_at_ms - context.incarnation.shutdown_at_ms - context.limits.grace_ms
+    if late_ms > context.limits.slack_ms:
+        yield f"drain: {context.attempt}: came {late_ms:.0f} ms after the grace, and was run"
+
+
+ATTEMPT_RULES: tuple[Callable[[AttemptContext], Iterator[str]], ...] = (
+    answered_at_most_once,
+    answered_in_time,
+    answered_with_the_result_of_a_run,
+    non_idempotent_runs_once,
+    nothing_runs_after_the_grace,
+)
+
+
+# Rules on a whole history
+
+
+def idempotency_key_runs_once(contexts: Iterable[AttemptContext], window_ms: float) -> Iterator[str]:
+    """In one incarnation, runs under one idempotency key are at least `window_ms` apart."""
+    runs_at_ms: dict[tuple[str, float, str], list[float]] = defaultdict(list)
+    for context in contexts:
+        attempt = context.attempt
+        if attempt.idempotency_key and attempt.runs_at_ms and context.incarnation is not None:
+            key = attempt.server, context.incarnation.started_at_ms, attempt.idempotency_key
+            runs_at_ms[key].append(attempt.runs_at_ms[0])
+    for (server, _, idempotency_key), moments in runs_at_ms.items():
+        moments.sort()
+        if any(later - earlier < window_ms for earlier, later in pairwise(moments)):
+            yield f"duplicate: reference {idempotency_key} run {len(moments)} times at {server}"
 
 
-def earned(history: History) -> list[tuple[Event, float]]:
-    """Each answer that a client had within its quoted time, and the credit earned."""
-    left_out = {event.ident for event in history.of(Kind.LEFT_OUT)}
-    return [
-        (event, event.detail[1] * (event.detail[4] if event.ident in left_out else 1.0))
-        for event in history.of(Kind.SATISFIED)
-        if event.detail[2]
-    ]
-
-
-def tallied(lines: Iterable[str]) -> dict[str, int]:
-    """How many of each kind were found."""
-    return dict(Counter(line.split(":")[0] for line in lines))
+def falls(history: History) -> list[str]:
+    """Rule 4: return what fell over; the caller knows whether that was scripted."""
+    return [f"fell: {event.detail} {event.server} at {event.at_ms:.0f}" for event in history.of(Kind.FELL)]
+
+
+def bad_exits(history: History) -> list[str]:
+    """Return servers that ended by themselves with a failure, or without having been told to shut down."""
+    observed = ObservedHistory(history)
+    found = []
+    for event in history.of(Kind.ENDED):
+        incarnations = observed.incarnations[event.server]
+        was_never_told = bool(incarnations) and all(each.shutdown_at_ms == inf for each in incarnations)
+        if event.detail != 0 or was_never_told:
+            found.append(f"ended: {event.server} with {event.detail}")
+    return found
--- a/nickelslip/emulator/history.py
+++ b/nickelslip/emulator/history.py
@@ -1,7 +1,7 @@
-"""What happened, as the parties round the servers saw it: one list of events on one clock.
+"""What happened in a run, as the services around the servers saw it: one list of events on one clock.
 
-Owns the events, their file and the joining of several processes' lists. The clock is the machine's monotonic one,
-which all its processes share. It must never hold what a server says of itself: a checker would believe it.
+The clock is the machine's monotonic one, which all processes of a run share. A history holds nothing that a server says
+of itself, since a checker would believe it.
 """
 
 from __future__ import annotations
@@ -13,87 +13,115 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MOST = 4_000_000  # events: past that the rig fails in the open, rather than take the machine's memory
+MAX_EVENTS = 4_000_000  # a run fails openly rather than take the machine's memory
+MS_PER_S = 1000
+SAVED_DECIMALS = 3
 
 
 class Kind(Enum):
-    """What may happen."""
+    """What may happen; the names are words of saved histories."""
 
-    WRITTEN = "a transaction was written to a server; detail: grade, mark, due"
+    WRITTEN = "a request was written to a server; detail: traffic class, idempotency key, deadline"
     ANSWERED = "an answer came for it; detail: word, and whether its body is the one that its run made"
-    GONE = "the server was told that nobody waits, or the connection was broken from the caller's side"
+    GONE = "the server was told that nobody waits, or the load balancer broke the connection"
     CROSSED = "the server's close crossed it on its way: it was never read"
-    SATISFIED = "a client has its answer; detail: grade, credit, in its quoted time, asked when, part kept uncalled"
-    ASKED = "a client asks; detail: grade, credit"
-    RUN = "a worker pool was told to start it; detail: grade"
+    SATISFIED = "a client has its answer; detail: class, weight, whether in its objective, sent when, degraded fraction"
+    ASKED = "a client sends a request; detail: traffic class, priority weight"
+    RUN = "a worker pool was told to start it; detail: traffic class"
     LEFT_OUT = "a run went on without its call"
-    CALL = "a call reached the records service; detail: calls in hand"
-    CALL_OVER = "it left the records service's hands; detail: calls in hand"
-    CONNECTED = "somebody connected to a party; detail: which"
-    REFUSED = "the records service was down and somebody tried; detail: which party"
+    CALL = "a call reached the records service; detail: calls in flight"
+    CALL_OVER = "a call is no longer in flight; detail: calls in flight"
+    CONNECTED = "a server connected to a service; detail: which"
+    REFUSED = "the records service was down and a connection was refused; detail: which service"
     REPORT = "a report reached the directory; detail: whether it was heard"
-    LISTED = "the list as a reader finds it; detail: names"
+    LISTED = "the endpoint list as a reader finds it; detail: names"
     STARTED = "a process was started"
-    LINKED = "its worker pool has its link"
+    LINKED = "its worker pool has bound its connection"
     TOLD_TO_LEAVE = "SIGTERM"
     ENDED = "it ended by itself; detail: exit code"
     KILLED = "SIGKILL, or its machine fell over; detail: why"
     STOPPED = "SIGSTOP"
     CONTINUED = "SIGCONT"
     CUT = "a link to or from it was cut; detail: which"
-    HEALED = "and is whole again"
+    HEALED = "the link was restored; detail: which"
     FELL = "a machine or the records service fell over; detail: which"
-    FAULT = "something else was done; detail: what"
+    FAULT = "another fault was injected; detail: what"
 
 
 class Event(NamedTuple):
-    """One of them: monotonic milliseconds, what, at or by which server, for which transaction."""
+    """One event: when, what, at or by which server, for which request."""
 
-    at: float
+    at_ms: float
     kind: Kind
     server: str
-    ident: str
+    request_id: str
     detail: Any
 
 
-class TooMuch(Exception):
+class HistoryFullError(Exception):
     """More events than a history may hold."""
 
 
 class History:
-    """The events of one process, or of several joined."""
+    """The events of one process, or of several joined.
+
+    Args:
+        events: What it begins with.
+    """
 
     def __init__(self, events: Iterable[Event] = ()) -> None:
         self.events = list(events)
 
     @staticmethod
     def clock() -> float:
-        """Monotonic milliseconds, the same in every process of this machine."""
-        return time.monotonic() * 1000
-
-    def add(self, kind: Kind, server: str = "", ident: str = "", detail: Any = None, at: float | None = None) -> None:
-        if len(self.events) >= MOST:
-            raise TooMuch(f"over {MOST} events")
-        self.events.append(Event(self.clock() if at is None else at, kind, server, ident, detail))
+        """Return monotonic milliseconds, the same in every process of this machine."""
+        return time.monotonic() * MS_PER_S
+
+    def add(
+        self,
+        kind: Kind,
+        server: str = "",
+        request_id: str = "",
+        detail: Any = None,
+        at_ms: float | None = None,
+    ) -> None:
+        """Record an event, at this moment unless another is given.
+
+        Raises:
+            HistoryFullError: There are 4,000,000 already.
+        """
+        if len(self.events) >= MAX_EVENTS:
+            raise HistoryFullError(f"over {MAX_EVENTS} events")
+        self.events.append(Event(self.clock() if at_ms is None else at_ms, kind, server, request_id, detail))
 
     def of(self, *kinds: Kind, server: str | None = None) -> list[Event]:
-        """Those of these kinds, in their order."""
-        return [each for each in self.events if each.kind in kinds and server in (None, each.server)]
+        """Return the events of these kinds, of one server or of all, in their order."""
+        return [event for event in self.events if event.kind in kinds and server in (None, event.server)]
 
     def save(self, path: Path) -> None:
+        """Write the events to a file, one JSON list a line."""
         with path.open("w") as file:
-            for at, kind, server, ident, detail in self.events:
-                file.write(json.dumps([round(at, 3), kind.name, server, ident, detail]) + "\n")
+            for event in self.events:
+                fields = [
+                    round(event.at_ms, SAVED_DECIMALS),
+                    event.kind.name,
+                    event.server,
+                    event.request_id,
+                    event.detail,
+                ]
+                file.write(json.dumps(fields) + "\n")
 
     @staticmethod
     def load(path: Path) -> History:
+        """Read a file that `save` wrote."""
         with path.open() as file:
             return History(
-                Event(at, Kind[kind], server, ident, detail)
-                for at, kind, server, ident, detail in map(json.loads, file)
+                Event(at_ms, Kind[kind], server, request_id, detail)
+                for at_ms, kind, server, request_id, detail in map(json.loads, file)
             )
 
     @staticmethod
     def joined(parts: Iterable[History]) -> History:
-        """All of them in the order of time."""
-        return History(sorted((event for part in parts for event in part.events), key=lambda each: each.at))
+        """Return the events of all parts in the order of time."""
+        events = [event for part in parts for event in part.events]
+        return History(sorted(events, key=lambda event: event.at_ms))
--- /dev/null
+++ b/nickelslip/emulator/observed_history.py
@@ -0,0 +1,172 @@
+"""A history sorted by servers' incarnations, attempts at requests, and spans in which a server was cut off."""
+
+from __future__ import annotations
+
+from bisect import bisect_right
+from collections import defaultdict
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from math import inf
+from typing import NamedTuple
+
+from nickelslip.emulator.history import Event, History, Kind
+
+
+@dataclass
+class Incarnation:
+    """One server process, from its start to its end; a moment that did not come is infinity."""
+
+    server: str
+    started_at_ms: float
+    shutdown_at_ms: float = inf  # told to shut down
+    ended_at_ms: float = inf  # by itself
+    killed_at_ms: float = inf  # together with its worker pool
+
+
+class Answer(NamedTuple):
+    """One answer: its word, and whether its body is the one that the run made."""
+
+    at_ms: float
+    word: str
+    is_valid: bool
+
+
+@dataclass
+class Attempt:
+    """One request at one server, as both sides saw it; a moment that did not come is infinity."""
+
+    request_id: str
+    server: str
+    written_at_ms: float = inf
+    traffic_class: str = ""
+    idempotency_key: str = ""
+    deadline_at_ms: float = inf
+    cancelled_at_ms: float = inf
+    was_never_read: bool = False
+    answers: list[Answer] = field(default_factory=list)
+    runs_at_ms: list[float] = field(default_factory=list)
+
+    @property
+    def words(self) -> list[str]:
+        """The words of all answers."""
+        return [answer.word for answer in self.answers]
+
+    def __str__(self) -> str:
+        return f"{self.traffic_class} {self.request_id} at {self.server}, written {self.written_at_ms:.0f}"
+
+
+@dataclass
+class Outage:
+    """A span in which a server, or a link of it, stood still."""
+
+    begin_at_ms: float
+    end_at_ms: float = inf
+
+
+class ObservedHistory:
+    """What a history says of incarnations, attempts and outages.
+
+    Args:
+        history: The events, in the order of time.
+
+    Attributes:
+        incarnations: By server, in the order of their starts.
+        attempts: By server and request id, in the order of their first events.
+        outages: By server.
+        last_at_ms: The moment of the last event.
+    """
+
+    def __init__(self, history: History) -> None:
+        self.incarnations: dict[str, list[Incarnation]] = defaultdict(list)
+        self.attempts: dict[tuple[str, str], Attempt] = {}
+        self.outages: dict[str, list[Outage]] = defaultdict(list)
+        self.last_at_ms = history.events[-1].at_ms if history.events else 0.0
+        self._open_outages: dict[str, dict[str, Outage]] = defaultdict(dict)
+        handlers: dict[Kind, Callable[[Event], None]] = {
+            Kind.STARTED: self._started,
+            Kind.TOLD_TO_LEAVE: self._told_to_shut_down,
+            Kind.ENDED: self._ended,
+            Kind.KILLED: self._killed,
+            Kind.CUT: self._outage_began,
+            Kind.STOPPED: self._outage_began,
+            Kind.HEALED: self._outage_ended,
+            Kind.CONTINUED: self._outage_ended,
+            Kind.WRITTEN: self._written,
+            Kind.ANSWERED: self._answered,
+            Kind.GONE: self._cancelled,
+            Kind.CROSSED: self._crossed,
+            Kind.RUN: self._run,
+        }
+        for event in history.events:
+            handler = handlers.get(event.kind)
+            if handler is not None:
+                handler(event)
+
+    # Questions
+
+    def incarnation_at(self, server: str, at_ms: float) -> Incarnation | None:
+        """Return the incarnation that something reached which came to the server at this moment."""
+        incarnations = self.incarnations[server]
+        count = bisect_right([incarnation.started_at_ms for incarnation in incarnations], at_ms)
+        return incarnations[count - 1] if count else None
+
+    def extended_deadline(self, server: str, deadline_at_ms: float) -> float:
+        """Return by when something could have got through: a deadline in an outage moves to the outage's end."""
+        for outage in sorted(self.outages[server], key=lambda outage: (outage.begin_at_ms, outage.end_at_ms)):
+            if outage.begin_at_ms <= deadline_at_ms < outage.end_at_ms:
+                deadline_at_ms = outage.end_at_ms
+        return deadline_at_ms
+
+    def was_cut_off(self, server: str, begin_at_ms: float, end_at_ms: float) -> bool:
+        """Return whether an outage of the server overlaps this span."""
+        return any(outage.begin_at_ms < end_at_ms and begin_at_ms < outage.end_at_ms for outage in self.outages[server])
+
+    # Events
+
+    def _attempt(self, event: Event) -> Attempt:
+        key = event.server, event.request_id
+        return self.attempts.setdefault(key, Attempt(event.request_id, event.server))
+
+    def _started(self, event: Event) -> None:
+        self.incarnations[event.server].append(Incarnation(event.server, event.at_ms))
+
+    def _told_to_shut_down(self, event: Event) -> None:
+        self.incarnations[event.server][-1].shutdown_at_ms = event.at_ms
+
+    def _ended(self, event: Event) -> None:
+        self.incarnations[event.server][-1].ended_at_ms = event.at_ms
+
+    def _killed(self, event: Event) -> None:
+        if self.incarnations[event.server]:
+            incarnation = self.incarnations[event.server][-1]
+            incarnation.killed_at_ms = min(incarnation.killed_at_ms, event.at_ms)
+
+    def _outage_began(self, event: Event) -> None:
+        outage = Outage(event.at_ms)
+        self._open_outages[event.server][event.detail or ""] = outage
+        self.outages[event.server].append(outage)
+
+    def _outage_ended(self, event: Event) -> None:
+        outage = self._open_outages[event.server].pop(event.detail or "", None)
+        if outage is not None:
+            outage.end_at_ms = event.at_ms
+
+    def _written(self, event: Event) -> None:
+        attempt = self._attempt(event)
+        attempt.written_at_ms = event.at_ms
+        attempt.traffic_class, attempt.idempotency_key, attempt.deadline_at_ms = event.detail
+
+    def _answered(self, event: Event) -> None:
+        self._attempt(event).answers.append(Answer(event.at_ms, *event.detail))
+
+    def _cancelled(self, event: Event) -> None:
+        attempt = self._attempt(event)
+        attempt.cancelled_at_ms = min(attempt.cancelled_at_ms, event.at_ms)
+
+    def _crossed(self, event: Event) -> None:
+        self._attempt(event).was_never_read = True
+
+    def _run(self, event: Event) -> None:
+        attempt = self._attempt(event)
+        attempt.runs_at_ms.append(event.at_ms)
+        attempt.traffic_class = attempt.traffic_class or event.detail
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from nickelslip.emulator.checkers import counts
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
+from nickelslip.emulator.fleet_properties import counts_per_bin
 from nickelslip.emulator.history import Kind
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.processes import program
@@ -58,8 +58,8 @@
         await fleet.wait_until_serving(timeout_s=1.5)
         await asyncio.sleep(2.0)
         reports = fleet.history.of(Kind.REPORT)
-        assert max(counts(reports, 100.0, back, back + 2000)) <= 5, "they keep apart"
-        assert sum(counts(reports, 100.0, back, back + 2000)) <= 8 * 5, "and report no more than they have to"
+        assert max(counts_per_bin(reports, 100.0, back, back + 2000)) <= 5, "they keep apart"
+        assert sum(counts_per_bin(reports, 100.0, back, back + 2000)) <= 8 * 5, "and report no more than they have to"
         await fleet.set_request_rate()
         await asyncio.sleep(1.0)
         await over(fleet)
@@ -79,8 +79,8 @@
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         for name in fleet.names:
-            link = fleet.history.of(Kind.LINKED, server=name)[0].at
-            assert all(each.at >= link - 1 for each in fleet.history.of(Kind.REPORT, server=name)), "linked first"
+            link = fleet.history.of(Kind.LINKED, server=name)[0].at_ms
+            assert all(each.at_ms >= link - 1 for each in fleet.history.of(Kind.REPORT, server=name)), "linked first"
         await over(fleet)
 
 
@@ -163,7 +163,7 @@
         begin = fleet.history.clock()
         await fleet.set_request_rate()
         await asyncio.sleep(4.0)
-        lists = [event.detail for event in fleet.history.of(Kind.LISTED) if event.at > begin]
+        lists = [event.detail for event in fleet.history.of(Kind.LISTED) if event.at_ms > begin]
         assert lists and all(set(each) == set(fleet.names) for each in lists)
         await over(fleet)
 
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -20,7 +20,7 @@
 def asked(many: int) -> float:
     """What so many transactions, written in one instant a second after the start, come to."""
     history = History()
-    history.add(Kind.STARTED, "n1", at=0.0)
+    history.add(Kind.STARTED, "n1", at_ms=0.0)
     for number in range(many):
         history.add(Kind.WRITTEN, "n1", f"{number}", ["read", "", 0.0], 1000.0)
     return asked_excess(history, KIND, 100.0)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from nickelslip.emulator import checkers
+from nickelslip.emulator import checkers, fleet_properties
 from nickelslip.emulator.fleet import Fleet, FleetTimeoutError
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Event, History, Kind
@@ -162,9 +162,9 @@
     ),
 )
 def test_the_checker_of_the_rules_finds_a_planted_breach_and_nothing_else(rule, events):
-    check = {"replayable": ["read"], "grace_ms": 300.0, "slack_ms": 100.0, "window_ms": 4000.0}
-    assert checkers.rules(told(*GOOD), **check) == []
-    found = checkers.rules(History(sorted(told(*events).events, key=lambda each: each.at)), **check)
+    check = {"idempotent_classes": ["read"], "grace_ms": 300.0, "slack_ms": 100.0, "window_ms": 4000.0}
+    assert checkers.request_violations(told(*GOOD), **check) == []
+    found = checkers.request_violations(History(sorted(told(*events).events, key=lambda each: each.at_ms)), **check)
     assert found and {line.split(":")[0] for line in found} == {rule}, found
 
 
@@ -180,21 +180,25 @@
 )
 def test_what_nobody_is_owed_is_not_found_lost(excuse):
     events = sorted((*without(Kind.ANSWERED), excuse), key=lambda each: each[0])
-    assert checkers.rules(told(*events), ["read"], 300.0, 100.0) == []
+    assert checkers.request_violations(told(*events), ["read"], 300.0, 100.0) == []
 
 
 def test_checkers_of_a_whole_fleet_find_what_is_planted():
     at = [Event(float(100 * number), Kind.CALL, f"n{number}", "", 0) for number in range(10)]
-    assert checkers.sum_over(at, lambda event: 1.0, 10.0) == []
-    assert len(checkers.sum_over(at, lambda event: 1.0, 7.0)) == 3
-    assert checkers.at_most([(0, 10), (5, 15), (20, 30)], 2) == [] and checkers.at_most([(0, 10), (5, 15)], 1)
-    assert checkers.at_most([(0, 10), (10, 20)], 1) == [], "one that ends as the next begins does not overlap it"
-    assert checkers.peak_over_mean(at, 100.0, 0.0, 1000.0) == pytest.approx(1.0)
-    assert checkers.peak_over_mean([*at, *at[:1]], 100.0, 0.0, 1000.0) == pytest.approx(20 / 11)
+    assert fleet_properties.capacity_violations(at, lambda event: 1.0, 10.0) == []
+    assert len(fleet_properties.capacity_violations(at, lambda event: 1.0, 7.0)) == 3
+    assert fleet_properties.overlap_violations(
+        [(0, 10), (5, 15), (20, 30)], 2
+    ) == [] and fleet_properties.overlap_violations([(0, 10), (5, 15)], 1)
+    assert fleet_properties.overlap_violations([(0, 10), (10, 20)], 1) == [], (
+        "one that ends as the next begins does not overlap it"
+    )
+    assert fleet_properties.peak_over_mean(at, 100.0, 0.0, 1000.0) == pytest.approx(1.0)
+    assert fleet_properties.peak_over_mean([*at, *at[:1]], 100.0, 0.0, 1000.0) == pytest.approx(20 / 11)
     listed = History([Event(0.0, Kind.LISTED, "", "", ["n1", "n2"]), Event(100.0, Kind.LISTED, "", "", ["n1"])])
-    assert checkers.unlisted(listed, ["n1", "n2"], 0.0, 1000.0) == 1
+    assert fleet_properties.unlisted_count(listed, ["n1", "n2"], 0.0, 1000.0) == 1
     ends = History([Event(0.0, Kind.STARTED, "n1", "", None), Event(5.0, Kind.ENDED, "n1", "", 0)])
-    assert checkers.bad_ends(ends), "it was not told to leave"
+    assert checkers.bad_exits(ends), "it was not told to leave"
 
 
 def test_a_history_comes_back_from_its_file_and_joins_in_the_order_of_time(tmp_path):
@@ -285,7 +289,7 @@
         await asyncio.sleep(1.0)
         await fleet.stop_requests()
         assert (await fleet.run_command("figures"))["records_calls"] > 0
-    assert not fleet.violations() and fleet.served_fraction(fleet.history.events[0].at + 1000) > 0.5
+    assert not fleet.violations() and fleet.served_fraction(fleet.history.events[0].at_ms + 1000) > 0.5
     assert {event.kind for event in fleet.history.events} >= {Kind.RUN, Kind.ANSWERED, Kind.REPORT, Kind.LINKED}
     assert not fleet.remaining_pids()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from nickelslip.emulator.checkers import credit
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
+from nickelslip.emulator.fleet_properties import priority_weight_totals
 from nickelslip.emulator.history import Kind
 
 pytestmark = pytest.mark.anyio
@@ -42,7 +42,7 @@
 
 async def test_calm_then_half_are_replaced_in_steps_while_a_reload_moves_the_addresses(tmp_path):
     async with day(tmp_path, size=6, rate=90.0) as fleet:
-        begin = fleet.history.events[0].at
+        begin = fleet.history.events[0].at_ms
         stay = fleet.names[3:]
         for step in (fleet.names[:2], fleet.names[2:3]):
             await fleet.replace(*step)
@@ -78,7 +78,9 @@
         await fleet.wait_until_serving()
         back = fleet.history.clock()
         await asyncio.sleep(2.0)
-        assert credit(fleet.history, back, fleet.history.clock(), set(gone))[1] > 0, "those that came back serve"
+        assert priority_weight_totals(fleet.history, back, fleet.history.clock(), set(gone))[1] > 0, (
+            "those that came back serve"
+        )
 
 
 async def test_a_third_is_cut_off_from_everything_for_six_seconds(tmp_path):
