--- a/nickelslip/emulator/relay.py
+++ b/nickelslip/emulator/relay.py
@@ -1,7 +1,7 @@
-"""Relays: a listening address in front of a party, over which a link's faults act.
+"""Relays: a listening address in front of a service, over which a link's faults act.
 
-Owns the sockets of relays, for streams and for datagrams. Both sides are true programs that know nothing of it. It must
-never look into what passes, and never hold more than a bound of it: who sends too much is not read meanwhile.
+Both sides are real programs that know nothing of it. A relay does not look into what passes and holds at most a piece
+of it in each direction: a sender that is too fast is not read meanwhile.
 """
 
 from __future__ import annotations
@@ -10,144 +10,185 @@
 import random
 import socket
 import struct
+from collections.abc import Callable
 from contextlib import suppress
+from typing import Any
 
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.links import Course, Fate, Lane, Way
+from nickelslip.emulator.links import MS_PER_S, Channel, Delivery, Direction, StreamDirection
 
 Address = tuple[str, int]
-PIECE = 16 * 1024
-LOOK_S = 0.005  # a cut is looked at so often by what waits for its end
-CONNECT_S = 2.0
+PIECE_BYTES = 16 * 1024
+CUT_POLL_S = 0.005
+CONNECT_TIMEOUT_S = 2.0
+MIN_SLEEP_MS = 0.1
 
 
 class Relay:
-    """One link: whoever connects to, or sends datagrams to, the address here reaches the party behind it. `towards`
-    is the way of what comes from the one who connects."""
-
-    def __init__(self, name: str, server: str, target: Address, towards: Way, seed: int, history: History) -> None:
-        self.name, self.server, self.target = name, server, target
-        self.lanes = {way: Lane(random.Random(f"{seed} {name} {server} {way.name}")) for way in Way}
-        self._towards, self._back = towards, (Way.IN if towards is Way.OUT else Way.OUT)
+    """One link: what connects or sends datagrams to its address reaches the service behind it.
+
+    Args:
+        name: The kind of link, such as "pool".
+        server: The server whose link it is.
+        target: Where the service itself is.
+        forward: The direction of what comes from the side that connects.
+        seed: For what the channels draw.
+        history: Where cuts are recorded.
+    """
+
+    def __init__(
+        self, name: str, server: str, target: Address, forward: Direction, seed: int, history: History
+    ) -> None:
+        self.name = name
+        self.server = server
+        self.target = target
+        self.channels = {
+            direction: Channel(random.Random(f"{seed} {name} {server} {direction.value}")) for direction in Direction
+        }
+        self._forward = self.channels[forward]
+        self._backward = self.channels[forward.opposite]
         self._history = history
         self._listener: asyncio.Server | None = None
         self._datagrams: asyncio.DatagramTransport | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
 
-    # What is done to it
-
-    def set(self, ways: tuple[Way, ...] = tuple(Way), **faults: object) -> None:
-        """Other faults, one way or both. A cut and its end stand in the history."""
-        now = self._history.clock()
-        for way in ways:
-            was = self.lanes[way].faults.cut
-            self.lanes[way].set(now, **faults)
-            if self.lanes[way].faults.cut is not was:
-                self._history.add(Kind.HEALED if was else Kind.CUT, self.server, "", f"{self.name} {way.name}")
-
-    def reset(self) -> None:
-        """Break every connection that stands."""
+    # Faults
+
+    def set_faults(self, directions: tuple[Direction, ...] = tuple(Direction), **changes: Any) -> None:
+        """Change these fields of the faults in these directions; a cut and its end are recorded."""
+        now_ms = self._history.clock()
+        for direction in directions:
+            channel = self.channels[direction]
+            was_cut = channel.faults.is_cut
+            channel.set_faults(now_ms, **changes)
+            if channel.faults.is_cut is not was_cut:
+                kind = Kind.HEALED if was_cut else Kind.CUT
+                self._history.add(kind, self.server, "", f"{self.name} {direction.value}")
+
+    def reset_connections(self) -> None:
+        """Reset every connection."""
         for writer in list(self._writers):
             _reset(writer)
 
     # Streams
 
     async def listen(self, address: Address) -> Address:
-        """Stand at this address, port 0 for any; where it stands."""
-        self._listener = await asyncio.start_server(self._join, *address, limit=PIECE)
+        """Accept connections at this address, port 0 for any; return the address that was bound."""
+        self._listener = await asyncio.start_server(self._accept, *address, limit=PIECE_BYTES)
         host, port = self._listener.sockets[0].getsockname()[:2]
         return str(host), int(port)
 
-    def _join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        task = asyncio.get_running_loop().create_task(self._joined(reader, writer))
+    def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.get_running_loop().create_task(self._relay_connection(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _joined(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        other = None
+    async def _relay_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        target_writer = None
         try:
-            await self._whole(self.lanes[self._towards])
-            async with asyncio.timeout(CONNECT_S):
-                far, other = await asyncio.open_connection(*self.target, limit=PIECE)
-            for end in (writer, other):
-                self._writers.add(end)
-                with suppress(OSError, ValueError):  # closed already
-                    end.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.TaskGroup() as ways:
-                ways.create_task(self._pump(reader, other, self.lanes[self._towards]))
-                ways.create_task(self._pump(far, writer, self.lanes[self._back]))
+            await _wait_while_cut(self._forward)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                target_reader, target_writer = await asyncio.open_connection(*self.target, limit=PIECE_BYTES)
+            for open_writer in (writer, target_writer):
+                self._writers.add(open_writer)
+                _send_without_delay(open_writer)
+            async with asyncio.TaskGroup() as pumps:
+                pumps.create_task(self._pump(reader, target_writer, self._forward))
+                pumps.create_task(self._pump(target_reader, writer, self._backward))
         except (OSError, TimeoutError, ExceptionGroup):
             _reset(writer)
         finally:
-            for each in (writer, other):
-                if each is not None:
-                    self._writers.discard(each)
-                    each.close()
-
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, lane: Lane) -> None:
-        """One way of one connection, to its end."""
-        course = Course(lane)
-        while data := await reader.read(PIECE):
-            size, at, fate = course.piece(self._history.clock(), len(data))
-            if (wait := at - self._history.clock()) > 0.1:
-                await asyncio.sleep(wait / 1000)
-            await self._whole(lane)
-            writer.write(data[:size])
+            for any_writer in (writer, target_writer):
+                if any_writer is not None:
+                    self._writers.discard(any_writer)
+                    any_writer.close()
+
+    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, channel: Channel) -> None:
+        """Relay one direction of one connection to its end."""
+        stream = StreamDirection(channel)
+        while data := await reader.read(PIECE_BYTES):
+            piece = stream.deliver(self._history.clock(), len(data))
+            wait_ms = piece.at_ms - self._history.clock()
+            if wait_ms > MIN_SLEEP_MS:
+                await asyncio.sleep(wait_ms / MS_PER_S)
+            await _wait_while_cut(channel)
+            writer.write(data[: piece.size])
             await writer.drain()
-            if fate is Fate.RESET:
+            if piece.delivery is Delivery.RESET:
                 raise ConnectionResetError
-            if fate is Fate.HALF_OPEN:
+            if piece.delivery is Delivery.HALF_OPEN:
                 await asyncio.Event().wait()
-        await self._whole(lane)
+        await _wait_while_cut(channel)
         if writer.can_write_eof():
             with suppress(OSError):
                 writer.write_eof()
 
-    @staticmethod
-    async def _whole(lane: Lane) -> None:
-        while lane.faults.cut:
-            await asyncio.sleep(LOOK_S)
-
     # Datagrams
 
-    async def hear(self, address: Address) -> Address:
-        """Hear datagrams at this address, port 0 for any; where. They go on to the party, and nothing comes back."""
+    async def listen_datagrams(self, address: Address) -> Address:
+        """Receive datagrams at this address, port 0 for any, and send them on; nothing comes back.
+
+        Returns:
+            The address that was bound.
+        """
         loop = asyncio.get_running_loop()
-        out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
+        target_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
 
-        class Ear(asyncio.DatagramProtocol):
-            def datagram_received(ear, data: bytes, _addr: Address) -> None:  # noqa: N805
-                now = self._history.clock()
-                for at in self.lanes[self._towards].datagram(now):
-                    loop.call_later(max(0.0, at - now) / 1000, self._pass, out, data)
+        def forward(data: bytes) -> None:
+            now_ms = self._history.clock()
+            for at_ms in self._forward.datagram_deliveries(now_ms):
+                loop.call_later(max(0.0, at_ms - now_ms) / MS_PER_S, self._send_datagram, target_socket, data)
 
-        self._datagrams, _ = await loop.create_datagram_endpoint(Ear, local_addr=address)
+        self._datagrams, _ = await loop.create_datagram_endpoint(lambda: _DatagramReceiver(forward), local_addr=address)
         host, port = self._datagrams.get_extra_info("sockname")[:2]
         return str(host), int(port)
 
-    def _pass(self, out: socket.socket, data: bytes) -> None:
-        with suppress(OSError):  # nobody is there: lost
-            out.sendto(data, self.target)
+    def _send_datagram(self, target_socket: socket.socket, data: bytes) -> None:
+        with suppress(OSError):  # lost: nobody receives there
+            target_socket.sendto(data, self.target)
+
+    # End
 
-    def refuse(self) -> None:
-        """Take nothing new; what stands goes on."""
+    def stop_accepting(self) -> None:
+        """Accept nothing new; connections that stand go on."""
         if self._datagrams is not None:
             self._datagrams.close()
         if self._listener is not None:
             self._listener.close()
 
     async def close(self) -> None:
-        """End it, and all that goes over it."""
-        self.refuse()
+        """End the relay and every connection over it."""
+        self.stop_accepting()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
+class _DatagramReceiver(asyncio.DatagramProtocol):
+    """Hands each datagram to a callback."""
+
+    def __init__(self, callback: Callable[[bytes], None]) -> None:
+        self._callback = callback
+
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        """Hand it on."""
+        self._callback(data)
+
+
+async def _wait_while_cut(channel: Channel) -> None:
+    while channel.faults.is_cut:
+        await asyncio.sleep(CUT_POLL_S)
+
+
+def _send_without_delay(writer: asyncio.StreamWriter) -> None:
+    with suppress(OSError, ValueError):  # closed already
+        writer.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset, and not with a close in order."""
+    """End a connection with a reset rather than an orderly close."""
     with suppress(OSError, ValueError, AttributeError):  # one that has been closed has no socket any more
-        sock = writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connected_socket = writer.get_extra_info("socket")
+        connected_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/nickelslip/emulator/schedule.py
+++ b/nickelslip/emulator/schedule.py
@@ -1,79 +1,98 @@
-"""Schedules of faults: from a file, or drawn from a seed.
+"""Schedules of faults: decoded JSON that is checked, and the steps that come of it.
 
-Owns the steps, their checks and the drawing. Free of I/O and clock, but for the reading of a file's text in `read`. It
-must never do a step itself: the player in play.py does, against a fleet.
+A schedule is a list of objects with `at_ms`, `do`, `servers` and what that step may say. The words are mapped to fields
+here and in scenario_runner.py, which carries steps out.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import Any
 
-from nickelslip.emulator.links import Faults, Way
+from nickelslip.emulator.links import FAULT_WORDS, Direction
 
 LINKS = ("", "pool", "records", "directory", "balancers")
-FAULTS = tuple(name for name in Faults.__dataclass_fields__)
-MOST_STEPS, MOST_MS = 10_000, 3_600_000.0
+FAULTS_OF_LINK_STEP = tuple(word for word in FAULT_WORDS if word != "cut")  # a cut is a step of its own
+DIRECTION_WORDS = tuple(direction.value for direction in Direction)
+MAX_STEPS = 10_000
+MAX_NUMBER = 3_600_000.0
 
 
-class BadSchedule(Exception):
-    """A schedule that cannot be played; the text names the step and the word."""
+class ScheduleError(Exception):
+    """A schedule that cannot be carried out; the text has a line for each mistake, with its place."""
 
 
-@dataclass(frozen=True)
-class Word:
-    """What a step may say: a number from `least`, a flag, one of some words, several of them, or link faults."""
+class WordKind(Enum):
+    """What kind of value a word of a step has."""
+
+    NUMBER = "number"
+    FLAG = "flag"
+    CHOICE = "choice"
+    DIRECTIONS = "ways"
+    FAULTS = "faults"
+
 
-    kind: str  # number, flag, choice, ways, faults
-    least: float = 0.0
+@dataclass(frozen=True)
+class StepWord:
+    """A word that a step may have.
+
+    Attributes:
+        kind: What its value is.
+        minimum: The least value of a number.
+        choices: The values of a choice.
+        is_required: Whether the step has to have it.
+    """
+
+    kind: WordKind
+    minimum: float = 0.0
     choices: tuple[str, ...] = ()
-    needed: bool = False
+    is_required: bool = False
 
 
-FOR = Word("number", needed=True)  # milliseconds after which it is undone
-STEPS: dict[str, dict[str, Word]] = {
-    "kill": {"back_after_ms": Word("number"), "up_ms": Word("number")},
+DURATION = StepWord(WordKind.NUMBER, is_required=True)  # milliseconds after which the step is undone
+OPTIONAL_NUMBER = StepWord(WordKind.NUMBER)
+REQUIRED_FROM_ONE = StepWord(WordKind.NUMBER, 1, is_required=True)
+LINK = StepWord(WordKind.CHOICE, choices=LINKS)
+DIRECTIONS = StepWord(WordKind.DIRECTIONS)
+STEP_WORDS: dict[str, dict[str, StepWord]] = {
+    "kill": {"back_after_ms": OPTIONAL_NUMBER, "up_ms": OPTIONAL_NUMBER},
     "leave": {},
-    "replace": {"each_after_ms": Word("number")},
-    "start": {"up_ms": Word("number")},
-    "stand_still": {"for_ms": FOR},
+    "replace": {"each_after_ms": OPTIONAL_NUMBER},
+    "start": {"up_ms": OPTIONAL_NUMBER},
+    "stand_still": {"for_ms": DURATION},
     "reload": {},
-    "loop": {"times": Word("number", 1, needed=True), "every_ms": Word("number", 1, needed=True)},
-    "cut": {"link": Word("choice", choices=LINKS), "ways": Word("ways"), "for_ms": FOR},
+    "loop": {"times": REQUIRED_FROM_ONE, "every_ms": REQUIRED_FROM_ONE},
+    "cut": {"link": LINK, "ways": DIRECTIONS, "for_ms": DURATION},
     "link": {
-        "link": Word("choice", choices=LINKS),
-        "ways": Word("ways"),
-        "faults": Word("faults", needed=True),
-        "for_ms": FOR,
+        "link": LINK,
+        "ways": DIRECTIONS,
+        "faults": StepWord(WordKind.FAULTS, is_required=True),
+        "for_ms": DURATION,
     },
-    "reset": {"link": Word("choice", choices=LINKS)},
-    "directory_down": {"for_ms": FOR, "empty": Word("flag")},
-    "records_down": {"for_ms": FOR},
-    "records_slow": {"by": Word("number", 1, needed=True), "for_ms": FOR},
-    "restart_balancers": {"part": Word("number")},
-    "ask": {"rate": Word("number", needed=True)},
+    "reset": {"link": LINK},
+    "directory_down": {"for_ms": DURATION, "empty": StepWord(WordKind.FLAG)},
+    "records_down": {"for_ms": DURATION},
+    "records_slow": {"by": REQUIRED_FROM_ONE, "for_ms": DURATION},
+    "restart_balancers": {"part": OPTIONAL_NUMBER},
+    "ask": {"rate": StepWord(WordKind.NUMBER, is_required=True)},
 }
-OF_SERVERS = ("kill", "leave", "replace", "start", "stand_still", "reload", "loop", "cut", "link", "reset")
-DRAWN = (
-    "kill",
-    "replace",
-    "stand_still",
-    "cut",
-    "link",
-    "reset",
-    "directory_down",
-    "records_down",
-    "records_slow",
-    "restart_balancers",
-)
+STEPS_ON_SERVERS = ("kill", "leave", "replace", "start", "stand_still", "reload", "loop", "cut", "link", "reset")
 
 
 @dataclass(frozen=True)
 class Step:
-    """One of them: when, what, to whom, and how. Servers are named, or a part of all, or a zone of them."""
+    """One step of a schedule.
+
+    Attributes:
+        at_ms: When, from the beginning.
+        do: What, a word of STEP_WORDS.
+        servers: To which servers.
+        values: The step's other words.
+    """
 
     at_ms: float
     do: str
@@ -81,138 +100,127 @@
     values: dict[str, Any] = field(default_factory=dict)
 
 
-def zone_of(names: Sequence[str], zones: int, zone: int) -> tuple[str, ...]:
-    """The servers of one zone: they are dealt out in turn."""
-    return tuple(names[zone::zones])
-
-
-def part_of(names: Sequence[str], part: float, chance: random.Random) -> tuple[str, ...]:
-    """So large a part of all, drawn; one at least."""
-    return tuple(sorted(chance.sample(list(names), max(1, round(part * len(names))))))
-
-
-def checked(value: Any, names: Sequence[str], seed: int = 1, zones: int = 3) -> list[Step]:
-    """Steps from decoded JSON: a list of objects with `at_ms`, `do`, `servers` (names, {part: 0.3} or {zone: 1}) and
-    what that step may say. Raises BadSchedule, with every fault and its place."""
-    if not isinstance(value, list) or len(value) > MOST_STEPS:
-        raise BadSchedule(f"schedule: a list of at most {MOST_STEPS} steps is needed")
-    chance, faults, steps = random.Random(f"schedule {seed}"), list[str](), list[Step]()
-    for at, told in enumerate(value):
-        place = f"schedule[{at}]"
-        if not isinstance(told, dict):
-            faults.append(f"{place}: an object is needed")
-            continue
-        do = told.get("do")
-        if do not in STEPS:
-            faults.append(f"{place}.do: one of {', '.join(STEPS)} is needed")
-            continue
-        words = STEPS[do]
-        when = _number(told.get("at_ms"), f"{place}.at_ms", 0.0, faults)
+def servers_of_zone(names: Sequence[str], zone_count: int, zone: int) -> tuple[str, ...]:
+    """Return the servers of one zone; they are dealt out to the zones in turn."""
+    return tuple(names[zone::zone_count])
+
+
+def draw_servers(names: Sequence[str], fraction: float, generator: random.Random) -> tuple[str, ...]:
+    """Draw a fraction of the servers, at least one."""
+    count = max(1, round(fraction * len(names)))
+    return tuple(sorted(generator.sample(list(names), count)))
+
+
+def parse_schedule(value: Any, names: Sequence[str], seed: int = 1, zone_count: int = 3) -> list[Step]:
+    """Return the steps of decoded JSON, in the order of time.
+
+    Servers are given by their names, as {"part": 0.3}, which is drawn from the seed, or as {"zone": 1}.
+
+    Raises:
+        ScheduleError: Something is wrong; the text has every mistake and its place.
+    """
+    if not isinstance(value, list) or len(value) > MAX_STEPS:
+        raise ScheduleError(f"schedule: a list of at most {MAX_STEPS} steps is needed")
+    parser = _ScheduleParser(names, zone_count, random.Random(f"schedule {seed}"))
+    steps = [parser.parse_step(step, f"schedule[{index}]") for index, step in enumerate(value)]
+    if parser.mistakes:
+        raise ScheduleError("\n".join(parser.mistakes))
+    return sorted((step for step in steps if step is not None), key=lambda step: step.at_ms)
+
+
+class _ScheduleParser:
+    """Parses steps and collects mistakes.
+
+    Args:
+        names: All servers.
+        zone_count: How many zones they are in.
+        generator: Draws servers.
+    """
+
+    def __init__(self, names: Sequence[str], zone_count: int, generator: random.Random) -> None:
+        self.mistakes: list[str] = []
+        self._names = names
+        self._zone_count = zone_count
+        self._generator = generator
+        self._parsers: dict[WordKind, Callable[[Any, StepWord, str], Any]] = {
+            WordKind.NUMBER: self._number,
+            WordKind.FLAG: self._flag,
+            WordKind.CHOICE: self._choice,
+            WordKind.DIRECTIONS: self._directions,
+            WordKind.FAULTS: self._faults,
+        }
+
+    def parse_step(self, value: Any, place: str) -> Step | None:
+        """Return one step, or None where what it does is unknown."""
+        if not isinstance(value, dict):
+            self.mistakes.append(f"{place}: an object is needed")
+            return None
+        do = value.get("do")
+        if do not in STEP_WORDS:
+            self.mistakes.append(f"{place}.do: one of {', '.join(STEP_WORDS)} is needed")
+            return None
+        at_ms = self._number(value.get("at_ms"), OPTIONAL_NUMBER, f"{place}.at_ms")
         servers: tuple[str, ...] = ()
-        if do in OF_SERVERS:
-            servers = _servers(told.get("servers"), f"{place}.servers", names, zones, chance, faults)
+        if do in STEPS_ON_SERVERS:
+            servers = self._servers(value.get("servers"), f"{place}.servers")
+        values = self._values(value, STEP_WORDS[do], place)
+        self._reject_unknown_words(value, do, place)
+        return Step(at_ms, do, servers, values)
+
+    def _values(self, value: dict[str, Any], words: dict[str, StepWord], place: str) -> dict[str, Any]:
         values = {}
         for name, word in words.items():
-            if name in told:
-                values[name] = _value(told[name], word, f"{place}.{name}", faults)
-            elif word.needed:
-                faults.append(f"{place}.{name}: is needed")
-        allowed = {"at_ms", "do", *words, *(("servers",) if do in OF_SERVERS else ())}
-        faults += [f"{place}.{name}: is no word of {do}" for name in told if name not in allowed]
-        steps.append(Step(when, do, servers, values))
-    if faults:
-        raise BadSchedule("\n".join(faults))
-    return sorted(steps, key=lambda step: step.at_ms)
-
-
-def _number(value: Any, place: str, least: float, faults: list[str]) -> float:
-    if (
-        isinstance(value, bool)
-        or not isinstance(value, int | float)
-        or not math.isfinite(value)
-        or not least <= value <= MOST_MS
-    ):
-        faults.append(f"{place}: a number from {least:g} to {MOST_MS:g} is needed")
-        return least
-    return float(value)
-
-
-def _servers(
-    value: Any, place: str, names: Sequence[str], zones: int, chance: random.Random, faults: list[str]
-) -> tuple[str, ...]:
-    if isinstance(value, list) and value and all(each in names for each in value):
-        return tuple(value)
-    if isinstance(value, dict) and list(value) == ["part"]:
-        return part_of(names, min(1.0, _number(value["part"], f"{place}.part", 0.0, faults)), chance)
-    if isinstance(value, dict) and list(value) == ["zone"] and value["zone"] in range(zones):
-        return zone_of(names, zones, value["zone"])
-    faults.append(f"{place}: known names, {{part: 0 to 1}} or {{zone: 0 to {zones - 1}}} are needed")
-    return ()
-
-
-def _value(value: Any, word: Word, place: str, faults: list[str]) -> Any:
-    if word.kind == "number":
-        return _number(value, place, word.least, faults)
-    if word.kind == "flag":
+            if name in value:
+                values[name] = self._parsers[word.kind](value[name], word, f"{place}.{name}")
+            elif word.is_required:
+                self.mistakes.append(f"{place}.{name}: is needed")
+        return values
+
+    def _reject_unknown_words(self, value: dict[str, Any], do: str, place: str) -> None:
+        known = {"at_ms", "do", *STEP_WORDS[do]}
+        if do in STEPS_ON_SERVERS:
+            known.add("servers")
+        self.mistakes += [f"{place}.{name}: is no word of {do}" for name in value if name not in known]
+
+    def _number(self, value: Any, word: StepWord, place: str) -> float:
+        if not _is_number(value) or not word.minimum <= value <= MAX_NUMBER:
+            self.mistakes.append(f"{place}: a number from {word.minimum:g} to {MAX_NUMBER:g} is needed")
+            return word.minimum
+        return float(value)
+
+    def _flag(self, value: Any, _: StepWord, place: str) -> Any:
         if not isinstance(value, bool):
-            faults.append(f"{place}: true or false is needed")
+            self.mistakes.append(f"{place}: true or false is needed")
         return value
-    if word.kind == "choice":
+
+    def _choice(self, value: Any, word: StepWord, place: str) -> Any:
         if value not in word.choices:
-            faults.append(f"{place}: one of {', '.join(filter(None, word.choices))} is needed")
+            self.mistakes.append(f"{place}: one of {', '.join(filter(None, word.choices))} is needed")
         return value
-    if word.kind == "ways":
-        if not isinstance(value, list) or not value or any(each not in Way.__members__ for each in value):
-            faults.append(f"{place}: some of {', '.join(Way.__members__)} are needed")
+
+    def _directions(self, value: Any, _: StepWord, place: str) -> Any:
+        if not isinstance(value, list) or not value or any(word not in DIRECTION_WORDS for word in value):
+            self.mistakes.append(f"{place}: some of {', '.join(DIRECTION_WORDS)} are needed")
         return value
-    if not isinstance(value, dict) or not value or any(name not in FAULTS or name == "cut" for name in value):
-        faults.append(f"{place}: some of {', '.join(name for name in FAULTS if name != 'cut')} are needed")
-        return {}
-    return {name: _number(each, f"{place}.{name}", 0.0, faults) for name, each in value.items()}
-
-
-def drawn(names: Sequence[str], length_ms: float, seed: int, every_ms: float = 1500.0, zones: int = 3) -> list[Step]:
-    """Steps drawn from a seed: about one in every so many milliseconds, each undone in time for an end at which all is
-    whole. Kinds are chosen for the whole schedule first, so that some seeds mix few and others many."""
-    chance = random.Random(f"drawn {seed}")
-    kinds = chance.sample(DRAWN, chance.randint(2, len(DRAWN)))
-    steps, at = list[Step](), chance.expovariate(1 / every_ms)
-    while at < 0.8 * length_ms:
-        most = 0.9 * length_ms - at
-        do = chance.choice(kinds)
-        values: dict[str, Any] = {}
-        if "for_ms" in STEPS[do]:
-            values["for_ms"] = min(most, chance.uniform(200, 3000))
-        if do == "kill":
-            values["back_after_ms"] = min(most, chance.uniform(100, 2000))
-        elif do == "link":
-            values["faults"] = chance.choice(
-                (
-                    {"delay_ms": chance.uniform(5, 50), "jitter_ms": chance.uniform(0, 50)},
-                    {"lost": chance.uniform(0.1, 0.5)},
-                    {"doubled": chance.uniform(0.1, 0.5)},
-                    {"bytes_per_s": chance.uniform(20_000, 200_000)},
-                )
-            )
-            values["link"] = chance.choice(LINKS)
-        elif do == "cut":
-            values["link"] = chance.choice(LINKS)
-            values["ways"] = chance.choice((["OUT"], ["IN"], ["OUT", "IN"]))
-        elif do == "reset":
-            values["link"] = chance.choice(("pool", "balancers", "records"))
-        elif do == "records_slow":
-            values["by"] = chance.uniform(2, 8)
-        elif do == "directory_down":
-            values["empty"] = chance.random() < 0.3
-        elif do == "restart_balancers":
-            values["part"] = chance.uniform(0.3, 1.0)
-        servers: tuple[str, ...] = ()
-        if do in OF_SERVERS:
-            servers = (
-                zone_of(names, zones, chance.randrange(zones))
-                if chance.random() < 0.3 and len(names) >= zones
-                else part_of(names, chance.uniform(0.1, 0.6), chance)
-            )
-        steps.append(Step(at, do, servers, values))
-        at += chance.expovariate(1 / every_ms)
-    return steps
+
+    def _faults(self, value: Any, _: StepWord, place: str) -> dict[str, float]:
+        if not isinstance(value, dict) or not value or any(word not in FAULTS_OF_LINK_STEP for word in value):
+            self.mistakes.append(f"{place}: some of {', '.join(FAULTS_OF_LINK_STEP)} are needed")
+            return {}
+        return {word: self._number(number, OPTIONAL_NUMBER, f"{place}.{word}") for word, number in value.items()}
+
+    def _servers(self, value: Any, place: str) -> tuple[str, ...]:
+        if isinstance(value, list) and value and all(name in self._names for name in value):
+            return tuple(value)
+        if isinstance(value, dict) and list(value) == ["part"]:
+            fraction = min(1.0, self._number(value["part"], OPTIONAL_NUMBER, f"{place}.part"))
+            return draw_servers(self._names, fraction, self._generator)
+        if isinstance(value, dict) and list(value) == ["zone"] and value["zone"] in range(self._zone_count):
+            return servers_of_zone(self._names, self._zone_count, value["zone"])
+        zones = f"0 to {self._zone_count - 1}"
+        self.mistakes.append(f"{place}: known names, {{part: 0 to 1}} or {{zone: {zones}}} are needed")
+        return ()
+
+
+def _is_number(value: Any) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -18,7 +18,7 @@
 
 from nickelslip.emulator.directory_service import DirectoryService
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.links import Way
+from nickelslip.emulator.links import Direction, directions, fault_fields
 from nickelslip.emulator.load_balancers import Balancer, GradeTraffic, Habits, Traffic
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.records_service import RecordsService
@@ -110,7 +110,7 @@
             await self._start_shared()
         if self.spec.relayed:
             for name in self._names:
-                await self._relay(name, "pool", self.spec.servers[name].pool, Way.OUT)
+                await self._relay(name, "pool", self.spec.servers[name].pool, Direction.FROM_SERVER)
 
     async def _start_shared(self) -> None:
         spec = self.spec
@@ -119,11 +119,11 @@
         asks_at = {}
         for name, places in spec.servers.items():
             if spec.relayed:
-                await self._relay(name, "records", places.records, Way.OUT)
-                await self._relay(name, "directory", places.directory, Way.OUT)
+                await self._relay(name, "records", places.records, Direction.FROM_SERVER)
+                await self._relay(name, "directory", places.directory, Direction.FROM_SERVER)
                 asks_at[name] = behind(places.listen, True)
                 relay = self.relays[name]["balancers"] = Relay(
-                    "balancers", name, places.listen, Way.IN, spec.seed, self.history
+                    "balancers", name, places.listen, Direction.TO_SERVER, spec.seed, self.history
                 )
                 await relay.listen(asks_at[name])
             else:
@@ -141,12 +141,12 @@
             self._tasks.append(asyncio.get_running_loop().create_task(self._read_list()))
 
     async def _relay(
-        self, server: str, what: str, address: Address, towards: Way, target: Address | None = None
+        self, server: str, what: str, address: Address, towards: Direction, target: Address | None = None
     ) -> None:
         relay = self.relays[server][what] = Relay(
             what, server, target or behind(address, True), towards, self.spec.seed, self.history
         )
-        await (relay.hear if what == "directory" else relay.listen)(address)
+        await (relay.listen_datagrams if what == "directory" else relay.listen)(address)
 
     async def move(self, server: str) -> list[Address]:
         """Other addresses for this server's peers: the old ones take nothing new, and connections that stand there are
@@ -157,8 +157,8 @@
             old = self.relays[server][what]
             host, port = getattr(self.spec.servers[server], what)
             now.append((host, port + MOVED * self._moves[server]))
-            await self._relay(server, what, now[-1], Way.OUT, old.target)
-            old.refuse()
+            await self._relay(server, what, now[-1], Direction.FROM_SERVER, old.target)
+            old.stop_accepting()
             self._tasks.append(asyncio.get_running_loop().create_task(self._close_later(old)))
         return now
 
@@ -200,12 +200,12 @@
         """Faults on one of a server's links, or on all of them, one way or both."""
         for name, relay in self.relays[server].items():
             if link in ("", name):
-                relay.set(tuple(Way[way] for way in ways) if ways else tuple(Way), **faults)
+                relay.set_faults(directions(ways), **fault_fields(faults))
 
     def reset_links(self, server: str, link: str = "") -> None:
         for name, relay in self.relays[server].items():
             if link in ("", name):
-                relay.reset()
+                relay.reset_connections()
 
     def directory_down(self) -> None:
         if self.directory is not None:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -15,7 +15,7 @@
 from nickelslip.emulator.history import Kind
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.processes import program
-from nickelslip.emulator.schedule import zone_of
+from nickelslip.emulator.schedule import servers_of_zone
 from nickelslip.startup.crash_loop_file import NAME
 
 pytestmark = pytest.mark.anyio
@@ -98,7 +98,7 @@
         await asyncio.sleep(2.5)
         alone, beside = (fleet.served_fraction(since, since + 1500) for since in (begin - 1700, begin + 500))
         assert beside > 0.8 * alone, "of what is asked no less is satisfied than before they came"
-        back, cut = zone_of(fleet.names, 3, 0), zone_of(fleet.names, 3, 1)
+        back, cut = servers_of_zone(fleet.names, 3, 0), servers_of_zone(fleet.names, 3, 1)
         await fleet.kill(*back)
         await fleet.cut(*cut)
         await asyncio.sleep(0.5)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,14 +13,15 @@
 import pytest
 
 from nickelslip.emulator import checkers, fleet_properties
+from nickelslip.emulator.drawn_schedule import draw_schedule
 from nickelslip.emulator.fleet import Fleet, FleetTimeoutError
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Event, History, Kind
-from nickelslip.emulator.links import Course, Fate, Faults, Lane
+from nickelslip.emulator.links import Channel, Delivery, Faults, StreamDirection
 from nickelslip.emulator.models import Jobs, Level, Listing, Machine, MachineKind, Service, ServiceKind
 from nickelslip.emulator.processes import alive
-from nickelslip.emulator.scenario_runner import play
-from nickelslip.emulator.schedule import BadSchedule, Step, checked, drawn
+from nickelslip.emulator.scenario_runner import run_schedule
+from nickelslip.emulator.schedule import ScheduleError, Step, parse_schedule
 
 ROOT = Path(__file__).parent.parent
 
@@ -95,20 +96,20 @@
 # Links
 
 
-def test_a_lane_loses_and_doubles_as_often_as_it_is_told():
-    lane = Lane(random.Random(1), Faults(lost=0.25, doubled=0.1))
-    times = [len(lane.datagram(0.0)) for _ in range(4000)]
+def test_a_channel_loses_and_doubles_as_often_as_it_is_told():
+    channel = Channel(random.Random(1), Faults(lost_fraction=0.25, duplicated_fraction=0.1))
+    times = [len(channel.datagram_deliveries(0.0)) for _ in range(4000)]
     assert 0.22 < times.count(0) / 4000 < 0.28 and 0.06 < times.count(2) / 4000 < 0.09
-    lane.set(0.0, cut=True)
-    assert lane.datagram(1.0) == []
+    channel.set_faults(0.0, is_cut=True)
+    assert channel.datagram_deliveries(1.0) == []
 
 
-def test_a_course_resets_or_goes_silent_at_its_byte_and_keeps_the_order_of_what_is_delayed():
-    course = Course(Lane(random.Random(1), Faults(delay_ms=10.0, jitter_ms=50.0, reset_after=25.0)))
-    first, second = course.piece(0.0, 10), course.piece(1.0, 10)
-    assert second[1] >= first[1] >= 10.0 and course.piece(2.0, 10)[::2] == (5, Fate.RESET)
-    course = Course(Lane(random.Random(1), Faults(half_open_after=0.0)))
-    assert course.piece(0.0, 10)[::2] == (0, Fate.HALF_OPEN)
+def test_a_stream_resets_or_goes_silent_at_its_byte_and_keeps_the_order_of_what_is_delayed():
+    stream = StreamDirection(Channel(random.Random(1), Faults(delay_ms=10.0, jitter_ms=50.0, reset_after_bytes=25.0)))
+    first, second = stream.deliver(0.0, 10), stream.deliver(1.0, 10)
+    assert second[1] >= first[1] >= 10.0 and stream.deliver(2.0, 10)[::2] == (5, Delivery.RESET)
+    stream = StreamDirection(Channel(random.Random(1), Faults(half_open_after_bytes=0.0)))
+    assert stream.deliver(0.0, 10)[::2] == (0, Delivery.HALF_OPEN)
 
 
 # Checkers
@@ -211,8 +212,8 @@
 
 
 def test_a_schedule_is_refused_with_every_fault_and_its_place():
-    with pytest.raises(BadSchedule) as refused:
-        checked(
+    with pytest.raises(ScheduleError) as refused:
+        parse_schedule(
             [
                 {"at_ms": -1, "do": "kill", "servers": ["n9"]},
                 {"at_ms": 5, "do": "cut", "servers": {"part": 0.5}},
@@ -232,12 +233,12 @@
         {"at_ms": 9, "do": "cut", "servers": {"zone": 1}, "for_ms": 5, "ways": ["OUT"]},
         {"at_ms": 3, "do": "kill", "servers": {"part": 0.5}},
     ]
-    steps = checked(value, names, seed=4)
-    assert [step.do for step in steps] == ["kill", "cut"] and steps == checked(value, names, seed=4)
+    steps = parse_schedule(value, names, seed=4)
+    assert [step.do for step in steps] == ["kill", "cut"] and steps == parse_schedule(value, names, seed=4)
     assert len(steps[0].servers) == 4 and steps[1].servers == ("n1", "n4", "n7")
-    assert drawn(names, 20_000.0, 5) == drawn(names, 20_000.0, 5) != drawn(names, 20_000.0, 6)
+    assert draw_schedule(names, 20_000.0, 5) == draw_schedule(names, 20_000.0, 5) != draw_schedule(names, 20_000.0, 6)
     for seed in range(30):
-        assert all(step.at_ms + step.values.get("for_ms", 0) <= 18_000 for step in drawn(names, 20_000.0, seed))
+        assert all(step.at_ms + step.values.get("for_ms", 0) <= 18_000 for step in draw_schedule(names, 20_000.0, seed))
 
 
 # Processes
@@ -250,8 +251,8 @@
         await fleet.start()
         await fleet.wait_until_serving()
         await fleet.set_request_rate()
-        steps = drawn(fleet.names, 5000.0, seed, every_ms=600.0)
-        await play(fleet, steps)
+        steps = draw_schedule(fleet.names, 5000.0, seed, mean_interval_ms=600.0)
+        await run_schedule(fleet, steps)
         await fleet.wait_until_serving()
         await fleet.stop_requests()
         assert not fleet.violations(scripted_falls=True), "\n".join(fleet.violations(scripted_falls=True)[:20])
@@ -270,7 +271,7 @@
         await fleet.heal("n1", link="directory", ways=["OUT"])
         await fleet.wait_until(lambda: "n1" in fleet.local_services.directory.listed(), 2.0)
         await fleet.set_request_rate()
-        await play(fleet, [Step(0.0, "stand_still", ("n2",), {"for_ms": 1500.0})])
+        await run_schedule(fleet, [Step(0.0, "stand_still", ("n2",), {"for_ms": 1500.0})])
         await asyncio.sleep(0.5)
         with pytest.raises(FleetTimeoutError):
             await fleet.wait_until(lambda: False, 0.1, "what never comes")
