--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -26,10 +26,10 @@
 from benchmarks.cold_sums import measured
 from benchmarks.versions import ROOT, NoHistory, copied, unpacked
 from nickelslip.emulator import checkers, fleet_properties
+from nickelslip.emulator.client_traffic import ClassTraffic
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.load_balancers import GradeTraffic
 from nickelslip.emulator.models import MachineKind, ServiceKind, warmth
 from nickelslip.emulator.processes import Process
 from nickelslip.emulator.worker_pool import WorkProfile
@@ -64,10 +64,10 @@
 def plan_for(size: int, seed: int) -> Plan:
     """The surroundings: machines warm in six seconds, and a records service of its own coldness that survives half of
     what the servers' shares add up to."""
-    grades = {
-        "read": GradeTraffic(0.6, 1.0, 1600.0, 2600.0, True),
-        "pay": GradeTraffic(0.3, 3.0, 1000.0, 2000.0, False),
-        "book": GradeTraffic(0.1, 2.0, 1200.0, 2200.0, False, True),
+    classes = {
+        "read": ClassTraffic(0.6, 1.0, 1600.0, 2600.0, True),
+        "pay": ClassTraffic(0.3, 3.0, 1000.0, 2000.0, False),
+        "book": ClassTraffic(0.1, 2.0, 1200.0, 2200.0, False, True),
     }
     work = WorkProfile({"read": 200.0, "pay": 120.0, "book": 80.0}, {"read": 1.0, "pay": 1.0})
     machine = MachineKind(cold_from=COLD_FROM, cold_ms=COLD_MS, cold_calls=COLD_CALLS)
@@ -84,9 +84,9 @@
     return Plan(
         size=size,
         seed=seed,
-        rate=LOAD * capacity(grades, work, machine) * size,
+        rate=LOAD * capacity(classes, work, machine) * size,
         balancers=max(4, size // 8),
-        grades=grades,
+        traffic_classes=classes,
         work=work,
         machine=machine,
         service=service,
@@ -99,9 +99,9 @@
     )
 
 
-def capacity(grades: dict[str, GradeTraffic], work: WorkProfile, machine: MachineKind) -> float:
+def capacity(classes: dict[str, ClassTraffic], work: WorkProfile, machine: MachineKind) -> float:
     """Transactions a second that one warm machine can do."""
-    mean = sum(each.part * work.work_ms[name] for name, each in grades.items())
+    mean = sum(each.request_fraction * work.work_ms[name] for name, each in classes.items())
     return 1000 * machine.cores * machine.speed / mean
 
 
@@ -109,8 +109,12 @@
     """The earliest time, from the moment when all machines and the records begin cold, at which this part of what is
     asked could be done: by the machines' warming, and by calls at the rate that the records answer at, where those
     that may be left out are."""
-    grades, service = plan.grades, plan.service
-    needed = sum(each.part * plan.work.calls.get(name, 0.0) for name, each in grades.items() if not each.replayable)
+    classes, service = plan.traffic_classes, plan.service
+    needed = sum(
+        each.request_fraction * plan.work.calls.get(name, 0.0)
+        for name, each in classes.items()
+        if not each.is_idempotent
+    )
     for at in range(0, 60_000, 10):
         warm = warmth(at, plan.machine.cold_from, plan.machine.cold_ms)
         served = min(1.0, warm / LOAD)
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -69,7 +69,7 @@
         await asyncio.sleep(half_s)
         await fleet.stop_requests()
         figures = await fleet.figures()
-    mean_ms = sum(each.part * plan.work.work_ms[name] for name, each in plan.grades.items())
+    mean_ms = sum(each.request_fraction * plan.work.work_ms[name] for name, each in plan.traffic_classes.items())
     falls = checkers.falls(fleet.history)
     return {
         "cold_runs_excess": figures["machines_worst"],
--- a/nickelslip/emulator/fault_injection.py
+++ b/nickelslip/emulator/fault_injection.py
@@ -10,7 +10,7 @@
 from nickelslip.emulator.fleet_services import FleetServices
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.server_processes import ServerProcesses
-from nickelslip.emulator.shared_services import Places
+from nickelslip.emulator.services_spec import ServerAddresses
 
 
 class FaultInjector:
@@ -63,6 +63,6 @@
     async def move_services(self, name: str) -> None:
         """Give a server's services other addresses and reload it; the old addresses accept nothing new."""
         addresses = await self._services.run("move", name)
-        places = Places(*((host, port) for host, port in addresses))
-        self._files.write_config(name, self._plan.settings(), places)
+        addresses = ServerAddresses(*((host, port) for host, port in addresses))
+        self._files.write_config(name, self._plan.settings(), addresses)
         self.reload([name])
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -16,15 +16,15 @@
 from nickelslip.emulator.fleet_files import AddressBlock, FleetFiles, assign_addresses
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.fleet_services import FleetServices
-from nickelslip.emulator.history import History
+from nickelslip.emulator.history import MS_PER_S, History
 from nickelslip.emulator.processes import Process, alive, program
 from nickelslip.emulator.server_processes import CommandLine, ServerProcesses
-from nickelslip.emulator.shared_services import Spec, Surround
+from nickelslip.emulator.services_spec import ServicesSpec
+from nickelslip.emulator.shared_services import SharedServices
 
 ROOT = Path(__file__).parent.parent.parent
 POLL_INTERVAL_S = 0.005
 DRAIN_MARGIN_S = 0.2
-MS_PER_S = 1000
 
 
 class FleetTimeoutError(Exception):
@@ -79,22 +79,22 @@
 
     async def _set_up(self, block: AddressBlock) -> None:
         plan = self.plan
-        self.spec = Spec(
+        self.spec = ServicesSpec(
             assign_addresses(self.names, block, plan.relayed),
-            plan.grades,
+            plan.traffic_classes,
             plan.work,
             plan.machine,
             plan.service,
-            plan.habits,
+            plan.balancer_policy,
             plan.balancers,
             plan.rate,
             seed=plan.seed,
-            relayed=plan.relayed,
-            read_list=plan.read_list,
+            is_relayed=plan.relayed,
+            records_list=plan.read_list,
         )
         settings = plan.settings()
-        for name, places in self.spec.servers.items():
-            self._files.write_config(name, settings, places)
+        for name, addresses in self.spec.servers.items():
+            self._files.write_config(name, settings, addresses)
         services = FleetServices(
             self.spec, self.names, plan.hosts, self._files.folder, self.history, self._machine_fell
         )
@@ -137,7 +137,7 @@
         return self._services
 
     @property
-    def local_services(self) -> Surround:
+    def local_services(self) -> SharedServices:
         """The services in this process; only for a plan without further processes."""
         assert self.services.local is not None
         return self.services.local
@@ -246,7 +246,7 @@
     async def stop_requests(self) -> None:
         """Have clients stop, and wait until every request can have been answered."""
         await self.set_request_rate(0.0)
-        longest_ms = max(traffic.patience_ms for traffic in self.plan.grades.values())
+        longest_ms = max(traffic.timeout_ms for traffic in self.plan.traffic_classes.values())
         await asyncio.sleep((longest_ms + self.plan.slack_ms) / MS_PER_S + DRAIN_MARGIN_S)
 
     # Figures
--- a/nickelslip/emulator/fleet_figures.py
+++ b/nickelslip/emulator/fleet_figures.py
@@ -9,7 +9,7 @@
 
 def violations(history: History, plan: Plan, scripted_falls: bool) -> list[str]:
     """Return broken rules 1 to 3, processes that ended badly, and falls unless they were scripted."""
-    idempotent = [name for name, traffic in plan.grades.items() if traffic.replayable]
+    idempotent = [name for name, traffic in plan.traffic_classes.items() if traffic.is_idempotent]
     found = checkers.request_violations(history, idempotent, plan.grace_ms, plan.slack_ms, plan.window_ms)
     found += checkers.bad_exits(history)
     if scripted_falls:
--- a/nickelslip/emulator/fleet_files.py
+++ b/nickelslip/emulator/fleet_files.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from nickelslip.emulator.fleet_plan import Plan
-from nickelslip.emulator.shared_services import Places
+from nickelslip.emulator.services_spec import ServerAddresses
 
 LISTEN_PORT = 6565
 POOL_PORT = 7300
@@ -66,13 +66,13 @@
         self._lock.close()
 
 
-def assign_addresses(names: Iterable[str], block: AddressBlock, relayed: bool) -> dict[str, Places]:
+def assign_addresses(names: Iterable[str], block: AddressBlock, relayed: bool) -> dict[str, ServerAddresses]:
     """Return each server's addresses; without relays all servers know the shared services under one address."""
     addresses = {}
     for index, name in enumerate(names):
         records = block.server_address(index, RECORDS_PORT) if relayed else block.shared_address(RECORDS_PORT)
         directory = block.server_address(index, DIRECTORY_PORT) if relayed else block.shared_address(DIRECTORY_PORT)
-        addresses[name] = Places(
+        addresses[name] = ServerAddresses(
             block.server_address(index, LISTEN_PORT),
             block.server_address(index, POOL_PORT),
             records,
@@ -102,15 +102,15 @@
         """Return the path of a server's log."""
         return self.folder / f"{name}.log"
 
-    def write_config(self, name: str, settings: dict[str, Any], places: Places) -> None:
+    def write_config(self, name: str, settings: dict[str, Any], addresses: ServerAddresses) -> None:
         """Replace a server's configuration atomically."""
         seed = random.Random(f"{self._plan.seed} {name}").getrandbits(SEED_BITS)
         config = {
             "name": name,
-            "listen": _endpoint(places.listen),
-            "pool": _endpoint(places.pool),
-            "records": _endpoint(places.records),
-            "lookup": _endpoint(places.directory),
+            "listen": _endpoint(addresses.listen),
+            "pool": _endpoint(addresses.pool),
+            "records": _endpoint(addresses.records),
+            "lookup": _endpoint(addresses.directory),
             "seed": f"{seed:016x}",
             "stop_ms": self._plan.stop_ms,
             "settings": settings,
--- a/nickelslip/emulator/fleet_plan.py
+++ b/nickelslip/emulator/fleet_plan.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from nickelslip.emulator.load_balancers import GradeTraffic, Habits
+from nickelslip.emulator.client_traffic import BalancerPolicy, ClassTraffic
 from nickelslip.emulator.models import MachineKind, ServiceKind
 from nickelslip.emulator.worker_pool import WorkProfile
 
 DEGRADED_VALUE_FRACTION = 0.6  # told to servers, of a run without its optional call
 
 
-def default_classes() -> dict[str, GradeTraffic]:
+def default_classes() -> dict[str, ClassTraffic]:
     """Return three traffic classes, one of each kind of retry safety."""
     return {
-        "read": GradeTraffic(0.6, 1.0, 1000.0, 2000.0, True),
-        "pay": GradeTraffic(0.3, 3.0, 500.0, 1200.0, False),
-        "book": GradeTraffic(0.1, 2.0, 800.0, 1500.0, False, True),
+        "read": ClassTraffic(0.6, 1.0, 1000.0, 2000.0, True),
+        "pay": ClassTraffic(0.3, 3.0, 500.0, 1200.0, False),
+        "book": ClassTraffic(0.1, 2.0, 800.0, 1500.0, False, True),
     }
 
 
@@ -36,11 +36,11 @@
         seed: For everything that is drawn.
         rate: Requests per second of all clients together.
         balancers: Number of load balancers.
-        grades: What clients send, by traffic class.
+        traffic_classes: What clients send, by traffic class.
         work: What runs are like.
         machine: What worker pools run on.
         service: What the records service is like.
-        habits: How load balancers behave.
+        balancer_policy: How load balancers behave.
         call_share: Calls in flight that each server is allowed; None for an even share of what the service survives.
         cold: Whether servers start slowly.
         relayed: Whether a relay stands on each link.
@@ -58,11 +58,11 @@
     seed: int = 1
     rate: float = 60.0
     balancers: int = 4
-    grades: dict[str, GradeTraffic] = field(default_factory=default_classes)
+    traffic_classes: dict[str, ClassTraffic] = field(default_factory=default_classes)
     work: WorkProfile = field(default_factory=default_work)
     machine: MachineKind = field(default_factory=MachineKind)
     service: ServiceKind = field(default_factory=ServiceKind)
-    habits: Habits = field(default_factory=Habits)
+    balancer_policy: BalancerPolicy = field(default_factory=BalancerPolicy)
     call_share: float | None = None
     cold: bool = False
     relayed: bool = True
@@ -84,7 +84,7 @@
         """Return the settings of each server, with the platform's keys."""
         return {
             "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
-            "classes": [self._class_settings(name, traffic) for name, traffic in self.grades.items()],
+            "classes": [self._class_settings(name, traffic) for name, traffic in self.traffic_classes.items()],
             "client-habits": {"marks-retry": True},
             "tenants": [{"name": "acme", "quota-rps": self.rate}],
             "tick-ms": 5.0,
@@ -93,15 +93,15 @@
             "specifics": self._specifics(),
         }
 
-    def _class_settings(self, name: str, traffic: GradeTraffic) -> dict[str, Any]:
+    def _class_settings(self, name: str, traffic: ClassTraffic) -> dict[str, Any]:
         settings = {
             "name": name,
-            "gain": traffic.credit,
-            "aim-ms": traffic.quoted_ms,
-            "deadline-ms": traffic.patience_ms,
+            "gain": traffic.priority_weight,
+            "aim-ms": traffic.latency_objective_ms,
+            "deadline-ms": traffic.timeout_ms,
             "idempotency": _idempotency_word(traffic),
         }
-        if traffic.marked:
+        if traffic.has_idempotency_key:
             settings["memory-span-ms"] = self.window_ms
         return settings
 
@@ -130,21 +130,21 @@
             "kb-per-key": 20.0,
             "stop-mode": "drop",
             "idle-ms": 15000.0,
-            "class-calls": _classes_with_calls(self.grades, self.work),
-            "class-skip-worth": _degraded_values(self.grades),
+            "class-calls": _classes_with_calls(self.traffic_classes, self.work),
+            "class-skip-worth": _degraded_values(self.traffic_classes),
             "own-stats": ["cpu_busy", "runnable", "mem_used", "sockets"],
         }
 
 
-def _idempotency_word(traffic: GradeTraffic) -> str:
-    if traffic.marked:
+def _idempotency_word(traffic: ClassTraffic) -> str:
+    if traffic.has_idempotency_key:
         return "idempotency_key"
-    return "read_like" if traffic.replayable else "non_idempotent"
+    return "read_like" if traffic.is_idempotent else "non_idempotent"
 
 
-def _classes_with_calls(classes: Mapping[str, GradeTraffic], work: WorkProfile) -> list[bool]:
+def _classes_with_calls(classes: Mapping[str, ClassTraffic], work: WorkProfile) -> list[bool]:
     return [work.calls.get(name, 0.0) > 0 for name in classes]
 
 
-def _degraded_values(classes: Mapping[str, GradeTraffic]) -> list[float]:
-    return [DEGRADED_VALUE_FRACTION if traffic.replayable else 0.0 for traffic in classes.values()]
+def _degraded_values(classes: Mapping[str, ClassTraffic]) -> list[float]:
+    return [DEGRADED_VALUE_FRACTION if traffic.is_idempotent else 0.0 for traffic in classes.values()]
--- a/nickelslip/emulator/fleet_services.py
+++ b/nickelslip/emulator/fleet_services.py
@@ -9,7 +9,8 @@
 
 from nickelslip.emulator.history import History
 from nickelslip.emulator.service_host import ServiceHost
-from nickelslip.emulator.shared_services import Spec, Surround
+from nickelslip.emulator.services_spec import ServicesSpec
+from nickelslip.emulator.shared_services import SharedServices
 
 POOL_COMMANDS = ("pool", "end_pool")  # carried out where the server's worker pool is
 LINK_COMMANDS = ("set_link", "reset_links")  # carried out at the shared services and at the worker pool
@@ -33,7 +34,7 @@
 
     def __init__(
         self,
-        spec: Spec,
+        spec: ServicesSpec,
         names: list[str],
         host_count: int,
         folder: Path,
@@ -41,11 +42,11 @@
         on_fall: Callable[[str], None],
     ) -> None:
         self.spec = spec
-        self.local: Surround | None = None
+        self.local: SharedServices | None = None
         self.hosts: list[ServiceHost] = []
         self._pool_hosts: dict[str, ServiceHost] = {}
         if not host_count:
-            self.local = Surround(spec, names, True, history, on_fall)
+            self.local = SharedServices(spec, names, True, history, on_fall)
             return
         self.hosts.append(ServiceHost(folder, 0, spec, [], True, on_fall))
         for number in range(1, host_count + 1):
@@ -66,7 +67,7 @@
         if server:
             values = {"server": server, **values}
         if self.local is not None:
-            return await self.local.do(command, **values)
+            return await self.local.run_command(command, **values)
         host = self._pool_hosts[server] if command in POOL_COMMANDS else self.hosts[0]
         result = await host.run(command, **values)
         if command in LINK_COMMANDS:
--- a/nickelslip/emulator/loop_timer.py
+++ b/nickelslip/emulator/loop_timer.py
@@ -6,9 +6,7 @@
 from collections.abc import Callable
 from math import inf
 
-from nickelslip.emulator.history import History
-
-MS_PER_S = 1000
+from nickelslip.emulator.history import MS_PER_S, History
 
 
 class LoopTimer:
--- a/nickelslip/emulator/records_service.py
+++ b/nickelslip/emulator/records_service.py
@@ -9,8 +9,8 @@
 from math import inf
 from typing import NamedTuple, cast
 
-from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.loop_timer import MS_PER_S, LoopTimer
+from nickelslip.emulator.history import MS_PER_S, History, Kind
+from nickelslip.emulator.loop_timer import LoopTimer
 from nickelslip.emulator.models import Service, ServiceKind
 
 Address = tuple[str, int]
--- a/nickelslip/emulator/scenario_runner.py
+++ b/nickelslip/emulator/scenario_runner.py
@@ -7,12 +7,10 @@
 from typing import Any
 
 from nickelslip.emulator.fleet import Fleet
-from nickelslip.emulator.history import Kind
+from nickelslip.emulator.history import MS_PER_S, Kind
 from nickelslip.emulator.links import faults_off
 from nickelslip.emulator.schedule import Step
 
-MS_PER_S = 1000
-
 ServerStep = Callable[[Fleet, Step, str], Awaitable[None]]
 FleetStep = Callable[[Fleet, Step], Awaitable[None]]
 
--- a/nickelslip/emulator/server_processes.py
+++ b/nickelslip/emulator/server_processes.py
@@ -9,12 +9,12 @@
 
 from nickelslip.emulator.fleet_files import FleetFiles
 from nickelslip.emulator.fleet_services import FleetServices
-from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.history import MS_PER_S, History, Kind
 from nickelslip.emulator.processes import Process
 
 SHUTDOWN_SLACK_S = 1.0  # past the time after which the platform would kill
 KILL_TIMEOUT_S = 10.0
-MS_PER_S = 1000
+
 
 CommandLine = Callable[[str], Sequence[str]]
 
--- a/nickelslip/emulator/service_host.py
+++ b/nickelslip/emulator/service_host.py
@@ -13,7 +13,7 @@
 
 from nickelslip.emulator.history import History
 from nickelslip.emulator.processes import with_its_parent
-from nickelslip.emulator.shared_services import Spec
+from nickelslip.emulator.services_spec import ServicesSpec
 
 ROOT = Path(__file__).parent.parent.parent
 COMMAND_TIMEOUT_S = 30.0
@@ -40,7 +40,7 @@
         self,
         folder: Path,
         number: int,
-        spec: Spec,
+        spec: ServicesSpec,
         pools: list[str],
         shared: bool,
         on_fall: Callable[[str], None],
@@ -64,7 +64,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "nickelslip.emulator.shared_services",
+            "nickelslip.emulator.services_process",
             str(self._spec_path),
             str(self._history_path),
             cwd=ROOT,
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -1,275 +1,300 @@
-"""What surrounds a fleet's servers, or a part of it, in one process; and that process, where there are several.
+"""The fake services of a fleet, or a part of them, in one process, and the commands that act on them.
 
-Owns the making of parties and relays from one spec, and the commands by which a fleet has something done to them. The
-same commands act in the fleet's own process and, as JSON lines over its standard input, in one of its own. It must
-never start or signal a server: that is the fleet's.
+The same commands are called in the fleet's own process and, as JSON lines, in one of its own (services_process.py). No
+server is started or signalled from here.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
-import sys
 from collections.abc import Callable
-from contextlib import suppress
-from dataclasses import asdict, dataclass, field
-from pathlib import Path
 from typing import Any
 
+from nickelslip.emulator.client_traffic import ClientTraffic
 from nickelslip.emulator.directory_service import DirectoryService
-from nickelslip.emulator.history import History, Kind
+from nickelslip.emulator.history import MS_PER_S, History, Kind
 from nickelslip.emulator.links import Direction, directions, fault_fields
-from nickelslip.emulator.load_balancers import Balancer, GradeTraffic, Habits, Traffic
-from nickelslip.emulator.models import MachineKind, ServiceKind
+from nickelslip.emulator.load_balancers import LoadBalancer
 from nickelslip.emulator.records_service import RecordsService
 from nickelslip.emulator.relay import Relay
-from nickelslip.emulator.worker_pool import WorkerPool, WorkProfile
+from nickelslip.emulator.services_spec import ServicesSpec
+from nickelslip.emulator.worker_pool import WorkerPool
 
 Address = tuple[str, int]
-BEHIND = 1  # a party behind a relay stands at the relay's port and so much more
-MOVED = 10  # ports between the addresses of a party that moves
-OLD_STANDS_S = 1.5  # connections to an address that was left are closed after this, by the page on service
-READ_LIST_MS = 100.0
+PORTS_BEHIND_RELAY = 1  # a service behind a relay is at the relay's port and so much more
+PORTS_PER_MOVE = 10  # between the addresses of a service that moves
+OLD_CONNECTIONS_S = 1.5  # connections to an address that was left are closed after this, by the page on service
+LIST_INTERVAL_MS = 100.0
 NO_EXCESS = -1e9  # in place of an infinity, which JSON does not have
+POOL_LINK = "pool"
+RECORDS_LINK = "records"
+DIRECTORY_LINK = "directory"
+BALANCERS_LINK = "balancers"
+MOVED_LINKS = (POOL_LINK, RECORDS_LINK, DIRECTORY_LINK)
 
 
-@dataclass(frozen=True)
-class Places:
-    """Where a server is and where it finds the others; relays stand at these addresses, where there are any."""
-
-    listen: Address
-    pool: Address
-    records: Address
-    directory: Address
-
-
-@dataclass(frozen=True)
-class Spec:
-    """A fleet's surroundings."""
-
-    servers: dict[str, Places]
-    grades: dict[str, GradeTraffic]
-    work: WorkProfile
-    machine: MachineKind = field(default_factory=MachineKind)
-    service: ServiceKind = field(default_factory=ServiceKind)
-    habits: Habits = field(default_factory=Habits)
-    balancers: int = 4
-    rate: float = 100.0  # a second, of all clients together
-    lapse_ms: float = 3000.0
-    seed: int = 1
-    relayed: bool = True
-    read_list: bool = False  # whether the list is read ten times a second into the history
-
-    def dump(self) -> dict[str, Any]:
-        return asdict(self)
-
-    @staticmethod
-    def load(value: dict[str, Any]) -> Spec:
-        servers = {
-            name: Places(*(tuple(each[at]) for at in ("listen", "pool", "records", "directory")))
-            for name, each in value["servers"].items()
-        }
-        return Spec(
-            **{
-                **value,
-                "servers": servers,
-                "grades": {name: GradeTraffic(**each) for name, each in value["grades"].items()},
-                "work": WorkProfile(**value["work"]),
-                "machine": MachineKind(**value["machine"]),
-                "service": ServiceKind(**value["service"]),
-                "habits": Habits(**value["habits"]),
-            }
-        )
+class UnknownServiceCommandError(ValueError):
+    """A command that is not in COMMANDS."""
+
 
+def service_address(address: Address, is_relayed: bool) -> Address:
+    """Return where a service itself is that servers know under this address."""
+    host, port = address
+    return (host, port + PORTS_BEHIND_RELAY) if is_relayed else address
 
-def behind(address: Address, relayed: bool) -> Address:
-    """Where the party itself stands."""
-    return (address[0], address[1] + BEHIND) if relayed else address
 
+class SharedServices:
+    """Services and relays of a part of a fleet: the worker pools of some servers, or what is shared, or both.
 
-class Surround:
-    """Parties and relays of a part: the worker pools of some servers, or all that is shared, or both."""
+    Args:
+        spec: The whole fleet's services.
+        pool_names: Servers whose worker pools are here.
+        has_shared: Whether directory, records service and load balancers are here.
+        history: Where they record what they see.
+        on_fall: Called with the server's name when a machine falls over.
+    """
 
     def __init__(
-        self, spec: Spec, pools: list[str], shared: bool, history: History, on_fall: Callable[[str], None]
+        self,
+        spec: ServicesSpec,
+        pool_names: list[str],
+        has_shared: bool,
+        history: History,
+        on_fall: Callable[[str], None],
     ) -> None:
-        self.spec, self.history, self._names, self._shared, self._on_fall = spec, history, pools, shared, on_fall
+        self.spec = spec
+        self.history = history
         self.pools: dict[str, WorkerPool] = {}
         self.relays: dict[str, dict[str, Relay]] = {name: {} for name in spec.servers}
-        self._listeners: dict[str, list[asyncio.Server]] = {name: [] for name in spec.servers}
-        self._tasks: list[asyncio.Task[None]] = []
-        self._moves: dict[str, int] = {}  # by server, how often its peers have moved
         self.directory: DirectoryService | None = None
         self.records: RecordsService | None = None
-        self.balancers: list[Balancer] = []
-        self._worst = NO_EXCESS  # of cold machines that are gone
+        self.balancers: list[LoadBalancer] = []
+        self._pool_names = pool_names
+        self._has_shared = has_shared
+        self._on_fall = on_fall
+        self._pool_listeners: dict[str, list[asyncio.Server]] = {name: [] for name in spec.servers}
+        self._tasks: list[asyncio.Task[None]] = []
+        self._move_counts: dict[str, int] = {}
+        self._worst_ended_excess = NO_EXCESS  # of machines that are gone
+
+    # Start
 
     async def start(self) -> None:
-        """All but the worker pools, which begin with their servers."""
-        if self._shared:
+        """Start everything but the worker pools, which begin with their servers."""
+        if self._has_shared:
             await self._start_shared()
-        if self.spec.relayed:
-            for name in self._names:
-                await self._relay(name, "pool", self.spec.servers[name].pool, Direction.FROM_SERVER)
+        if self.spec.is_relayed:
+            for name in self._pool_names:
+                await self._start_relay(name, POOL_LINK, self.spec.servers[name].pool)
 
     async def _start_shared(self) -> None:
         spec = self.spec
-        self.directory = DirectoryService(self.history, spec.lapse_ms)
+        self.directory = DirectoryService(self.history, spec.directory_lapse_ms)
         self.records = RecordsService(spec.service, self.history, spec.seed)
-        asks_at = {}
-        for name, places in spec.servers.items():
-            if spec.relayed:
-                await self._relay(name, "records", places.records, Direction.FROM_SERVER)
-                await self._relay(name, "directory", places.directory, Direction.FROM_SERVER)
-                asks_at[name] = behind(places.listen, True)
-                relay = self.relays[name]["balancers"] = Relay(
-                    "balancers", name, places.listen, Direction.TO_SERVER, spec.seed, self.history
-                )
-                await relay.listen(asks_at[name])
-            else:
-                asks_at[name] = places.listen
-        for address, name in {behind(each.records, spec.relayed): name for name, each in spec.servers.items()}.items():
-            await self.records.listen(address, name if spec.relayed else "")
-        for address in {behind(each.directory, spec.relayed) for each in spec.servers.values()}:
-            await self.directory.listen(address)
-        traffic = Traffic(spec.rate / max(1, spec.balancers), spec.grades)
+        if spec.is_relayed:
+            for name in spec.servers:
+                await self._start_shared_relays(name)
+        await self._listen(self.records, self.directory)
+        traffic = ClientTraffic(spec.rate_per_s / max(1, spec.balancer_count), spec.traffic_classes)
         self.balancers = [
-            Balancer(number, asks_at, self.directory.listed, traffic, spec.habits, spec.seed, self.history)
-            for number in range(1, spec.balancers + 1)
+            LoadBalancer(
+                number,
+                self._balancer_addresses(),
+                self.directory.listed,
+                traffic,
+                spec.balancer_policy,
+                spec.seed,
+                self.history,
+            )
+            for number in range(1, spec.balancer_count + 1)
         ]
-        if spec.read_list:
-            self._tasks.append(asyncio.get_running_loop().create_task(self._read_list()))
+        if spec.records_list:
+            self._tasks.append(asyncio.get_running_loop().create_task(self._record_list(self.directory)))
+
+    async def _start_shared_relays(self, name: str) -> None:
+        addresses = self.spec.servers[name]
+        await self._start_relay(name, RECORDS_LINK, addresses.records)
+        await self._start_relay(name, DIRECTORY_LINK, addresses.directory)
+        relay = Relay(BALANCERS_LINK, name, addresses.listen, Direction.TO_SERVER, self.spec.seed, self.history)
+        self.relays[name][BALANCERS_LINK] = relay
+        await relay.listen(self._balancer_addresses()[name])
+
+    async def _listen(self, records: RecordsService, directory: DirectoryService) -> None:
+        spec = self.spec
+        servers_by_address = {
+            service_address(addresses.records, spec.is_relayed): name for name, addresses in spec.servers.items()
+        }
+        for address, name in servers_by_address.items():
+            await records.listen(address, name if spec.is_relayed else "")
+        directory_addresses = {
+            service_address(addresses.directory, spec.is_relayed) for addresses in spec.servers.values()
+        }
+        for address in directory_addresses:
+            await directory.listen(address)
 
-    async def _relay(
-        self, server: str, what: str, address: Address, towards: Direction, target: Address | None = None
-    ) -> None:
-        relay = self.relays[server][what] = Relay(
-            what, server, target or behind(address, True), towards, self.spec.seed, self.history
+    def _balancer_addresses(self) -> dict[str, Address]:
+        """Return by server where load balancers connect: its relay is behind the address at which it listens."""
+        return {
+            name: service_address(addresses.listen, self.spec.is_relayed)
+            for name, addresses in self.spec.servers.items()
+        }
+
+    async def _start_relay(self, server: str, link: str, address: Address, target: Address | None = None) -> None:
+        relay = Relay(
+            link,
+            server,
+            target or service_address(address, True),
+            Direction.FROM_SERVER,
+            self.spec.seed,
+            self.history,
         )
-        await (relay.listen_datagrams if what == "directory" else relay.listen)(address)
+        self.relays[server][link] = relay
+        if link == DIRECTORY_LINK:
+            await relay.listen_datagrams(address)
+        else:
+            await relay.listen(address)
 
-    async def move(self, server: str) -> list[Address]:
-        """Other addresses for this server's peers: the old ones take nothing new, and connections that stand there are
-        closed a little later. Where it listens and finds the others from now on."""
-        self._moves[server] = self._moves.get(server, 0) + 1
-        now = [self.spec.servers[server].listen]
-        for what in ("pool", "records", "directory"):
-            old = self.relays[server][what]
-            host, port = getattr(self.spec.servers[server], what)
-            now.append((host, port + MOVED * self._moves[server]))
-            await self._relay(server, what, now[-1], Direction.FROM_SERVER, old.target)
-            old.stop_accepting()
-            self._tasks.append(asyncio.get_running_loop().create_task(self._close_later(old)))
-        return now
-
-    @staticmethod
-    async def _close_later(relay: Relay) -> None:
-        await asyncio.sleep(OLD_STANDS_S)
-        await relay.close()
-
-    async def _read_list(self) -> None:
+    async def _record_list(self, directory: DirectoryService) -> None:
         while True:
-            assert self.directory is not None
-            self.history.add(Kind.LISTED, "", "", self.directory.listed())
-            await asyncio.sleep(READ_LIST_MS / 1000)
+            self.history.add(Kind.LISTED, "", "", directory.listed())
+            await asyncio.sleep(LIST_INTERVAL_MS / MS_PER_S)
 
-    # What is done to it
+    # Worker pools
 
-    async def pool(self, server: str, up_ms: float = 0.0) -> None:
-        """A new life of this server's worker pool, which knows nothing; the one before is gone."""
+    async def start_pool(self, server: str, up_ms: float = 0.0) -> None:
+        """Start a new incarnation of a server's worker pool; the one before ends."""
         self.end_pool(server, "replaced")
-        pool = self.pools[server] = WorkerPool(
-            server, self.spec.machine, self.spec.work, self.spec.seed, self.history, up_ms, self._on_fall
-        )
-        self._listeners[server].append(await pool.listen(behind(self.spec.servers[server].pool, self.spec.relayed)))
-
-    def end_pool(self, server: str, why: str) -> None:
-        for listener in self._listeners[server]:
+        spec = self.spec
+        pool = WorkerPool(server, spec.machine, spec.work, spec.seed, self.history, up_ms, self._on_fall)
+        self.pools[server] = pool
+        address = service_address(spec.servers[server].pool, spec.is_relayed)
+        self._pool_listeners[server].append(await pool.listen(address))
+
+    def end_pool(self, server: str, reason: str) -> None:
+        """End a server's worker pool, if it has one."""
+        for listener in self._pool_listeners[server]:
             listener.close()
-        self._listeners[server].clear()
+        self._pool_listeners[server].clear()
         if server in self.pools:
-            self._worst = max(self._worst, self.pools[server].worst_excess)
-            self.pools[server].end(why)
+            self._worst_ended_excess = max(self._worst_ended_excess, self.pools[server].worst_excess)
+            self.pools[server].end(reason)
 
-    def came_up(self, server: str, up_ms: float = 0.0) -> None:
-        """To the directory: this server's worker pool comes up after so long."""
+    def register_later(self, server: str, up_ms: float = 0.0) -> None:
+        """Have the directory list a server after this time, as its worker pool comes up."""
         if self.directory is not None:
-            asyncio.get_running_loop().call_later(up_ms / 1000, self.directory.register, server)
+            asyncio.get_running_loop().call_later(up_ms / MS_PER_S, self.directory.register, server)
+
+    # Links
 
-    def set_link(self, server: str, link: str = "", ways: list[str] | None = None, **faults: Any) -> None:
-        """Faults on one of a server's links, or on all of them, one way or both."""
-        for name, relay in self.relays[server].items():
-            if link in ("", name):
-                relay.set_faults(directions(ways), **fault_fields(faults))
+    def set_link_faults(self, server: str, link: str, ways: list[str] | None, faults: dict[str, Any]) -> None:
+        """Set faults, by their words, on one link of a server or on all with "", in some directions or both."""
+        for relay in self._relays_of(server, link):
+            relay.set_faults(directions(ways), **fault_fields(faults))
 
     def reset_links(self, server: str, link: str = "") -> None:
-        for name, relay in self.relays[server].items():
-            if link in ("", name):
-                relay.reset_connections()
+        """Reset every connection of one link of a server, or of all with ""."""
+        for relay in self._relays_of(server, link):
+            relay.reset_connections()
+
+    def _relays_of(self, server: str, link: str) -> list[Relay]:
+        return [relay for name, relay in self.relays[server].items() if link in ("", name)]
 
-    def directory_down(self) -> None:
+    async def move(self, server: str) -> list[Address]:
+        """Give a server's services other addresses.
+
+        The old ones accept nothing new, and connections that stand there are closed a little later.
+
+        Returns:
+            Where the server listens, and where it finds worker pool, records service and directory from now on.
+        """
+        self._move_counts[server] = self._move_counts.get(server, 0) + 1
+        addresses = [self.spec.servers[server].listen]
+        for link in MOVED_LINKS:
+            old_relay = self.relays[server][link]
+            host, port = getattr(self.spec.servers[server], link)
+            address = (host, port + PORTS_PER_MOVE * self._move_counts[server])
+            addresses.append(address)
+            await self._start_relay(server, link, address, old_relay.target)
+            old_relay.stop_accepting()
+            self._tasks.append(asyncio.get_running_loop().create_task(_close_later(old_relay)))
+        return addresses
+
+    # What all servers share
+
+    def take_directory_down(self) -> None:
+        """Stop the directory from hearing reports."""
         if self.directory is not None:
             self.directory.take_down()
 
-    def directory_up(self, empty: bool = False) -> None:
+    def bring_directory_up(self, empty: bool = False) -> None:
+        """Let the directory hear again, with its entries or with none."""
         if self.directory is not None:
             self.directory.bring_up(empty)
 
-    def directory_loses(self, part: float) -> None:
-        """This part of all reports is lost on the way."""
+    def lose_reports(self, fraction: float) -> None:
+        """Lose this fraction of all reports to the directory."""
         if self.directory is not None:
-            self.directory.lost_fraction = part
+            self.directory.lost_fraction = fraction
 
-    def records_down(self, for_ms: float) -> None:
+    def take_records_down(self, for_ms: float) -> None:
+        """Take the records service down for a while."""
         if self.records is not None:
             self.records.fail(for_ms)
 
-    def records_slow(self, by: float) -> None:
+    def slow_records(self, factor: float) -> None:
+        """Make the records service slower than usual by this factor."""
         if self.records is not None:
-            self.records.service.slowness = by
+            self.records.service.slowness = factor
 
-    def ask(self, rate: float) -> None:
-        """How much clients ask from now on; the first time they begin."""
-        for each in self.balancers:
-            each.traffic.rate = rate / len(self.balancers)
-            if not each.begun:
-                each.begin()
+    def set_request_rate(self, rate_per_s: float) -> None:
+        """Set the rate of all clients together; they start with the first call."""
+        for balancer in self.balancers:
+            balancer.traffic.rate_per_s = rate_per_s / len(self.balancers)
+            if not balancer.is_started:
+                balancer.start()
 
-    def restart_balancers(self, part: float = 1.0) -> None:
-        for each in self.balancers[: round(part * len(self.balancers))]:
-            each.restart()
+    def restart_balancers(self, fraction: float = 1.0) -> None:
+        """Restart this fraction of the load balancers."""
+        for balancer in self.balancers[: round(fraction * len(self.balancers))]:
+            balancer.restart()
 
     def figures(self) -> dict[str, Any]:
-        """What only the parties themselves can tell."""
-        records = self.records.service if self.records is not None else None
-        return {
-            "lag_ms": max((each.lag_ms for each in self.balancers), default=0.0),
-            "machines_worst": max([self._worst, *(pool.worst_excess for pool in self.pools.values())]),
-            **(
-                {
-                    "records_falls": records.falls,
-                    "records_over_ms": records.over_ms,
-                    "records_most": records.most,
-                    "records_calls": records.calls,
-                    "records_worst": records.worst,
-                }
-                if records is not None
-                else {}
-            ),
+        """Return what only the services themselves can tell."""
+        pool_excesses = [pool.worst_excess for pool in self.pools.values()]
+        figures: dict[str, Any] = {
+            "lag_ms": max((balancer.lag_ms for balancer in self.balancers), default=0.0),
+            "machines_worst": max([self._worst_ended_excess, *pool_excesses]),
         }
+        if self.records is not None:
+            service = self.records.service
+            figures |= {
+                "records_falls": service.falls,
+                "records_over_ms": service.over_ms,
+                "records_most": service.most,
+                "records_calls": service.calls,
+                "records_worst": service.worst,
+            }
+        return figures
+
+    # Commands and end
+
+    async def run_command(self, command: str, **values: Any) -> Any:
+        """Run one of COMMANDS and return its result.
 
-    async def do(self, what: str, **values: Any) -> Any:
-        """One command by its name."""
-        if what.startswith("_") or what not in COMMANDS:
-            raise ValueError(f"no command: {what}")
-        result = getattr(self, what)(**values)
+        Raises:
+            UnknownServiceCommandError: There is no such command.
+        """
+        if command not in COMMANDS:
+            raise UnknownServiceCommandError(f"no command: {command}")
+        result = COMMANDS[command](self, **values)
         return await result if asyncio.iscoroutine(result) else result
 
     async def close(self) -> None:
+        """End all services and relays."""
         for task in self._tasks:
             task.cancel()
-        for each in self.balancers:
-            await each.close()
+        for balancer in self.balancers:
+            await balancer.close()
         for server in self.spec.servers:
             self.end_pool(server, "the end")
             for relay in self.relays[server].values():
@@ -280,57 +305,31 @@
             self.records.close()
 
 
-COMMANDS = (
-    "pool",
-    "end_pool",
-    "came_up",
-    "set_link",
-    "reset_links",
-    "directory_down",
-    "directory_up",
-    "directory_loses",
-    "records_down",
-    "records_slow",
-    "move",
-    "ask",
-    "restart_balancers",
-    "figures",
-)
-
-
-async def _host(spec: Spec, pools: list[str], shared: bool, out: Path) -> None:
-    """A process of its own: commands come a line each, and are answered a line each; what falls over is told."""
-
-    def say(**line: Any) -> None:
-        sys.stdout.write(json.dumps(line) + "\n")
-        sys.stdout.flush()
-
-    history = History()
-    surround = Surround(spec, pools, shared, history, lambda server: say(fell=server))
-    reader = asyncio.StreamReader(limit=1 << 24)
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    await surround.start()
-    say(n=0, result=None)
-    try:
-        while line := await reader.readline():
-            told = json.loads(line)
-            if told["do"] == "end":
-                break
-            result = await surround.do(told["do"], **told["values"])
-            say(n=told["n"], result=result)
-    finally:
-        with suppress(Exception):
-            await surround.close()
-        history.save(out)
-
-
-def main() -> None:
-    """`python -m nickelslip.emulator.shared_services SPEC OUT`: the spec with the part that is this process's."""
-    import uvloop
-
-    told = json.loads(Path(sys.argv[1]).read_text())
-    uvloop.run(_host(Spec.load(told["spec"]), told["pools"], told["shared"], Path(sys.argv[2])))
-
-
-if __name__ == "__main__":
-    main()
+async def _close_later(relay: Relay) -> None:
+    await asyncio.sleep(OLD_CONNECTIONS_S)
+    await relay.close()
+
+
+def _set_link(
+    services: SharedServices, server: str, link: str = "", ways: list[str] | None = None, **faults: Any
+) -> None:
+    services.set_link_faults(server, link, ways, faults)
+
+
+COMMANDS: dict[str, Callable[..., Any]] = {
+    "pool": SharedServices.start_pool,
+    "end_pool": lambda services, server, why: services.end_pool(server, why),
+    "came_up": SharedServices.register_later,
+    "set_link": _set_link,
+    "reset_links": SharedServices.reset_links,
+    "directory_down": SharedServices.take_directory_down,
+    "directory_up": SharedServices.bring_directory_up,
+    "directory_loses": lambda services, part: services.lose_reports(part),
+    "records_down": SharedServices.take_records_down,
+    "records_slow": lambda services, by: services.slow_records(by),
+    "move": SharedServices.move,
+    "ask": lambda services, rate: services.set_request_rate(rate),
+    "restart_balancers": lambda services, part=1.0: services.restart_balancers(part),
+    "figures": SharedServices.figures,
+}
+"""Methods by the words of commands; where a value's word is not the argument's name, it is mapped here."""
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -11,8 +11,8 @@
 from math import inf
 from typing import cast
 
-from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.loop_timer import MS_PER_S, LoopTimer
+from nickelslip.emulator.history import MS_PER_S, History, Kind
+from nickelslip.emulator.loop_timer import LoopTimer
 from nickelslip.emulator.models import Machine, MachineKind
 from nickelslip.emulator.worker_pool_messages import (
     Bind,
