--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -1,8 +1,8 @@
-"""What many send together to something cold, and how soon many that restart together are ready.
+"""What many send together to something cold, and how soon many servers that restart together are ready.
 
-Owns two measurements of `benchmarks.cold_start`, both of this version alone. Sums: all of a fleet starts cold beside a
-cold records service, then half of it is killed and starts cold beside half that serves; over the budget of each cold
-party twice its root and two more are put down to chance. Restarts: all start together, again and again, with the
+Two measurements of `benchmarks.cold_start`, both of this version alone. Sums: all of a fleet starts cold beside a cold
+records service, then half of it is killed and starts cold beside the half that serves; over the budget of each cold
+service twice its root and two more are put down to chance. Restarts: all start together, again and again, with the
 directory down, worker pools late and every core of this machine busy with something else.
 """
 
@@ -13,6 +13,7 @@
 import sys
 import tempfile
 from bisect import bisect_left
+from collections import defaultdict
 from collections.abc import Callable
 from contextlib import AsyncExitStack, suppress
 from dataclasses import replace
@@ -23,53 +24,81 @@
 from nickelslip.emulator import checkers
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
-from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.models import MachineKind, excess, warmth
+from nickelslip.emulator.history import MS_PER_S, History, Kind
+from nickelslip.emulator.machine_model import MachineProfile
+from nickelslip.emulator.shared_processor import warm_up_fraction
+from nickelslip.emulator.time_weighted_mean import excess
 from nickelslip.server import resp
 
-BALANCERS = 30
-LATE_MS = 3000.0  # by which worker pools come up after their servers
-ASK_EVERY_S, READY_MOST_S = 0.02, 30.0
+BALANCER_COUNT = 30
+POOL_DELAY_MS = 3000.0  # by which worker pools come up after their servers
+MIN_RATE_PER_S = 1e-6
+CHECK_INTERVAL_S = 0.02
+MAX_READY_S = 30.0
+CHECK_ANSWER_BYTES = 256
+READY_WORD = b"healthy"
+NO_EXCESS = -1e9
+QUICK_SPANS_S = (5.0, 3.0)
+FULL_SPANS_S = (10.0, 8.0)
+QUICK_ROUNDS = 2
+FULL_ROUNDS = 6
+READY_PERCENTILE = 0.9
 
 
-def asked_excess(history: History, machine: MachineKind, mean_ms: float) -> float:
-    """The worst excess of what all balancers together wrote to one cold server. Its budget in any `fall_ms` is what it
-    can finish in that time and what it may have on its cores, both by its warmth in the middle of it."""
-    begun: dict[str, list[float]] = {}
-    written: dict[str, list[float]] = {}
+def asked_excess(history: History, machine: MachineProfile, mean_ms: float) -> float:
+    """Return the worst excess of what all load balancers together wrote to one server that was warming up.
+
+    The budget in any overload window is what the server can finish in that time and what it may have on its cores, both
+    by its speed in the middle of it.
+    """
+    starts_ms: dict[str, list[float]] = defaultdict(list)
+    writes_ms: dict[str, list[float]] = defaultdict(list)
     for event in history.events:
         if event.kind is Kind.STARTED:
-            begun.setdefault(event.server, []).append(event.at_ms)
+            starts_ms[event.server].append(event.at_ms)
         elif event.kind is Kind.WRITTEN:
-            written.setdefault(event.server, []).append(event.at_ms)
-    worst = -1e9
-    for server, starts in begun.items():
-        times = sorted(written.get(server, []))
-        for start in starts:
-            for at in times[bisect_left(times, start) : bisect_left(times, start + machine.cold_ms)]:
-                until = at + machine.fall_ms
-                warm = warmth(at - start + machine.fall_ms / 2, machine.cold_from, machine.cold_ms)
-                finishes = machine.cores * machine.speed * warm * machine.fall_ms / mean_ms
-                holds = machine.cores * (1 + (machine.fall_multiple - 1) * warm)
-                worst = max(worst, excess(bisect_left(times, until) - bisect_left(times, at), finishes + holds))
+            writes_ms[event.server].append(event.at_ms)
+    return max(
+        (
+            _excess_after_start(sorted(writes_ms[server]), start_ms, machine, mean_ms)
+            for server, server_starts_ms in starts_ms.items()
+            for start_ms in server_starts_ms
+        ),
+        default=NO_EXCESS,
+    )
+
+
+def _excess_after_start(writes_ms: list[float], start_ms: float, machine: MachineProfile, mean_ms: float) -> float:
+    """Return the worst excess of any overload window that begins with a write while the server warms up."""
+    window_ms = machine.overload_window_ms
+    worst = NO_EXCESS
+    first = bisect_left(writes_ms, start_ms)
+    last = bisect_left(writes_ms, start_ms + machine.warm_up_ms)
+    for begin_ms in writes_ms[first:last]:
+        age_ms = begin_ms - start_ms + window_ms / 2
+        warm = warm_up_fraction(age_ms, machine.initial_speed_fraction, machine.warm_up_ms)
+        finished = machine.cores * machine.speed * warm * window_ms / mean_ms
+        on_cores = machine.cores * (1 + (machine.overload_per_core - 1) * warm)
+        written = bisect_left(writes_ms, begin_ms + window_ms) - bisect_left(writes_ms, begin_ms)
+        worst = max(worst, excess(written, finished + on_cores))
     return worst
 
 
-async def sums(plan: Plan, folder: Path, rise_s: float, half_s: float) -> dict[str, Any]:
-    """One fleet's worst excesses; at or under 1 is chance."""
-    plan = replace(plan, balancers=BALANCERS)
+async def fleet_sums(plan: Plan, folder: Path, rise_s: float, half_s: float) -> dict[str, Any]:
+    """Return one fleet's worst excesses; up to 1 is chance."""
+    plan = replace(plan, balancers=BALANCER_COUNT)
     async with Fleet(plan, folder) as fleet:
         await fleet.set_request_rate()
         await fleet.start()
         await asyncio.sleep(rise_s)
-        go = fleet.names[1::2]
-        await fleet.kill(*go)
+        restarting = fleet.names[1::2]
+        await fleet.kill(*restarting)
         await asyncio.sleep(half_s / 2)
-        await fleet.start(*go)
+        await fleet.start(*restarting)
         await asyncio.sleep(half_s)
         await fleet.stop_requests()
         figures = await fleet.figures()
-    mean_ms = sum(each.request_fraction * plan.work.work_ms[name] for name, each in plan.traffic_classes.items())
+    mean_ms = sum(traffic.request_fraction * plan.work.work_ms[name] for name, traffic in plan.traffic_classes.items())
     falls = checkers.falls(fleet.history)
     return {
         "cold_runs_excess": figures["machines_worst"],
@@ -81,55 +110,75 @@
     }
 
 
-async def ready(address: tuple[str, int], clock: Callable[[], float], since: float) -> float:
-    """Seconds from then until a server at this address answers a check well."""
-    while (took := (clock() - since) / 1000) < READY_MOST_S:
+async def time_to_ready_s(address: tuple[str, int], clock: Callable[[], float], since_ms: float) -> float:
+    """Return how long it takes until a server at this address answers a check well; 30 s at most."""
+    while (elapsed_s := (clock() - since_ms) / MS_PER_S) < MAX_READY_S:
         with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(READY_MOST_S - took):
-                reader, writer = await asyncio.open_connection(*address)
-                writer.write(resp.message(b"STATUS", b"1"))
-                answer = await reader.read(256)
-                writer.close()
-                if b"healthy" in answer:
-                    return (clock() - since) / 1000
-        await asyncio.sleep(ASK_EVERY_S)
-    return READY_MOST_S
-
-
-async def restarts(plan: Plan, folder: Path, rounds: int) -> dict[str, Any]:
-    """How soon servers that all restart at once are ready, in seconds."""
-    times: list[float] = []
+            async with asyncio.timeout(MAX_READY_S - elapsed_s):
+                if READY_WORD in await _check(address):
+                    return (clock() - since_ms) / MS_PER_S
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    return MAX_READY_S
+
+
+async def _check(address: tuple[str, int]) -> bytes:
+    reader, writer = await asyncio.open_connection(*address)
+    writer.write(resp.message(b"STATUS", b"1"))
+    answer = await reader.read(CHECK_ANSWER_BYTES)
+    writer.close()
+    return answer
+
+
+async def restart_times(plan: Plan, folder: Path, round_count: int) -> dict[str, Any]:
+    """Return how soon servers that all restart at once are ready, in seconds."""
+    times_s: list[float] = []
     async with AsyncExitStack() as stack:
-        fleet = await stack.enter_async_context(Fleet(replace(plan, rate=1e-6), folder))
+        fleet = await stack.enter_async_context(Fleet(replace(plan, rate=MIN_RATE_PER_S), folder))
         await fleet.run_command("directory_down")
-        for _ in range(os.cpu_count() or 1):
-            busy = await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
-            stack.push_async_callback(busy.wait)
-            stack.callback(busy.kill)
-        for _ in range(rounds):
-            if fleet.processes:
-                await fleet.kill(*fleet.names)
-            since = fleet.history.clock()
-            _, *took = await asyncio.gather(
-                fleet.start(up_ms=LATE_MS),
-                *(ready(fleet.spec.servers[name].listen, fleet.history.clock, since) for name in fleet.names),
-            )
-            times += took
-    times.sort()
-    return {"ready_s_p90": times[ceil(0.9 * len(times)) - 1], "ready_s_max": times[-1], "restarted": len(times)}
-
-
-async def measured(plan_for: Callable[[int], Plan], sizes: list[int], quick: bool) -> dict[str, Any]:
-    """All of it: the excesses by size, and the restarts of the largest."""
-    out: dict[str, Any] = {}
+        await _keep_cores_busy(stack)
+        for _ in range(round_count):
+            times_s += await _restart_all(fleet)
+    times_s.sort()
+    return {
+        "ready_s_p90": times_s[ceil(READY_PERCENTILE * len(times_s)) - 1],
+        "ready_s_max": times_s[-1],
+        "restarted": len(times_s),
+    }
+
+
+async def _keep_cores_busy(stack: AsyncExitStack) -> None:
+    """Start a busy process for each core, which ends with the stack."""
+    for _ in range(os.cpu_count() or 1):
+        busy = await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
+        stack.push_async_callback(busy.wait)
+        stack.callback(busy.kill)
+
+
+async def _restart_all(fleet: Fleet) -> list[float]:
+    if fleet.processes:
+        await fleet.kill(*fleet.names)
+    clock = fleet.history.clock
+    since_ms = clock()
+    addresses = [fleet.spec.servers[name].listen for name in fleet.names]
+    _, *times_s = await asyncio.gather(
+        fleet.start(up_ms=POOL_DELAY_MS),
+        *(time_to_ready_s(address, clock, since_ms) for address in addresses),
+    )
+    return times_s
+
+
+async def measure_sums(plan_for: Callable[[int], Plan], sizes: list[int], quick: bool) -> dict[str, Any]:
+    """Return the excesses by size, and the restarts of the largest size."""
+    results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="sums") as folder:
         for size in sizes:
-            place = Path(folder) / str(size)
-            place.mkdir()
-            one = await sums(plan_for(size), place, *((5.0, 3.0) if quick else (10.0, 8.0)))
-            out |= {f"{name}_{size}": round(figure, 3) for name, figure in one.items()}
-        place = Path(folder) / "restarts"
-        place.mkdir()
-        again = await restarts(plan_for(max(sizes)), place, 2 if quick else 6)
-        out |= {name: round(figure, 2) for name, figure in again.items()}
-    return out
+            size_folder = Path(folder) / str(size)
+            size_folder.mkdir()
+            figures = await fleet_sums(plan_for(size), size_folder, *(QUICK_SPANS_S if quick else FULL_SPANS_S))
+            results |= {f"{name}_{size}": round(figure, 3) for name, figure in figures.items()}
+        restarts_folder = Path(folder) / "restarts"
+        restarts_folder.mkdir()
+        rounds = QUICK_ROUNDS if quick else FULL_ROUNDS
+        restarts = await restart_times(plan_for(max(sizes)), restarts_folder, rounds)
+        results |= {name: round(figure, 2) for name, figure in restarts.items()}
+    return results
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,7 +1,7 @@
 """Earlier versions of the program, to measure beside this one.
 
-Owns the unpacking of a revision of this repository's own history into a folder. It must never fetch
-anything: a checkout without its history cannot be measured against.
+They come from this repository's own history. Nothing is fetched: a checkout without its history cannot be measured
+against.
 """
 
 from __future__ import annotations
@@ -14,26 +14,35 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
+PACKAGE = "nickelslip"
 
 
-class NoHistory(Exception):
+class RevisionNotFoundError(Exception):
     """The revision is not in this checkout."""
 
 
-def unpacked(revision: str, folder: Path) -> Path:
-    """The package of this revision, in this folder."""
-    told = subprocess.run(["git", "archive", revision, "nickelslip"], cwd=ROOT, capture_output=True)
-    if told.returncode:
-        raise NoHistory(f"{revision}: {told.stderr.decode().strip()}")
-    with tarfile.open(fileobj=BytesIO(told.stdout)) as tar:
+def unpack_revision(revision: str, folder: Path) -> Path:
+    """Unpack the package of a revision into a folder and return that.
+
+    Raises:
+        RevisionNotFoundError: The revision is not in this checkout.
+    """
+    archive = subprocess.run(["git", "archive", revision, PACKAGE], cwd=ROOT, capture_output=True)
+    if archive.returncode:
+        raise RevisionNotFoundError(f"{revision}: {archive.stderr.decode().strip()}")
+    with tarfile.open(fileobj=BytesIO(archive.stdout)) as tar:
         tar.extractall(folder, filter="data")
-    subprocess.run([sys.executable, "-m", "compileall", "-q", "nickelslip"], cwd=folder, check=True)
+    _compile(folder)
     return folder
 
 
-def copied(folder: Path) -> Path:
-    """The package as it stands here, in this folder, compiled as the platform's build does."""
+def copy_package(folder: Path) -> Path:
+    """Copy the package as it stands here into a folder, compile it as the platform's build does, and return that."""
     shutil.copytree(ROOT / "deploy", folder / "deploy")
-    shutil.copytree(ROOT / "nickelslip", folder / "nickelslip", ignore=shutil.ignore_patterns("__pycache__"))
-    subprocess.run([sys.executable, "-m", "compileall", "-q", "nickelslip"], cwd=folder, check=True)
+    shutil.copytree(ROOT / PACKAGE, folder / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
+    _compile(folder)
     return folder
+
+
+def _compile(folder: Path) -> None:
+    subprocess.run([sys.executable, "-m", "compileall", "-q", PACKAGE], cwd=folder, check=True)
--- a/nickelslip/emulator/clock_skew.py
+++ b/nickelslip/emulator/clock_skew.py
@@ -1,7 +1,7 @@
 """A server whose clock is off: `python -m nickelslip.emulator.clock_skew OFFSET_MS DRIFT serve --config FILE`.
 
-Owns an offset and a drift laid over the one clock that the program's parts see around them. It must never change
-anything else of the server: timers, sockets and the machine's own clock are as they were.
+An offset and a drift are laid over the one clock that the server's parts see. Timers, sockets and the machine's own
+clock are as they were.
 """
 
 from __future__ import annotations
@@ -12,25 +12,28 @@
 
 from nickelslip.server.server import Server
 
+MS_PER_S = 1000
+
 
 def skew(offset_ms: float, drift: float) -> None:
-    """From here on nodes' clocks are off by so much, and by so much more for each millisecond that passes."""
-    true, began = Server.clock, time.monotonic() * 1000
+    """From now on have servers' clocks off by `offset_ms`, and by `drift` more for each millisecond that passes."""
+    true_clock = Server.clock
+    began_at_ms = time.monotonic() * MS_PER_S
 
-    def clock(node: Server) -> float:
-        return true(node) + offset_ms + drift * (time.monotonic() * 1000 - began)
+    def clock(server: Server) -> float:
+        return true_clock(server) + offset_ms + drift * (time.monotonic() * MS_PER_S - began_at_ms)
 
     Server.clock = clock  # type: ignore[method-assign, assignment]
 
 
 def main() -> None:
-    """Serve, with such a clock."""
+    """Serve with such a clock."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
-    offset, drift, *rest = sys.argv[1:]
-    skew(float(offset), float(drift))
+    offset_ms, drift, *arguments = sys.argv[1:]
+    skew(float(offset_ms), float(drift))
     from nickelslip.server.cli import main as program
 
-    program(rest)
+    program(arguments)
 
 
 if __name__ == "__main__":
--- a/nickelslip/emulator/directory_service.py
+++ b/nickelslip/emulator/directory_service.py
@@ -5,8 +5,8 @@
 import asyncio
 import random
 
+from nickelslip.emulator.endpoint_list import EndpointList
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.models import Listing
 
 Address = tuple[str, int]
 REPORT_VERB = b"PULSE"
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, history: History, lapse_ms: float = 3000.0) -> None:
-        self.listing = Listing(lapse_ms)
+        self._endpoints = EndpointList(lapse_ms)
         self.lost_fraction = 0.0
         self._history = history
         self._random = random.Random("lost on the way to the directory")
@@ -46,24 +46,24 @@
         name = words[1].decode()
         if self._random.random() < self.lost_fraction:
             return
-        self._history.add(Kind.REPORT, name, "", self.listing.report(now_ms, name), now_ms)
+        self._history.add(Kind.REPORT, name, "", self._endpoints.report(now_ms, name), now_ms)
 
     def register(self, name: str) -> None:
         """List a server whose worker pool has come up."""
-        self.listing.report(self._history.clock(), name)
+        self._endpoints.report(self._history.clock(), name)
 
     def listed(self) -> list[str]:
         """Return the names on the endpoint list."""
-        return self.listing.listed(self._history.clock())
+        return self._endpoints.listed(self._history.clock())
 
     def take_down(self) -> None:
         """Stop hearing reports; the list stays as it is."""
-        self.listing.down(self._history.clock())
+        self._endpoints.take_down(self._history.clock())
         self._history.add(Kind.FAULT, "", "", "directory down")
 
     def bring_up(self, empty: bool = False) -> None:
         """Hear reports again, with the entries from before or with none."""
-        self.listing.up(self._history.clock(), empty)
+        self._endpoints.bring_up(self._history.clock(), empty)
         self._history.add(Kind.FAULT, "", "", "directory up, empty" if empty else "directory up")
 
     def close(self) -> None:
--- a/nickelslip/emulator/fleet_plan.py
+++ b/nickelslip/emulator/fleet_plan.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from nickelslip.emulator.client_traffic import BalancerPolicy, ClassTraffic
-from nickelslip.emulator.models import MachineKind, ServiceKind
+from nickelslip.emulator.machine_model import MachineProfile
+from nickelslip.emulator.service_model import ServiceProfile
 from nickelslip.emulator.worker_pool import WorkProfile
 
 DEGRADED_VALUE_FRACTION = 0.6  # told to servers, of a run without its optional call
@@ -60,8 +61,8 @@
     balancers: int = 4
     traffic_classes: dict[str, ClassTraffic] = field(default_factory=default_classes)
     work: WorkProfile = field(default_factory=default_work)
-    machine: MachineKind = field(default_factory=MachineKind)
-    service: ServiceKind = field(default_factory=ServiceKind)
+    machine: MachineProfile = field(default_factory=MachineProfile)
+    service: ServiceProfile = field(default_factory=ServiceProfile)
     balancer_policy: BalancerPolicy = field(default_factory=BalancerPolicy)
     call_share: float | None = None
     cold: bool = False
@@ -108,14 +109,14 @@
     def _invariants(self) -> dict[str, Any]:
         return {
             "answer-slack-ms": 20.0,
-            "cold-from": self.machine.cold_from,
-            "cold-ms": max(1.0, self.machine.cold_ms),
-            "fall-multiple": self.machine.fall_multiple,
+            "cold-from": self.machine.initial_speed_fraction,
+            "cold-ms": max(1.0, self.machine.warm_up_ms),
+            "fall-multiple": self.machine.overload_per_core,
             "stop-sending-within-ms": self.grace_ms,
         }
 
     def _specifics(self) -> dict[str, Any]:
-        call_share = self.service.survives / self.size if self.call_share is None else self.call_share
+        call_share = self.service.survivable_in_flight / self.size if self.call_share is None else self.call_share
         return {
             "cpus": self.machine.cores,
             "memory-kb": 9000.0,
@@ -125,8 +126,8 @@
             "cold": self.cold,
             "below": "common",
             "dep-share": call_share,
-            "calls-over-ms": self.service.span_ms,
-            "stays-for-ms": self.service.linger_ms,
+            "calls-over-ms": self.service.window_ms,
+            "stays-for-ms": self.service.abandoned_call_linger_ms,
             "kb-per-key": 20.0,
             "stop-mode": "drop",
             "idle-ms": 15000.0,
--- a/nickelslip/emulator/processes.py
+++ b/nickelslip/emulator/processes.py
@@ -1,7 +1,7 @@
-"""The true processes of a fleet, known by their ids.
+"""Server processes, known by their ids.
 
-Owns each server's process: its start, signals to it, and word of its end. None outlives the rig: each asks the kernel
-to be killed with its parent, before it becomes the program. It must never find a process by its name.
+None outlives the process that started it: each asks the kernel to be killed with its parent, before it becomes the
+program.
 """
 
 from __future__ import annotations
@@ -16,31 +16,41 @@
 from contextlib import suppress
 from pathlib import Path
 
+ENTRY_POINT = Path(__file__).parent.parent.parent / "deploy" / "serve.py"  # as the deploy file has it
 PR_SET_PDEATHSIG = 1
 LIBC = ctypes.CDLL(None, use_errno=True)
+KILL_TIMEOUT_S = 10.0
+CLOSED_FD = -1
+NS_PER_MS = 1e6
+ZOMBIE_STATE = "Z"
 
 
-def with_its_parent(parent: int) -> Callable[[], None]:
-    """In the child, before it becomes the program: it ends when this process does, however that ends."""
+def die_with_parent(parent_pid: int) -> Callable[[], None]:
+    """Return what a child runs before it becomes the program, so that it is killed when its parent ends."""
 
-    def ask() -> None:
+    def prepare() -> None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        if os.getppid() != parent:  # it has ended already
+        if os.getppid() != parent_pid:  # it has ended already
             os._exit(1)
 
-    return ask
-
-
-ENTRY = Path(__file__).parent.parent.parent / "deploy" / "serve.py"  # as the deploy file has it
+    return prepare
 
 
 def program(*arguments: str) -> list[str]:
-    """The command line of the program, by this interpreter."""
-    return [sys.executable, "-B", str(ENTRY), *arguments]
+    """Return the command line of the program, by this interpreter."""
+    return [sys.executable, "-B", str(ENTRY_POINT), *arguments]
 
 
 class Process:
-    """One process, from its start to its end."""
+    """One process, from its start to its end.
+
+    Args:
+        argv: Its command line.
+        log: Its output is appended to this file.
+        on_end: Called with the exit code when it has ended.
+        cwd: Its working directory.
+        environment: Its environment; None for that of this process.
+    """
 
     def __init__(
         self,
@@ -50,37 +60,40 @@
         cwd: Path | None = None,
         environment: dict[str, str] | None = None,
     ) -> None:
-        with log.open("ab") as out:
+        with log.open("ab") as log_file:
             self._popen = subprocess.Popen(
                 list(argv),
                 stdin=subprocess.DEVNULL,
-                stdout=out,
-                stderr=out,
+                stdout=log_file,
+                stderr=log_file,
                 cwd=cwd,
                 env=environment,
-                preexec_fn=with_its_parent(os.getpid()),
+                preexec_fn=die_with_parent(os.getpid()),
             )
-        self._on_end, self._over = on_end, asyncio.Event()
-        self._fd = os.pidfd_open(self.pid)
-        asyncio.get_running_loop().add_reader(self._fd, self._ended)
+        self._on_end = on_end
+        self._end_event = asyncio.Event()
+        self._pidfd = os.pidfd_open(self.pid)
+        asyncio.get_running_loop().add_reader(self._pidfd, self._handle_end)
 
     @property
     def pid(self) -> int:
+        """Its id."""
         return self._popen.pid
 
     @property
     def code(self) -> int | None:
-        """How it ended, or None while it runs."""
+        """Its exit code, or None while it runs."""
         return self._popen.returncode
 
-    def _ended(self) -> None:
-        if self._fd >= 0:
-            asyncio.get_running_loop().remove_reader(self._fd)
-            os.close(self._fd)
-            self._fd = -1
-            self._popen.wait()
-            self._over.set()
-            self._on_end(self._popen.returncode)
+    def _handle_end(self) -> None:
+        if self._pidfd == CLOSED_FD:
+            return
+        asyncio.get_running_loop().remove_reader(self._pidfd)
+        os.close(self._pidfd)
+        self._pidfd = CLOSED_FD
+        self._popen.wait()
+        self._end_event.set()
+        self._on_end(self._popen.returncode)
 
     def signal(self, number: signal.Signals) -> None:
         """Send it a signal; one that has ended gets none."""
@@ -88,32 +101,35 @@
             with suppress(ProcessLookupError):
                 self._popen.send_signal(number)
 
-    async def ended(self, wait_s: float) -> bool:
-        """Whether it ends within this time."""
+    async def ended(self, timeout_s: float) -> bool:
+        """Wait for its end; return whether it ended in this time."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(wait_s):
-                await self._over.wait()
-        return self._over.is_set()
+            async with asyncio.timeout(timeout_s):
+                await self._end_event.wait()
+        return self._end_event.is_set()
 
     async def kill(self) -> None:
-        """Kill it, and see it gone."""
+        """Kill it and wait for its end."""
         self.signal(signal.SIGKILL)
-        await self.ended(10.0)
+        await self.ended(KILL_TIMEOUT_S)
 
     def cpu_ms(self) -> float:
-        """What it has had of a core so far; 0 once it has ended."""
+        """Return what it has had of a core so far; 0 once it has ended."""
         try:
             fields = Path(f"/proc/{self.pid}/schedstat").read_text().split()
         except OSError:
             return 0.0
-        return int(fields[0]) / 1e6
+        return int(fields[0]) / NS_PER_MS
 
 
 def alive(pids: Sequence[int]) -> list[int]:
-    """Which of these processes, by their ids, still run."""
-    out = []
-    for pid in pids:
-        with suppress(OSError):
-            if Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z":
-                out.append(pid)
-    return out
+    """Return which of these processes still run."""
+    return [pid for pid in pids if _is_alive(pid)]
+
+
+def _is_alive(pid: int) -> bool:
+    try:
+        stat = Path(f"/proc/{pid}/stat").read_text()
+    except OSError:
+        return False
+    return stat.rpartition(")")[2].split()[0] != ZOMBIE_STATE
--- a/nickelslip/emulator/records_service.py
+++ b/nickelslip/emulator/records_service.py
@@ -11,7 +11,7 @@
 
 from nickelslip.emulator.history import MS_PER_S, History, Kind
 from nickelslip.emulator.loop_timer import LoopTimer
-from nickelslip.emulator.models import Service, ServiceKind
+from nickelslip.emulator.service_model import Service, ServiceProfile
 
 Address = tuple[str, int]
 RESPONSE_BODY = b"found"
@@ -40,13 +40,13 @@
     """The one records service of a fleet; servers know it under an address each, or under one.
 
     Args:
-        kind: How fast it is and what it survives.
+        profile: How fast it is and what it survives.
         history: Where calls and falls are recorded.
         seed: For the work of each call.
     """
 
-    def __init__(self, kind: ServiceKind, history: History, seed: int = 1) -> None:
-        self.service = Service(kind, history.clock())
+    def __init__(self, profile: ServiceProfile, history: History, seed: int = 1) -> None:
+        self.service = Service(profile, history.clock())
         self._history = history
         self._random = random.Random(f"records {seed}")
         self._calls: dict[CallKey, RecordsConnection] = {}
@@ -68,7 +68,7 @@
 
     def fail(self, for_ms: float) -> None:
         """Go down for a while: calls in flight are lost and connections are refused."""
-        self.service.fall(self._history.clock(), for_ms)
+        self.service.fail(self._history.clock(), for_ms)
         self._go_down(for_ms)
 
     def close(self) -> None:
@@ -83,9 +83,9 @@
         now_ms = self._history.clock()
         key = CallKey(connection.number, request_id)
         if key in self._calls:
-            self.service.give_up(now_ms, key)
+            self.service.cancel_call(now_ms, key)
         self._calls[key] = connection
-        self.service.begin(now_ms, key, self.service.kind.call_ms * self._random.uniform(*CALL_TIME_SPREAD))
+        self.service.begin_call(now_ms, key, self.service.profile.call_ms * self._random.uniform(*CALL_TIME_SPREAD))
         self._record(Kind.CALL, connection, request_id, now_ms)
         self._answer_finished_calls()
 
@@ -95,7 +95,7 @@
         if self._calls.pop(key, None) is None:
             return
         now_ms = self._history.clock()
-        self.service.give_up(now_ms, key)
+        self.service.cancel_call(now_ms, key)
         self._record(Kind.CALL_OVER, connection, request_id, now_ms)
         self._answer_finished_calls()
 
@@ -111,20 +111,20 @@
             self.cancel_call(connection, key.request_id)
 
     def _record(self, kind: Kind, connection: RecordsConnection, request_id: str, now_ms: float) -> None:
-        self._history.add(kind, connection.server, request_id, self.service.in_hand(now_ms), now_ms)
+        self._history.add(kind, connection.server, request_id, self.service.in_flight(now_ms), now_ms)
 
     def _answer_finished_calls(self) -> None:
         now_ms = self._history.clock()
-        falls_before = self.service.falls
-        for finished in self.service.finished(now_ms):
+        fall_count_before = self.service.fall_count
+        for finished in self.service.take_finished(now_ms):
             key = cast(CallKey, finished)
             connection = self._calls.pop(key, None)
             if connection is not None:
                 connection.respond(key.request_id)
                 self._record(Kind.CALL_OVER, connection, key.request_id, now_ms)
-        if self.service.falls > falls_before:
-            self._go_down(self.service.kind.down_ms)
-        self._timer.set(self.service.next_at())
+        if self.service.fall_count > fall_count_before:
+            self._go_down(self.service.profile.down_ms)
+        self._timer.set(self.service.next_change_at_ms())
 
     def _go_down(self, for_ms: float) -> None:
         self._history.add(Kind.FELL, "", "", "records")
--- a/nickelslip/emulator/service_host.py
+++ b/nickelslip/emulator/service_host.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from nickelslip.emulator.history import History
-from nickelslip.emulator.processes import with_its_parent
+from nickelslip.emulator.processes import die_with_parent
 from nickelslip.emulator.services_spec import ServicesSpec
 
 ROOT = Path(__file__).parent.parent.parent
@@ -71,7 +71,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=self._log,
-            preexec_fn=with_its_parent(os.getpid()),
+            preexec_fn=die_with_parent(os.getpid()),
         )
         ready = asyncio.get_running_loop().create_future()
         self._replies[READY_NUMBER] = ready
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from nickelslip.emulator.client_traffic import BalancerPolicy, ClassTraffic
-from nickelslip.emulator.models import MachineKind, ServiceKind
+from nickelslip.emulator.machine_model import MachineProfile
+from nickelslip.emulator.service_model import ServiceProfile
 from nickelslip.emulator.worker_pool import WorkProfile
 
 Address = tuple[str, int]
@@ -27,6 +28,28 @@
     "without_call": "degraded_value_fraction",
 }
 POLICY_WORDS: Words = {"late_ms": "list_delay_ms", "heeds": "heeds_signals", "most_tries": "max_attempts"}
+MACHINE_WORDS: Words = {
+    "cores": "cores",
+    "speed": "speed",
+    "crowd_at": "crowded_above_per_core",
+    "crowd_loss": "crowding_loss",
+    "cold_from": "initial_speed_fraction",
+    "cold_ms": "warm_up_ms",
+    "cold_calls": "cold_calls_factor",
+    "fall_multiple": "overload_per_core",
+    "fall_ms": "overload_window_ms",
+}
+SERVICE_WORDS: Words = {
+    "slots": "slots",
+    "call_ms": "call_ms",
+    "crowd_loss": "crowding_loss",
+    "survives": "survivable_in_flight",
+    "span_ms": "window_ms",
+    "linger_ms": "abandoned_call_linger_ms",
+    "down_ms": "down_ms",
+    "cold_from": "initial_speed_fraction",
+    "cold_ms": "warm_up_ms",
+}
 SCALAR_WORDS: Words = {
     "balancers": "balancer_count",
     "rate": "rate_per_s",
@@ -69,8 +92,8 @@
     servers: dict[str, ServerAddresses]
     traffic_classes: dict[str, ClassTraffic]
     work: WorkProfile
-    machine: MachineKind = field(default_factory=MachineKind)
-    service: ServiceKind = field(default_factory=ServiceKind)
+    machine: MachineProfile = field(default_factory=MachineProfile)
+    service: ServiceProfile = field(default_factory=ServiceProfile)
     balancer_policy: BalancerPolicy = field(default_factory=BalancerPolicy)
     balancer_count: int = 4
     rate_per_s: float = 100.0
@@ -85,8 +108,8 @@
             "servers": {name: _dump(addresses, ADDRESS_WORDS) for name, addresses in self.servers.items()},
             "grades": {name: _dump(traffic, CLASS_WORDS) for name, traffic in self.traffic_classes.items()},
             "work": asdict(self.work),
-            "machine": asdict(self.machine),
-            "service": asdict(self.service),
+            "machine": _dump(self.machine, MACHINE_WORDS),
+            "service": _dump(self.service, SERVICE_WORDS),
             "habits": _dump(self.balancer_policy, POLICY_WORDS),
             **_dump(self, SCALAR_WORDS),
         }
@@ -100,8 +123,8 @@
                 name: ClassTraffic(**_fields(words, CLASS_WORDS)) for name, words in value["grades"].items()
             },
             work=WorkProfile(**value["work"]),
-            machine=MachineKind(**value["machine"]),
-            service=ServiceKind(**value["service"]),
+            machine=MachineProfile(**_fields(value["machine"], MACHINE_WORDS)),
+            service=ServiceProfile(**_fields(value["service"], SERVICE_WORDS)),
             balancer_policy=BalancerPolicy(**_fields(value["habits"], POLICY_WORDS)),
             **_fields({word: value[word] for word in SCALAR_WORDS}, SCALAR_WORDS),
         )
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -244,7 +244,7 @@
     def slow_records(self, factor: float) -> None:
         """Make the records service slower than usual by this factor."""
         if self.records is not None:
-            self.records.service.slowness = factor
+            self.records.service.slowdown = factor
 
     def set_request_rate(self, rate_per_s: float) -> None:
         """Set the rate of all clients together; they start with the first call."""
@@ -268,11 +268,11 @@
         if self.records is not None:
             service = self.records.service
             figures |= {
-                "records_falls": service.falls,
-                "records_over_ms": service.over_ms,
-                "records_most": service.most,
-                "records_calls": service.calls,
-                "records_worst": service.worst,
+                "records_falls": service.fall_count,
+                "records_over_ms": service.overload_ms,
+                "records_most": service.max_in_flight,
+                "records_calls": service.call_count,
+                "records_worst": service.worst_excess,
             }
         return figures
 
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -13,7 +13,7 @@
 
 from nickelslip.emulator.history import MS_PER_S, History, Kind
 from nickelslip.emulator.loop_timer import LoopTimer
-from nickelslip.emulator.models import Machine, MachineKind
+from nickelslip.emulator.machine_model import Machine, MachineProfile
 from nickelslip.emulator.worker_pool_messages import (
     Bind,
     Bound,
@@ -88,7 +88,7 @@
 
     Args:
         server: The server it belongs to.
-        kind: Its machine.
+        machine: What its machine is like.
         profile: What runs are like.
         seed: For the work and the calls of each run.
         history: Where runs, connections and falls are recorded.
@@ -99,7 +99,7 @@
     def __init__(
         self,
         server: str,
-        kind: MachineKind,
+        machine: MachineProfile,
         profile: WorkProfile,
         seed: int,
         history: History,
@@ -112,7 +112,7 @@
         self._seed = seed
         self._history = history
         self._on_fall = on_fall
-        self._machine = Machine(kind, history.clock() + up_ms)
+        self._machine = Machine(machine, history.clock() + up_ms)
         self._up_at_ms = history.clock() + up_ms
         self._runs: dict[str, Run] = {}
         self._known_ids: set[str] = set()
@@ -137,7 +137,7 @@
     @property
     def worst_excess(self) -> float:
         """The worst excess of concurrency on its machine while that was warming up."""
-        return self._machine.worst
+        return self._machine.worst_excess
 
     @property
     def is_linked(self) -> bool:
@@ -205,7 +205,7 @@
                 if self.is_up:
                     self._bind(connection, after_sequence)
             case Poll(tag):
-                gauges = (self._machine.busy, self._machine.running, MEMORY_USED_GAUGE, SOCKETS_GAUGE)
+                gauges = (self._machine.cpu_utilization, self._machine.run_count, MEMORY_USED_GAUGE, SOCKETS_GAUGE)
                 connection.send(Polled(tag, gauges))
             case Spawn():
                 self._spawn(command)
@@ -278,19 +278,19 @@
     def _advance(self) -> None:
         """Notify of every part that is done by now, and wait for the next."""
         now_ms = self._history.clock()
-        for key in self._machine.finished(now_ms):
+        for key in self._machine.take_finished(now_ms):
             run = self._runs[str(key)]
             if run.parts_ms:
                 run.blocked_sequence = self._next_sequence()
                 self._notify(RunBlocked(run.blocked_sequence, run.request_id, CALL_BODY))
             else:
                 self._finish(run, RunOutcome.COMPLETED)
-        if self._machine.fell and not self.ended:
+        if self._machine.has_fallen and not self.ended:
             self._history.add(Kind.FELL, self.server, "", "machine")
             self.end("it fell over")
             self._on_fall(self.server)
             return
-        self._timer.set(self._machine.next_at())
+        self._timer.set(self._machine.next_change_at_ms())
 
     def _finish(self, run: Run, outcome: RunOutcome) -> None:
         del self._runs[run.request_id]
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -13,13 +13,14 @@
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.fleet_properties import counts_per_bin
 from nickelslip.emulator.history import Kind
-from nickelslip.emulator.models import MachineKind, ServiceKind
+from nickelslip.emulator.machine_model import MachineProfile
 from nickelslip.emulator.processes import program
 from nickelslip.emulator.schedule import servers_of_zone
+from nickelslip.emulator.service_model import ServiceProfile
 from nickelslip.startup.crash_loop_file import NAME
 
 pytestmark = pytest.mark.anyio
-COLD = {"cold": True, "machine": MachineKind(cold_from=0.3, cold_ms=2000.0, cold_calls=2.5)}
+COLD = {"cold": True, "machine": MachineProfile(initial_speed_fraction=0.3, warm_up_ms=2000.0, cold_calls_factor=2.5)}
 
 
 @pytest.fixture
@@ -35,14 +36,16 @@
 
 
 async def test_all_at_once_with_every_service_cold_and_records_that_survive_half_of_what_is_asked(tmp_path):
-    kind = ServiceKind(slots=6, call_ms=40.0, survives=9.0, span_ms=500.0, cold_from=0.4, cold_ms=1500.0)
+    kind = ServiceProfile(
+        slots=6, call_ms=40.0, survivable_in_flight=9.0, window_ms=500.0, initial_speed_fraction=0.4, warm_up_ms=1500.0
+    )
     plan = Plan(size=6, rate=90.0, service=kind, call_share=4.0, read_list=True, **COLD)
     async with Fleet(plan, tmp_path) as fleet:
         await fleet.set_request_rate()
         await fleet.start()
         await fleet.wait_until_serving()
         await asyncio.sleep(5.0)
-        assert fleet.local_services.records.service.falls == 0, "the records were not flattened"
+        assert fleet.local_services.records.service.fall_count == 0, "the records were not flattened"
         assert fleet.served_fraction(fleet.history.clock() - 2500, fleet.history.clock() - 1200) > 0.7
         await over(fleet)
 
@@ -85,7 +88,7 @@
 
 
 async def test_half_starts_cold_beside_half_that_serves_and_a_zone_returns_while_another_is_cut_off(tmp_path):
-    plan = Plan(size=6, rate=150.0, service=ServiceKind(slots=24, call_ms=15.0, survives=40.0), **COLD)
+    plan = Plan(size=6, rate=150.0, service=ServiceProfile(slots=24, call_ms=15.0, survivable_in_flight=40.0), **COLD)
     async with Fleet(plan, tmp_path) as fleet:
         stay, come = fleet.names[:3], fleet.names[3:]
         await fleet.start(*stay)
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -6,9 +6,13 @@
 
 from benchmarks.cold_sums import asked_excess
 from nickelslip.emulator.history import History, Kind
-from nickelslip.emulator.models import Machine, MachineKind, Service, ServiceKind, excess
+from nickelslip.emulator.machine_model import Machine, MachineProfile
+from nickelslip.emulator.service_model import Service, ServiceProfile
+from nickelslip.emulator.time_weighted_mean import excess
 
-KIND = MachineKind(cores=2, cold_from=0.25, cold_ms=5000.0, fall_multiple=8.0, fall_ms=1000.0)
+KIND = MachineProfile(
+    cores=2, initial_speed_fraction=0.25, warm_up_ms=5000.0, overload_per_core=8.0, overload_window_ms=1000.0
+)
 
 
 @pytest.mark.parametrize("budget", (0.0, 1.0, 18.0, 400.0))
@@ -37,12 +41,15 @@
     machine = Machine(KIND, 0.0)
     for number in range(7):  # it survives five and a half
         machine.start(0.0, number, 1e6)
-    machine.finished(900.0)
-    assert machine.worst == pytest.approx(excess(7 * 0.9, 2 * (1 + 7 * (0.25 + 0.75 * 0.9 / 5)))) and not machine.fell
-    service = Service(ServiceKind(slots=4, survives=4.0, span_ms=1000.0), 0.0)
+    machine.take_finished(900.0)
+    assert (
+        machine.worst_excess == pytest.approx(excess(7 * 0.9, 2 * (1 + 7 * (0.25 + 0.75 * 0.9 / 5))))
+        and not machine.has_fallen
+    )
+    service = Service(ServiceProfile(slots=4, survivable_in_flight=4.0, window_ms=1000.0), 0.0)
     for number in range(20):
-        service.begin(0.0, number, 1e6)
-    service.finished(150.0)
-    assert service.worst < 0
-    service.finished(900.0)
-    assert service.worst > 1
+        service.begin_call(0.0, number, 1e6)
+    service.take_finished(150.0)
+    assert service.worst_excess < 0
+    service.take_finished(900.0)
+    assert service.worst_excess > 1
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,14 +14,18 @@
 
 from nickelslip.emulator import checkers, fleet_properties
 from nickelslip.emulator.drawn_schedule import draw_schedule
+from nickelslip.emulator.endpoint_list import EndpointList
 from nickelslip.emulator.fleet import Fleet, FleetTimeoutError
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.history import Event, History, Kind
 from nickelslip.emulator.links import Channel, Delivery, Faults, StreamDirection
-from nickelslip.emulator.models import Jobs, Level, Listing, Machine, MachineKind, Service, ServiceKind
+from nickelslip.emulator.machine_model import Machine, MachineProfile
 from nickelslip.emulator.processes import alive
 from nickelslip.emulator.scenario_runner import run_schedule
 from nickelslip.emulator.schedule import ScheduleError, Step, parse_schedule
+from nickelslip.emulator.service_model import Service, ServiceProfile
+from nickelslip.emulator.shared_processor import SharedProcessor
+from nickelslip.emulator.time_weighted_mean import TimeWeightedMean
 
 ROOT = Path(__file__).parent.parent
 
@@ -35,7 +39,7 @@
 
 
 def test_a_mean_over_a_span_forgets_what_lies_before_it():
-    level = Level(100.0, 0.0)
+    level = TimeWeightedMean(100.0, 0.0)
     level.set(0.0, 4.0)
     assert level.mean(50.0) == pytest.approx(2.0) and level.mean(100.0) == pytest.approx(4.0)
     level.set(150.0, 0.0)
@@ -43,53 +47,64 @@
 
 
 def test_jobs_share_a_speed_and_end_in_the_order_of_what_is_left():
-    jobs = Jobs(0.0, lambda now, number: 1 / number)
+    jobs = SharedProcessor(0.0, lambda now, number: 1 / number)
     jobs.add(0.0, "a", 10.0)
     jobs.add(5.0, "b", 3.0)
-    assert jobs.next_at() == pytest.approx(11.0)  # 3 of work at half the speed, before the 5 that a has left
-    assert jobs.finished(11.0) == ["b"] and jobs.finished(12.0) == [] and jobs.finished(13.0) == ["a"]
+    assert jobs.next_change_at_ms() == pytest.approx(11.0)  # 3 of work at half the speed, before the 5 that a has left
+    assert jobs.take_finished(11.0) == ["b"] and jobs.take_finished(12.0) == [] and jobs.take_finished(13.0) == ["a"]
     jobs.add(20.0, "c", 5.0)
-    assert jobs.drop(22.0, "c") and not jobs.drop(22.0, "c") and jobs.next_at() == inf
+    assert jobs.remove(22.0, "c") and not jobs.remove(22.0, "c") and jobs.next_change_at_ms() == inf
 
 
 def test_a_cold_machine_is_slower_calls_more_and_falls_sooner():
-    kind = MachineKind(cores=2, cold_from=0.25, cold_ms=1000.0, cold_calls=3.0, fall_multiple=5.0, fall_ms=100.0)
+    kind = MachineProfile(
+        cores=2,
+        initial_speed_fraction=0.25,
+        warm_up_ms=1000.0,
+        cold_calls_factor=3.0,
+        overload_per_core=5.0,
+        overload_window_ms=100.0,
+    )
     cold, warm = Machine(kind, 0.0), Machine(kind, -1000.0)
     assert cold.calls_factor(0.0) == pytest.approx(2.5) and warm.calls_factor(0.0) == 1.0
     for machine in (cold, warm):
         for key in range(7):
             machine.start(0.0, key, 1e6)
-        machine.finished(100.0)
-    assert cold.fell and not warm.fell
+        machine.take_finished(100.0)
+    assert cold.has_fallen and not warm.has_fallen
 
 
 def test_a_service_over_what_it_survives_goes_down_loses_its_calls_and_says_for_how_long_it_was():
-    service = Service(ServiceKind(slots=2, call_ms=10.0, survives=4.0, span_ms=100.0, down_ms=500.0), 0.0)
+    service = Service(
+        ServiceProfile(slots=2, call_ms=10.0, survivable_in_flight=4.0, window_ms=100.0, down_ms=500.0), 0.0
+    )
     for key in range(8):
-        service.begin(0.0, key, 1e6)
+        service.begin_call(0.0, key, 1e6)
     for at in range(10, 200, 10):
-        service.finished(float(at))
-    assert service.falls == 1 and service.down(199.0) and service.over_ms > 0 and service.in_hand(199.0) == 0
-    assert not service.down(900.0)
+        service.take_finished(float(at))
+    assert (
+        service.fall_count == 1 and service.is_down(199.0) and service.overload_ms > 0 and service.in_flight(199.0) == 0
+    )
+    assert not service.is_down(900.0)
 
 
 def test_calls_given_up_stay_in_a_services_hands_for_a_while():
-    service = Service(ServiceKind(linger_ms=50.0), 0.0)
-    service.begin(0.0, "a", 100.0)
-    service.give_up(1.0, "a")
-    assert service.in_hand(50.0) == 1 and service.in_hand(52.0) == 0
+    service = Service(ServiceProfile(abandoned_call_linger_ms=50.0), 0.0)
+    service.begin_call(0.0, "a", 100.0)
+    service.cancel_call(1.0, "a")
+    assert service.in_flight(50.0) == 1 and service.in_flight(52.0) == 0
 
 
 def test_a_list_lapses_hears_nothing_while_it_is_down_and_may_come_back_empty():
-    listing = Listing(3000.0)
+    listing = EndpointList(3000.0)
     assert listing.report(0.0, "n1") and listing.listed(3000.0) == ["n1"] and listing.listed(3001.0) == []
     listing.report(4000.0, "n1")
-    listing.down(5000.0)
+    listing.take_down(5000.0)
     assert listing.listed(60_000.0) == ["n1"] and not listing.report(60_000.0, "n2")
-    listing.up(61_000.0)
+    listing.bring_up(61_000.0)
     assert listing.listed(64_000.0) == ["n1"]
-    listing.down(64_000.0)
-    listing.up(65_000.0, empty=True)
+    listing.take_down(64_000.0)
+    listing.bring_up(65_000.0, empty=True)
     assert listing.listed(65_000.0) == []
 
 
