--- a/benchmarks/jittered.py
+++ b/benchmarks/jittered.py
@@ -1,8 +1,8 @@
-"""The textbook's cold start, laid over the version in this folder: full jitter back-off, and nothing else.
+"""The textbook's cold start, laid over the version in the working directory: full-jitter backoff and nothing else.
 
-Owns two changes to the version that it is run in: the first report, and each new try of the worker pool's link, come
-after a pause drawn from nothing to a bound that doubles. It is a baseline to measure against and belongs to no product.
-Run as a file from the version's own folder, which it puts before all others.
+The first report, and each new attempt of the worker pool's connection, come after a pause drawn from 0 to a bound that
+doubles. It is a baseline to measure against and belongs to no product. Run as a file from the folder of revision
+494928a, which it puts before all others.
 """
 
 from __future__ import annotations
@@ -11,41 +11,53 @@
 import random
 import runpy
 import sys
+from importlib import import_module
 from typing import Any
 
 import anyio
 
-sys.path.insert(0, os.getcwd())
-from nickelslip.server import directory_reporter, worker_pool_link  # noqa: E402
+# Names of revision 494928a, which stay when those of this one change.
+DIRECTORY_MODULE = "nickelslip.server.directory"
+WORKERS_MODULE = "nickelslip.server.workers"
+MS_PER_S = 1000
+MAX_FIRST_REPORT_MS = 250.0
+MAX_BACKOFF_MS = 2000.0
 
-FIRST_MS, MOST_MS = 250.0, 2000.0
 
+class JitteredAnyio:
+    """A module's view of anyio, with jittered pauses.
 
-def lay_over() -> None:
-    """Pauses of the link are drawn anew, and the first report waits."""
-    chance = random.Random(" ".join(sys.argv))  # another for each server
-    sleep, report = anyio.sleep, directory_reporter.DirectoryReporter.run
+    Args:
+        generator: Draws the pauses.
+    """
 
-    async def drawn(seconds: float) -> None:
-        await sleep(chance.uniform(0, min(MOST_MS / 1000, 2 * seconds)))
+    def __init__(self, generator: random.Random) -> None:
+        self._generator = generator
 
-    async def run(self: Any) -> None:
-        await sleep(chance.uniform(0, FIRST_MS / 1000))
-        await report(self)
+    async def sleep(self, seconds: float) -> None:
+        """Sleep for a time drawn from 0 to twice the one asked for, 2 s at most."""
+        await anyio.sleep(self._generator.uniform(0, min(MAX_BACKOFF_MS / MS_PER_S, 2 * seconds)))
 
-    class Anyio:
-        """The module's view of anyio, with other pauses."""
+    def __getattr__(self, name: str) -> Any:
+        return getattr(anyio, name)
 
-        sleep = staticmethod(drawn)
 
-        def __getattr__(self, name: str) -> Any:
-            return getattr(anyio, name)
+def install_jitter() -> None:
+    """Draw the pauses of the worker pool's connection anew, and have the first report wait."""
+    sys.path.insert(0, os.getcwd())
+    generator = random.Random(" ".join(sys.argv))  # another for each server
+    directory_class = import_module(DIRECTORY_MODULE).Directory
+    run_reports = directory_class.run
 
-    worker_pool_link.anyio = Anyio()  # type: ignore[assignment]
-    directory_reporter.DirectoryReporter.run = run  # type: ignore[method-assign]
+    async def run_after_pause(directory: Any) -> None:
+        await anyio.sleep(generator.uniform(0, MAX_FIRST_REPORT_MS / MS_PER_S))
+        await run_reports(directory)
+
+    import_module(WORKERS_MODULE).anyio = JitteredAnyio(generator)  # type: ignore[attr-defined]
+    directory_class.run = run_after_pause
 
 
 if __name__ == "__main__":
-    lay_over()
+    install_jitter()
     sys.argv[0] = "nickelslip"
     runpy.run_module("nickelslip.server", run_name="__main__")
