--- a/benchmarks/cold_start_run.py
+++ b/benchmarks/cold_start_run.py
@@ -166,7 +166,7 @@
     queued until the fleet could do it shows no earlier strength.
     """
     earned = [(answer.event.at_ms, answer.priority_weight) for answer in fleet_properties.earned_answers(history)]
-    asked = [(event.at_ms, event.detail[1]) for event in history.of(Kind.ASKED)]
+    asked = [(event.at_ms, event.detail[1]) for event in history.of(Kind.CLIENT_REQUESTED)]
     at_ms = begin_ms
     while at_ms <= end_ms - WINDOW_MS:
         earned_weight = _weight_within_window(earned, at_ms)
@@ -247,7 +247,7 @@
 
 def _directory_figures(fleet: Fleet, moments: Moments) -> dict[str, Any]:
     history = fleet.history
-    reports = history.of(Kind.REPORT)
+    reports = history.of(Kind.REPORTED)
     first_ms = min((event.at_ms for event in reports), default=moments.begin)
     calm_count = sum(moments.calm <= event.at_ms < moments.lossy for event in reports)
     calm_ms = moments.lossy - moments.calm
@@ -264,7 +264,7 @@
 def _load_figures(fleet: Fleet, moments: Moments, service_figures: dict[str, float]) -> dict[str, Any]:
     history = fleet.history
     size = fleet.plan.size
-    linked = history.of(Kind.LINKED)
+    linked = history.of(Kind.POOL_LINKED)
     pool_connections = [event for event in history.of(Kind.CONNECTED) if event.detail == "pool"]
     connections_per_s = fleet_properties.counts_per_bin(pool_connections, MS_PER_S, moments.begin, moments.end)
     all_linked_ms = math.inf
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -56,7 +56,7 @@
     for event in history.events:
         if event.kind is Kind.STARTED:
             starts_ms[event.server].append(event.at_ms)
-        elif event.kind is Kind.WRITTEN:
+        elif event.kind is Kind.REQUEST_WRITTEN:
             writes_ms[event.server].append(event.at_ms)
     return max(
         (
--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -181,7 +181,7 @@
 
 def falls(history: History) -> list[str]:
     """Rule 4: return what fell over; the caller knows whether that was scripted."""
-    return [f"fell: {event.detail} {event.server} at {event.at_ms:.0f}" for event in history.of(Kind.FELL)]
+    return [f"fell: {event.detail} {event.server} at {event.at_ms:.0f}" for event in history.of(Kind.FELL_OVER)]
 
 
 def bad_exits(history: History) -> list[str]:
--- a/nickelslip/emulator/directory_service.py
+++ b/nickelslip/emulator/directory_service.py
@@ -46,7 +46,7 @@
         name = words[1].decode()
         if self._random.random() < self.lost_fraction:
             return
-        self._history.add(Kind.REPORT, name, "", self._endpoints.report(now_ms, name), now_ms)
+        self._history.add(Kind.REPORTED, name, "", self._endpoints.report(now_ms, name), now_ms)
 
     def register(self, name: str) -> None:
         """List a server whose worker pool has come up."""
--- a/nickelslip/emulator/fault_injection.py
+++ b/nickelslip/emulator/fault_injection.py
@@ -41,13 +41,13 @@
     def pause(self, names: Iterable[str]) -> None:
         """Stop servers with SIGSTOP."""
         for name in names:
-            self._history.add(Kind.STOPPED, name)
+            self._history.add(Kind.PAUSED, name)
             self._processes.signal(name, signal.SIGSTOP)
 
     def resume(self, names: Iterable[str]) -> None:
         """Let paused servers go on, with SIGCONT."""
         for name in names:
-            self._history.add(Kind.CONTINUED, name)
+            self._history.add(Kind.RESUMED, name)
             self._processes.signal(name, signal.SIGCONT)
 
     def reload(self, names: Iterable[str]) -> None:
--- a/nickelslip/emulator/fleet_properties.py
+++ b/nickelslip/emulator/fleet_properties.py
@@ -75,7 +75,9 @@
 
     Both are of clients that began within this span; the second counts these servers alone, where some are named.
     """
-    asked = sum(event.detail[1] for event in history.of(Kind.ASKED) if begin_at_ms <= event.at_ms < end_at_ms)
+    asked = sum(
+        event.detail[1] for event in history.of(Kind.CLIENT_REQUESTED) if begin_at_ms <= event.at_ms < end_at_ms
+    )
     served = sum(
         answer.priority_weight
         for answer in earned_answers(history)
@@ -86,9 +88,9 @@
 
 def earned_answers(history: History) -> list[EarnedAnswer]:
     """Return each answer within its latency objective; a run without its optional call earns a fraction."""
-    degraded_ids = {event.request_id for event in history.of(Kind.LEFT_OUT)}
+    degraded_ids = {event.request_id for event in history.of(Kind.CALL_SKIPPED)}
     earned = []
-    for event in history.of(Kind.SATISFIED):
+    for event in history.of(Kind.CLIENT_COMPLETED):
         _, priority_weight, in_time, _, degraded_fraction = event.detail
         if in_time:
             factor = degraded_fraction if event.request_id in degraded_ids else 1.0
--- a/nickelslip/emulator/history.py
+++ b/nickelslip/emulator/history.py
@@ -19,33 +19,58 @@
 
 
 class Kind(Enum):
-    """What may happen; the names are words of saved histories."""
-
-    WRITTEN = "a request was written to a server; detail: traffic class, idempotency key, deadline"
-    ANSWERED = "an answer came for it; detail: word, and whether its body is the one that its run made"
-    GONE = "the server was told that nobody waits, or the load balancer broke the connection"
-    CROSSED = "the server's close crossed it on its way: it was never read"
-    SATISFIED = "a client has its answer; detail: class, weight, whether in its objective, sent when, degraded fraction"
-    ASKED = "a client sends a request; detail: traffic class, priority weight"
-    RUN = "a worker pool was told to start it; detail: traffic class"
-    LEFT_OUT = "a run went on without its call"
-    CALL = "a call reached the records service; detail: calls in flight"
-    CALL_OVER = "a call is no longer in flight; detail: calls in flight"
-    CONNECTED = "a server connected to a service; detail: which"
-    REFUSED = "the records service was down and a connection was refused; detail: which service"
-    REPORT = "a report reached the directory; detail: whether it was heard"
-    LISTED = "the endpoint list as a reader finds it; detail: names"
-    STARTED = "a process was started"
-    LINKED = "its worker pool has bound its connection"
-    TOLD_TO_LEAVE = "SIGTERM"
-    ENDED = "it ended by itself; detail: exit code"
-    KILLED = "SIGKILL, or its machine fell over; detail: why"
-    STOPPED = "SIGSTOP"
-    CONTINUED = "SIGCONT"
-    CUT = "a link to or from it was cut; detail: which"
-    HEALED = "the link was restored; detail: which"
-    FELL = "a machine or the records service fell over; detail: which"
-    FAULT = "another fault was injected; detail: what"
+    """What may happen; the value is the word in saved histories."""
+
+    REQUEST_WRITTEN = "WRITTEN"
+    """A request was written to a server; detail: traffic class, idempotency key, deadline."""
+    ANSWERED = "ANSWERED"
+    """An answer came for it; detail: word, and whether its body is the one that its run made."""
+    REQUEST_CANCELLED = "GONE"
+    """The server was told that nobody waits, or the load balancer broke the connection."""
+    REQUEST_NEVER_READ = "CROSSED"
+    """The server's close crossed it on its way: it was never read."""
+    CLIENT_COMPLETED = "SATISFIED"
+    """A client has its answer; detail: class, weight, whether in its objective, sent when, degraded fraction."""
+    CLIENT_REQUESTED = "ASKED"
+    """A client sends a request; detail: traffic class, priority weight."""
+    RUN_STARTED = "RUN"
+    """A worker pool was told to start it; detail: traffic class."""
+    CALL_SKIPPED = "LEFT_OUT"
+    """A run went on without its call."""
+    CALL_BEGAN = "CALL"
+    """A call reached the records service; detail: calls in flight."""
+    CALL_ENDED = "CALL_OVER"
+    """A call is no longer in flight; detail: calls in flight."""
+    CONNECTED = "CONNECTED"
+    """A server connected to a service; detail: which."""
+    REFUSED = "REFUSED"
+    """The records service was down and a connection was refused; detail: which service."""
+    REPORTED = "REPORT"
+    """A report reached the directory; detail: whether it was heard."""
+    LISTED = "LISTED"
+    """The endpoint list as a reader finds it; detail: names."""
+    STARTED = "STARTED"
+    """A process was started."""
+    POOL_LINKED = "LINKED"
+    """Its worker pool has bound its connection."""
+    SHUTDOWN_REQUESTED = "TOLD_TO_LEAVE"
+    """SIGTERM."""
+    ENDED = "ENDED"
+    """It ended by itself; detail: exit code."""
+    KILLED = "KILLED"
+    """SIGKILL, or its machine fell over; detail: why."""
+    PAUSED = "STOPPED"
+    """SIGSTOP."""
+    RESUMED = "CONTINUED"
+    """SIGCONT."""
+    LINK_CUT = "CUT"
+    """A link to or from it was cut; detail: which."""
+    LINK_RESTORED = "HEALED"
+    """The link was restored; detail: which."""
+    FELL_OVER = "FELL"
+    """A machine or the records service fell over; detail: which."""
+    FAULT = "FAULT"
+    """Another fault was injected; detail: what."""
 
 
 class Event(NamedTuple):
@@ -104,7 +129,7 @@
             for event in self.events:
                 fields = [
                     round(event.at_ms, SAVED_DECIMALS),
-                    event.kind.name,
+                    event.kind.value,
                     event.server,
                     event.request_id,
                     event.detail,
@@ -116,7 +141,7 @@
         """Read a file that `save` wrote."""
         with path.open() as file:
             return History(
-                Event(at_ms, Kind[kind], server, request_id, detail)
+                Event(at_ms, Kind(kind), server, request_id, detail)
                 for at_ms, kind, server, request_id, detail in map(json.loads, file)
             )
 
--- a/nickelslip/emulator/load_balancer_connection.py
+++ b/nickelslip/emulator/load_balancer_connection.py
@@ -126,7 +126,7 @@
         if self._transport is None:
             return AttemptResult(AttemptEnd.NOT_CONNECTED)
         detail = [request.traffic_class, request.idempotency_key, now_ms + request.timeout_ms]
-        self._history.add(Kind.WRITTEN, self._server, request.request_id, detail, now_ms)
+        self._history.add(Kind.REQUEST_WRITTEN, self._server, request.request_id, detail, now_ms)
         traffic_class = request.traffic_class.encode()
         self._transport.write(resp.message(b"ASK", b"%d" % tag, traffic_class, request.fields.encode(), request.body))
         try:
@@ -140,14 +140,14 @@
         attempt = self._open.pop(tag, None)
         if attempt is None:
             return
-        self._history.add(Kind.GONE, self._server, attempt.request.request_id)
+        self._history.add(Kind.REQUEST_CANCELLED, self._server, attempt.request.request_id)
         if self._transport is not None:
             self._transport.write(resp.message(b"NEVERMIND", b"%d" % tag))
 
     def abort(self) -> None:
         """Reset the connection; nothing is owed on it any more."""
         for attempt in self._open.values():
-            self._history.add(Kind.GONE, self._server, attempt.request.request_id)
+            self._history.add(Kind.REQUEST_CANCELLED, self._server, attempt.request.request_id)
             attempt.resolve(AttemptResult(AttemptEnd.DISCONNECTED))
         self._open.clear()
         if self._transport is not None:
@@ -211,7 +211,7 @@
         for attempt in self._open.values():
             was_crossed = now_ms - attempt.written_at_ms <= CROSSING_MS
             if was_crossed:
-                self._history.add(Kind.CROSSED, self._server, attempt.request.request_id)
+                self._history.add(Kind.REQUEST_NEVER_READ, self._server, attempt.request.request_id)
             attempt.resolve(AttemptResult(AttemptEnd.CROSSED if was_crossed else AttemptEnd.DISCONNECTED))
         self._open.clear()
 
--- a/nickelslip/emulator/load_balancers.py
+++ b/nickelslip/emulator/load_balancers.py
@@ -189,7 +189,7 @@
         """Send one client's request, with all its attempts."""
         traffic = self.traffic.classes[traffic_class]
         sent_at_ms = self._history.clock()
-        self._history.add(Kind.ASKED, "", "", [traffic_class, traffic.priority_weight], sent_at_ms)
+        self._history.add(Kind.CLIENT_REQUESTED, "", "", [traffic_class, traffic.priority_weight], sent_at_ms)
         idempotency_key = self._draw_id() if traffic.has_idempotency_key else ""
         body = BODY_PREFIX + self._draw_id().encode()
         request = ClientRequest(traffic_class, traffic, idempotency_key, body)
@@ -217,7 +217,7 @@
             sent_at_ms,
             traffic.degraded_value_fraction,
         ]
-        self._history.add(Kind.SATISFIED, name, request_id, detail)
+        self._history.add(Kind.CLIENT_COMPLETED, name, request_id, detail)
 
     async def _attempt(
         self, name: str, request: ClientRequest, left_ms: float, is_retry: bool
--- a/nickelslip/emulator/observed_history.py
+++ b/nickelslip/emulator/observed_history.py
@@ -84,18 +84,18 @@
         self._open_outages: dict[str, dict[str, Outage]] = defaultdict(dict)
         handlers: dict[Kind, Callable[[Event], None]] = {
             Kind.STARTED: self._started,
-            Kind.TOLD_TO_LEAVE: self._told_to_shut_down,
+            Kind.SHUTDOWN_REQUESTED: self._told_to_shut_down,
             Kind.ENDED: self._ended,
             Kind.KILLED: self._killed,
-            Kind.CUT: self._outage_began,
-            Kind.STOPPED: self._outage_began,
-            Kind.HEALED: self._outage_ended,
-            Kind.CONTINUED: self._outage_ended,
-            Kind.WRITTEN: self._written,
+            Kind.LINK_CUT: self._outage_began,
+            Kind.PAUSED: self._outage_began,
+            Kind.LINK_RESTORED: self._outage_ended,
+            Kind.RESUMED: self._outage_ended,
+            Kind.REQUEST_WRITTEN: self._written,
             Kind.ANSWERED: self._answered,
-            Kind.GONE: self._cancelled,
-            Kind.CROSSED: self._crossed,
-            Kind.RUN: self._run,
+            Kind.REQUEST_CANCELLED: self._cancelled,
+            Kind.REQUEST_NEVER_READ: self._crossed,
+            Kind.RUN_STARTED: self._run,
         }
         for event in history.events:
             handler = handlers.get(event.kind)
--- a/nickelslip/emulator/records_service.py
+++ b/nickelslip/emulator/records_service.py
@@ -86,7 +86,7 @@
             self.service.cancel_call(now_ms, key)
         self._calls[key] = connection
         self.service.begin_call(now_ms, key, self.service.profile.call_ms * self._random.uniform(*CALL_TIME_SPREAD))
-        self._record(Kind.CALL, connection, request_id, now_ms)
+        self._record(Kind.CALL_BEGAN, connection, request_id, now_ms)
         self._answer_finished_calls()
 
     def cancel_call(self, connection: RecordsConnection, request_id: str) -> None:
@@ -96,7 +96,7 @@
             return
         now_ms = self._history.clock()
         self.service.cancel_call(now_ms, key)
-        self._record(Kind.CALL_OVER, connection, request_id, now_ms)
+        self._record(Kind.CALL_ENDED, connection, request_id, now_ms)
         self._answer_finished_calls()
 
     def connection_opened(self, connection: RecordsConnection) -> None:
@@ -121,13 +121,13 @@
             connection = self._calls.pop(key, None)
             if connection is not None:
                 connection.respond(key.request_id)
-                self._record(Kind.CALL_OVER, connection, key.request_id, now_ms)
+                self._record(Kind.CALL_ENDED, connection, key.request_id, now_ms)
         if self.service.fall_count > fall_count_before:
             self._go_down(self.service.profile.down_ms)
         self._timer.set(self.service.next_change_at_ms())
 
     def _go_down(self, for_ms: float) -> None:
-        self._history.add(Kind.FELL, "", "", "records")
+        self._history.add(Kind.FELL_OVER, "", "", "records")
         self._close_sockets()
         self._calls.clear()
         self._recovery = asyncio.get_running_loop().create_task(self._recover(for_ms))
--- a/nickelslip/emulator/relay.py
+++ b/nickelslip/emulator/relay.py
@@ -63,7 +63,7 @@
             was_cut = channel.faults.is_cut
             channel.set_faults(now_ms, **changes)
             if channel.faults.is_cut is not was_cut:
-                kind = Kind.HEALED if was_cut else Kind.CUT
+                kind = Kind.LINK_RESTORED if was_cut else Kind.LINK_CUT
                 self._history.add(kind, self.server, "", f"{self.name} {direction.value}")
 
     def reset_connections(self) -> None:
--- a/nickelslip/emulator/server_processes.py
+++ b/nickelslip/emulator/server_processes.py
@@ -88,7 +88,7 @@
     async def shut_down(self, name: str) -> bool:
         """Tell a server to shut down and kill it when its time is up; return whether it ended by itself."""
         process = self.by_name[name]
-        self._history.add(Kind.TOLD_TO_LEAVE, name)
+        self._history.add(Kind.SHUTDOWN_REQUESTED, name)
         process.signal(signal.SIGTERM)
         ended_by_itself = await process.ended(self._stop_ms / MS_PER_S + SHUTDOWN_SLACK_S)
         if not ended_by_itself:
--- a/nickelslip/emulator/service_host.py
+++ b/nickelslip/emulator/service_host.py
@@ -13,11 +13,10 @@
 
 from nickelslip.emulator.history import History
 from nickelslip.emulator.processes import die_with_parent
-from nickelslip.emulator.services_spec import ServicesSpec
+from nickelslip.emulator.services_spec import READY_NUMBER, ServicesSpec
 
 ROOT = Path(__file__).parent.parent.parent
 COMMAND_TIMEOUT_S = 30.0
-READY_NUMBER = 0  # number of the reply that says that the services have started
 
 
 class ServiceHostEndedError(Exception):
@@ -53,6 +52,7 @@
         self._replies: dict[int, asyncio.Future[Any]] = {}
         self._last_number = READY_NUMBER
         self._process: asyncio.subprocess.Process | None = None
+        self._reader: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start the process and wait until its services have started.
@@ -120,7 +120,8 @@
         if self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
-        await self._reader
+        if self._reader is not None:
+            await self._reader
         self._log.close()
         return History.load(self._history_path) if self._history_path.exists() else History()
 
--- a/nickelslip/emulator/services_process.py
+++ b/nickelslip/emulator/services_process.py
@@ -16,11 +16,10 @@
 import uvloop
 
 from nickelslip.emulator.history import History
-from nickelslip.emulator.services_spec import ServicesSpec
+from nickelslip.emulator.services_spec import READY_NUMBER, ServicesSpec
 from nickelslip.emulator.shared_services import SharedServices
 
 LINE_LIMIT_BYTES = 1 << 24
-READY_NUMBER = 0
 
 
 def main() -> None:
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -17,6 +17,8 @@
 Address = tuple[str, int]
 Words = Mapping[str, str]
 
+READY_NUMBER = 0  # number of the reply of a services process that says that it has started
+
 ADDRESS_WORDS: Words = {"listen": "listen", "pool": "pool", "records": "records", "directory": "directory"}
 CLASS_WORDS: Words = {
     "part": "request_fraction",
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -183,7 +183,7 @@
         for notification in list(self._notifications):
             if notification.sequence > after_sequence:
                 connection.send(notification)
-        self._history.add(Kind.LINKED, self.server)
+        self._history.add(Kind.POOL_LINKED, self.server)
 
     # Commands
 
@@ -221,7 +221,7 @@
         if command.request_id in self._runs:
             return
         now_ms = self._history.clock()
-        self._history.add(Kind.RUN, self.server, command.request_id, command.traffic_class, now_ms)
+        self._history.add(Kind.RUN_STARTED, self.server, command.request_id, command.traffic_class, now_ms)
         parts_ms = self._draw_parts(command, now_ms)
         run = Run(command.request_id, command.traffic_class, command.body, now_ms, parts_ms)
         self._runs[run.request_id] = run
@@ -262,7 +262,7 @@
             self._reply_if_unknown(connection, "pass", request_id)
             return
         run.blocked_sequence = 0
-        self._history.add(Kind.LEFT_OUT, self.server, request_id)
+        self._history.add(Kind.CALL_SKIPPED, self.server, request_id)
         self._start_next_part(run)
 
     def _reply_if_unknown(self, connection: WorkerPoolConnection, command: str, request_id: str) -> None:
@@ -286,7 +286,7 @@
             else:
                 self._finish(run, RunOutcome.COMPLETED)
         if self._machine.has_fallen and not self.ended:
-            self._history.add(Kind.FELL, self.server, "", "machine")
+            self._history.add(Kind.FELL_OVER, self.server, "", "machine")
             self.end("it fell over")
             self._on_fall(self.server)
             return
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -60,7 +60,7 @@
         back = fleet.history.clock()
         await fleet.wait_until_serving(timeout_s=1.5)
         await asyncio.sleep(2.0)
-        reports = fleet.history.of(Kind.REPORT)
+        reports = fleet.history.of(Kind.REPORTED)
         assert max(counts_per_bin(reports, 100.0, back, back + 2000)) <= 5, "they keep apart"
         assert sum(counts_per_bin(reports, 100.0, back, back + 2000)) <= 8 * 5, "and report no more than they have to"
         await fleet.set_request_rate()
@@ -75,15 +75,15 @@
             await fleet.start(name, up_ms=700.0 * number)
         await asyncio.sleep(0.5)
         assert await fleet.shut_down("n5"), "one that has no worker pool yet leaves at once"
-        assert not fleet.history.of(Kind.REPORT, server="n5"), "and was never reported"
+        assert not fleet.history.of(Kind.REPORTED, server="n5"), "and was never reported"
         await fleet.wait_until_serving("n1", "n2")
         assert await fleet.shut_down("n2"), "and one that has just begun to call in its time"
         await fleet.start("n2", "n5")
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         for name in fleet.names:
-            link = fleet.history.of(Kind.LINKED, server=name)[0].at_ms
-            assert all(each.at_ms >= link - 1 for each in fleet.history.of(Kind.REPORT, server=name)), "linked first"
+            link = fleet.history.of(Kind.POOL_LINKED, server=name)[0].at_ms
+            assert all(each.at_ms >= link - 1 for each in fleet.history.of(Kind.REPORTED, server=name)), "linked first"
         await over(fleet)
 
 
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -26,7 +26,7 @@
     history = History()
     history.add(Kind.STARTED, "n1", at_ms=0.0)
     for number in range(many):
-        history.add(Kind.WRITTEN, "n1", f"{number}", ["read", "", 0.0], 1000.0)
+        history.add(Kind.REQUEST_WRITTEN, "n1", f"{number}", ["read", "", 0.0], 1000.0)
     return asked_excess(history, KIND, 100.0)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -136,12 +136,12 @@
 
 GOOD = (
     (0.0, Kind.STARTED, "", None),
-    (1000.0, Kind.WRITTEN, "a1", ["pay", "", 2000.0]),
-    (1100.0, Kind.RUN, "a1", "pay"),
+    (1000.0, Kind.REQUEST_WRITTEN, "a1", ["pay", "", 2000.0]),
+    (1100.0, Kind.RUN_STARTED, "a1", "pay"),
     (1500.0, Kind.ANSWERED, "a1", ["done", True]),
     (9000.0, Kind.FAULT, "", "the end"),
 )
-LEAVES = (900.0, Kind.TOLD_TO_LEAVE, "", None)
+LEAVES = (900.0, Kind.SHUTDOWN_REQUESTED, "", None)
 
 
 def without(kind):
@@ -152,7 +152,7 @@
     ("rule", "events"),
     (
         ("duplicate", (*GOOD, (1600.0, Kind.ANSWERED, "a1", ["done", True]))),
-        ("duplicate", (*GOOD, (1200.0, Kind.RUN, "a1", "pay"))),
+        ("duplicate", (*GOOD, (1200.0, Kind.RUN_STARTED, "a1", "pay"))),
         ("duplicate", (*without(Kind.ANSWERED), (1600.0, Kind.ANSWERED, "a1", ["later", False]))),
         (
             "duplicate",
@@ -162,8 +162,8 @@
                     (at, kind, ident, detail)
                     for ident in ("b1", "b2")
                     for at, kind, detail in (
-                        (1000.0, Kind.WRITTEN, ["book", "m", 2000.0]),
-                        (1100.0, Kind.RUN, "book"),
+                        (1000.0, Kind.REQUEST_WRITTEN, ["book", "m", 2000.0]),
+                        (1100.0, Kind.RUN_STARTED, "book"),
                         (1200.0, Kind.ANSWERED, ["done", True]),
                     )
                 ),
@@ -172,9 +172,9 @@
         ("lost", without(Kind.ANSWERED)),
         ("lost", (*without(Kind.ANSWERED), (2300.0, Kind.ANSWERED, "a1", ["done", True]))),
         ("lost", (*without(Kind.ANSWERED), (1500.0, Kind.ANSWERED, "a1", ["done", False]))),
-        ("lost", without(Kind.RUN)),
+        ("lost", without(Kind.RUN_STARTED)),
         ("lost", (*without(Kind.ANSWERED), LEAVES, (1900.0, Kind.ENDED, "", 0))),
-        ("drain", (*GOOD, (100.0, Kind.TOLD_TO_LEAVE, "", None))),
+        ("drain", (*GOOD, (100.0, Kind.SHUTDOWN_REQUESTED, "", None))),
     ),
 )
 def test_the_checker_of_the_rules_finds_a_planted_breach_and_nothing_else(rule, events):
@@ -187,11 +187,11 @@
 @pytest.mark.parametrize(
     "excuse",
     (
-        (1600.0, Kind.GONE, "a1", None),
-        (1010.0, Kind.CROSSED, "a1", None),
+        (1600.0, Kind.REQUEST_CANCELLED, "a1", None),
+        (1010.0, Kind.REQUEST_NEVER_READ, "a1", None),
         (1700.0, Kind.KILLED, "", "a fault"),
-        (1700.0, Kind.CUT, "", "pool OUT"),
-        (1700.0, Kind.STOPPED, "", None),
+        (1700.0, Kind.LINK_CUT, "", "pool OUT"),
+        (1700.0, Kind.PAUSED, "", None),
     ),
 )
 def test_what_nobody_is_owed_is_not_found_lost(excuse):
@@ -200,7 +200,7 @@
 
 
 def test_checkers_of_a_whole_fleet_find_what_is_planted():
-    at = [Event(float(100 * number), Kind.CALL, f"n{number}", "", 0) for number in range(10)]
+    at = [Event(float(100 * number), Kind.CALL_BEGAN, f"n{number}", "", 0) for number in range(10)]
     assert fleet_properties.capacity_violations(at, lambda event: 1.0, 10.0) == []
     assert len(fleet_properties.capacity_violations(at, lambda event: 1.0, 7.0)) == 3
     assert fleet_properties.overlap_violations(
@@ -306,7 +306,12 @@
         await fleet.stop_requests()
         assert (await fleet.run_command("figures"))["records_calls"] > 0
     assert not fleet.violations() and fleet.served_fraction(fleet.history.events[0].at_ms + 1000) > 0.5
-    assert {event.kind for event in fleet.history.events} >= {Kind.RUN, Kind.ANSWERED, Kind.REPORT, Kind.LINKED}
+    assert {event.kind for event in fleet.history.events} >= {
+        Kind.RUN_STARTED,
+        Kind.ANSWERED,
+        Kind.REPORTED,
+        Kind.POOL_LINKED,
+    }
     assert not fleet.remaining_pids()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -50,7 +50,7 @@
                 await fleet.move_services(name)
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
-        links = fleet.history.of(Kind.LINKED)
+        links = fleet.history.of(Kind.POOL_LINKED)
         assert all(sum(each.server == name for each in links) == 3 for name in stay), "each move made a link"
         assert fleet.served_fraction(begin) > 0.8
 
