--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -13,11 +13,11 @@
 import click
 import uvloop
 
+from benchmarks.capacity.documents import ROOT
 from benchmarks.capacity.page import page
 from benchmarks.capacity.results import measured_from
 from benchmarks.capacity.run import FULL, QUICK, Run
 from benchmarks.capacity.summary import summary_of
-from benchmarks.capacity.texts import ROOT
 
 DATA = ROOT / "docs" / "capacity" / "measured.json"
 PAGE = ROOT / "docs" / "CAPACITY.md"
--- a/benchmarks/capacity/echo.py
+++ b/benchmarks/capacity/echo_server.py
@@ -1,6 +1,6 @@
 """An empty echo on loopback: what the machine and the client themselves add to a request.
 
-`python -m benchmarks.capacity.echo` prints its port and serves until it is ended.
+`python -m benchmarks.capacity.echo_server` prints its port and serves until it is ended.
 """
 
 from __future__ import annotations
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/in_process.py
@@ -16,7 +16,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.capacity.texts import encoded, own_document, tenant
+from benchmarks.capacity.documents import encoded, own_document, tenant
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.estimators import SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.capacity.texts import ROOT, Ports, encoded, own_document, platform_value, tenant
+from benchmarks.capacity.documents import ROOT, Ports, encoded, own_document, platform_value, tenant
 from nickelslip.configuration.schema import MAX_NAMES
 from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES
 from nickelslip.server import resp
@@ -280,7 +280,7 @@
 async def echoing() -> AsyncIterator[int]:
     """A process that echoes; its port."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "benchmarks.capacity.echo", cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        sys.executable, "-B", "-m", "benchmarks.capacity.echo_server", cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
     try:
         assert process.stdout is not None
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -8,10 +8,12 @@
 
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import Any, TypeAlias
 
 from benchmarks.capacity.fit import SIZES_LEAST, Fit, Point, fit
 
+SizedValues: TypeAlias = Mapping[int, float] | Mapping[float, float]
+
 HOLLOW, REAL, SIMULATED = "hollow", "real", "simulated"
 FEW_TENANTS = 100  # beside the plan's, where two sizes are enough
 
@@ -57,7 +59,7 @@
     figures: dict[str, float | None] = field(default_factory=dict)  # single figures, None where not measured
     notes: dict[str, str] = field(default_factory=dict)  # words, such as the end of a roll-out
 
-    def add(self, name: str, dimension: str, unit: str, source: str, points: Mapping[float, float]) -> None:
+    def add(self, name: str, dimension: str, unit: str, source: str, points: SizedValues) -> None:
         """Keep one series."""
         kept = tuple(Point(size, round(value, 6)) for size, value in points.items())
         self.series[name] = Series(name, dimension, unit, source, kept)
--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -9,8 +9,8 @@
 
 import heapq
 from dataclasses import dataclass
-from math import ceil
 
+from benchmarks.sample_statistics import percentile_by_ceiling_rank
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.rollout import Action, Instruction, Rollout, RolloutPolicy, RolloutStatus
 from nickelslip.configuration.rollout_runner import MAX_CONCURRENT_TARGETS, ROLLOUT_STATUS_WORDS
@@ -30,7 +30,7 @@
 
     def percentile(self, part: float) -> float:
         """The time by which this part of the nodes that got it had it."""
-        return self.in_force_s[max(0, ceil(part * len(self.in_force_s)) - 1)]
+        return percentile_by_ceiling_rank(self.in_force_s, part)
 
 
 def spread(servers: int, apply_ms: float, status_ms: float) -> Spread:
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -19,11 +19,12 @@
 
 import orjson
 
-from benchmarks.capacity import hollow, real
+from benchmarks.capacity import in_process, real
+from benchmarks.capacity.documents import lifted_bounds
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import FEW_TENANTS, HOLLOW, REAL, SIMULATED, Measured
 from benchmarks.capacity.rollout import spread
-from benchmarks.capacity.texts import lifted_bounds
+from benchmarks.sample_statistics import percentile_by_floor_index
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_client import ask_once
 from nickelslip.configuration.rollout import RolloutPolicy
@@ -118,26 +119,26 @@
 
     def _configurations(self) -> None:
         """What a settings document costs, by tenants and by grades."""
-        costs = {size: asdict(hollow.configuration_cost(size, self._sizes.repeats)) for size in self._sizes.tenants}
+        costs = {size: asdict(in_process.configuration_cost(size, self._sizes.repeats)) for size in self._sizes.tenants}
         for name in next(iter(costs.values())):
             unit = "bytes" if name.endswith("bytes") else "ms"
             points = {size: cost[name] for size, cost in costs.items()}
             self.measured.add(f"tenants_{name}", "tenants", unit, HOLLOW, points)
         points = {
-            size: hollow.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
+            size: in_process.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
         }
         self.measured.add("grades_change_ms", "grades", "ms", HOLLOW, points)
         self._tell("configurations measured")
 
     def _memory(self) -> None:
         """What is kept for each tenant."""
-        costs = {size: asdict(hollow.memory_cost(size)) for size in self._sizes.tenants}
+        costs = {size: asdict(in_process.memory_cost(size)) for size in self._sizes.tenants}
         for name in ("configuration", "tables", "change"):
             points = {size: cost[name] / 1024 for size, cost in costs.items()}
             self.measured.add(f"tenants_{name}_kb", "tenants", "KB", HOLLOW, points)
-        points = {size: hollow.full_history_bytes(size) / 1024 for size in self._sizes.history_tenants}
+        points = {size: in_process.full_history_bytes(size) / 1024 for size in self._sizes.history_tenants}
         self.measured.add("tenants_full_history_kb", "tenants", "KB", HOLLOW, points)
-        self.measured.figures["active_ring_bytes"] = hollow.active_ring_bytes()
+        self.measured.figures["active_ring_bytes"] = in_process.active_ring_bytes()
         self._tell("memory measured")
 
     def _decisions(self) -> None:
@@ -146,9 +147,9 @@
         rate = PLAN.requests_per_server_s
 
         def one(tenants: int, grades: int | None = None, at_rate: float = rate) -> float:
-            settings = hollow.settings_for(tenants, grades, core_count=RATE_CORES)
+            settings = in_process.settings_for(tenants, grades, core_count=RATE_CORES)
             return median(
-                hollow.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
+                in_process.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
             )
 
         points = {size: one(size) for size in sizes.tenants}
@@ -157,13 +158,13 @@
         self.measured.add("grades_decision_us", "grades", "us a request", HOLLOW, points)
         shares = {at: one(PLAN.tenants, None, at) * at / 1e6 for at in sizes.rates}
         self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
-        settings = hollow.settings_for(FEW_TENANTS, core_count=HELD_CORES)
+        settings = in_process.settings_for(FEW_TENANTS, core_count=HELD_CORES)
         grades = tuple(
-            replace(grade, latency_objective_ms=hollow.LONG_MS, timeout_ms=hollow.LONG_MS)
+            replace(grade, latency_objective_ms=in_process.LONG_MS, timeout_ms=in_process.LONG_MS)
             for grade in settings.traffic_classes
         )
         settings = replace(settings, traffic_classes=grades)
-        points = {size: hollow.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
+        points = {size: in_process.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
         self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
         self._tell("decisions measured")
 
@@ -213,7 +214,7 @@
                 trips, cores, resident = [], [], []
                 for number in range(CHANGES_EACH):
                     had, begun = server.processor_ms(), time.perf_counter()
-                    reply = await ask_once(server.socket, "apply", ASK_MS, document=hollow.part_for(number))
+                    reply = await ask_once(server.socket, "apply", ASK_MS, document=in_process.part_for(number))
                     trips.append((time.perf_counter() - begun) * 1000)
                     cores.append(server.processor_ms() - had)
                     if not reply["ok"]:
@@ -222,7 +223,8 @@
                     resident.append(server.resident_kb())
                 took[size], spent[size] = median(trips), median(cores)
                 kept[size] = resident[-1]
-                self.measured.figures["change_bytes"] = len(orjson.dumps(hollow.part_for(0))) + len(orjson.dumps(reply))
+                change_bytes = len(orjson.dumps(in_process.part_for(0)))
+                self.measured.figures["change_bytes"] = change_bytes + len(orjson.dumps(reply))
                 self.measured.figures["status_bytes"] = len(orjson.dumps(looked))
         self.measured.add("real_change_ms", "tenants", "ms", REAL, took)
         self.measured.add("real_change_core_ms", "tenants", "ms", REAL, spent)
@@ -235,8 +237,8 @@
         tenants = max(self._sizes.history_tenants)
         async with real.serving(folder, tenants, changes=True) as server:
             before = server.resident_kb()
-            for number in range(1, hollow.FULL_CHANGES + 1):
-                reply = await ask_once(server.socket, "apply", ASK_MS, document=hollow.rules_part_for(number))
+            for number in range(1, in_process.FULL_CHANGES + 1):
+                reply = await ask_once(server.socket, "apply", ASK_MS, document=in_process.rules_part_for(number))
                 if not reply["ok"]:
                     raise RuntimeError(f"a change was not taken: {reply['text']}")
             real_kb = server.resident_kb() - before
@@ -256,9 +258,9 @@
                     for times in (1, 3):
                         seen = await real.request_times(server, echo, tenants, times * rate, span_s, self._seed)
                         at = f"{tenants}_{times}x"
-                        figures[f"added_ms_p50_{at}"] = percentile(seen.server_ms, 0.5)
-                        figures[f"added_ms_p99_{at}"] = percentile(seen.server_ms, 0.99)
-                        figures[f"added_echo_ms_p99_{at}"] = percentile(seen.echo_ms, 0.99)
+                        figures[f"added_ms_p50_{at}"] = percentile_by_floor_index(seen.server_ms, 0.5)
+                        figures[f"added_ms_p99_{at}"] = percentile_by_floor_index(seen.server_ms, 0.99)
+                        figures[f"added_echo_ms_p99_{at}"] = percentile_by_floor_index(seen.echo_ms, 0.99)
                         figures[f"request_core_share_{at}"] = seen.core_share
                         figures[f"requests_{at}"] = len(seen.server_ms)
                         figures[f"requests_failed_{at}"] = seen.failed
@@ -291,8 +293,8 @@
             assert value is not None, name
             return value
 
-        rest = figures["rest_core_share"]
-        assert rest is not None
+        rest, status_bytes = figures["rest_core_share"], figures["status_bytes"]
+        assert rest is not None and status_bytes is not None
         figures["control_core_share"] = rest + need("real_change_core_ms", many) / 1000 * PLAN.changes_per_s
         base = need("real_tenants_resident_kb", few)
         figures["control_mb"] = (need("real_changed_resident_kb", many) - base) / 1024
@@ -302,9 +304,10 @@
         figures["real_kb_per_tenant"], figures["hollow_kb_per_tenant"] = real_kb, hollow_kb
         figures["hollow_error_memory"] = hollow_kb / real_kb - 1
         figures["hollow_error_change"] = need("tenants_change_ms", many) / need("real_change_core_ms", many) - 1
-        bytes_s = PLAN.changes_per_s * ((figures["change_bytes"] or 0.0) + self._looks() * figures["status_bytes"])
-        if figures.get("report_bytes") is not None and figures.get("report_interval_s"):
-            bytes_s += figures["report_bytes"] / figures["report_interval_s"]
+        bytes_s = PLAN.changes_per_s * ((figures["change_bytes"] or 0.0) + self._looks() * status_bytes)
+        report_bytes, report_interval_s = figures.get("report_bytes"), figures.get("report_interval_s")
+        if report_bytes is not None and report_interval_s:
+            bytes_s += report_bytes / report_interval_s
             figures["control_bytes_s"] = bytes_s
         text = need("tenants_text_bytes", many)
         figures["whole_documents_bytes_s"] = text * PLAN.changes_per_s
@@ -331,8 +334,3 @@
             if looked["step"] == "confirmed":
                 return looked, took
             await asyncio.sleep(0.1)
-
-
-def percentile(ordered: tuple[float, ...], part: float) -> float:
-    """Of figures in order, the one at this part."""
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
--- a/benchmarks/capacity/unbounded.py
+++ b/benchmarks/capacity/unbounded.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from benchmarks.capacity.texts import lifted_bounds
+from benchmarks.capacity.documents import lifted_bounds
 from nickelslip.server.__main__ import run
 
 if __name__ == "__main__":
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -23,7 +23,8 @@
 import anyio
 import click
 
-from benchmarks.standins import Callers, Traffic, Workers, listen, median, percentile, records
+from benchmarks.fake_services import Callers, Traffic, Workers, listen, records
+from benchmarks.sample_statistics import percentile_by_rounded_rank, upper_median
 from nickelslip.configuration.control_client import ControlClient, ServerUnreachableError
 
 WORK_MS = {"balance": 40.0, "payout": 20.0}
@@ -150,7 +151,7 @@
         config.write_text(json.dumps(document(self.folder, pool, service, directory, port, self._seed, self._changes)))
         self.log = (self.folder / "log").open("wb")
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.watched", str(self.report), "serve", "--config", str(config)],
+            [sys.executable, "-m", "benchmarks.generation_watch", str(self.report), "serve", "--config", str(config)],
             stdout=self.log,
             stderr=self.log,
             env={**os.environ, "WATCHED": "yes" if self._watched else "no"},
@@ -290,9 +291,9 @@
             tasks.cancel_scope.cancel()
     ratios = sorted(on / off for off, on in figures)
     return {
-        "off_us": median([off for off, _ in figures]),
-        "on_us": median([on for _, on in figures]),
-        "ratio": median(ratios),
+        "off_us": upper_median([off for off, _ in figures]),
+        "on_us": upper_median([on for _, on in figures]),
+        "ratio": upper_median(ratios),
         "ratio_from": ratios[len(ratios) // 10],
         "ratio_to": ratios[-1 - len(ratios) // 10],
         "windows": len(ratios),
@@ -316,7 +317,7 @@
         "burst_kept": round(sum(each["end"] == "kept" for each in of["burst"]) / max(1, len(of["burst"])), 3),
         "denied": sum(each["end"] == "denied" for each in pushes),
         "harmful_undone": round(len(undone) / max(1, len(of["harmful"])), 3),
-        "undo_ms_p50": round(median(undone)),
+        "undo_ms_p50": round(upper_median(undone)),
         "undo_ms_max": round(max(undone, default=0)),
         "mixed_transactions": sum(one.get("seen_mixed", -1) for one in lanes),
         "watched_transactions": sum(one.get("seen_transactions", 0) for one in lanes),
@@ -326,8 +327,8 @@
         "answered_twice": sum(one["answered_twice"] for one in lanes),
         "unclean_ends": sum(not one["clean"] for one in lanes),
         "asked": sum(one["asked"] for one in lanes),
-        "apply_us_p50": round(median(pauses)),
-        "apply_us_p99": round(percentile(pauses, 0.99)),
+        "apply_us_p50": round(upper_median(pauses)),
+        "apply_us_p99": round(percentile_by_rounded_rank(pauses, 0.99)),
         "cpu_us_per_transaction_off": round(cost["off_us"], 1),
         "cpu_us_per_transaction_on": round(cost["on_us"], 1),
         "cpu_ratio": round(cost["ratio"], 3),
--- a/benchmarks/standins.py
+++ b/benchmarks/fake_services.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import heapq
 import json
 import random
 import socket
@@ -37,7 +36,8 @@
         self._random = random.Random(seed)
         self._seats = anyio.Semaphore(cores)
         self._notices: deque[dict[str, object]] = deque(maxlen=4000)
-        self._seq, self._stream = 0, None
+        self._seq = 0
+        self._stream: anyio.abc.SocketStream | None = None
         self._replies: dict[str, anyio.Event] = {}
         self._stopped: set[str] = set()
         self.starts: Counter[str] = Counter()
@@ -235,13 +235,3 @@
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     tasks.start_soon(listener.serve, handler)
     return int(listener.extra(anyio.abc.SocketAttribute.local_port))
-
-
-def median(figures: list[float]) -> float:
-    """The middle figure, or 0 of none."""
-    return sorted(figures)[len(figures) // 2] if figures else 0.0
-
-
-def percentile(figures: list[float], part: float) -> float:
-    """The figure under which such a part lies."""
-    return heapq.nsmallest(max(1, round(part * len(figures))), figures)[-1] if figures else 0.0
--- a/benchmarks/watched.py
+++ b/benchmarks/generation_watch.py
@@ -1,4 +1,4 @@
-"""A server under a witness: `python -m benchmarks.watched REPORT serve --config FILE`.
+"""A server under a witness: `python -m benchmarks.generation_watch REPORT serve --config FILE`.
 
 At every event of every request, the class statistics by which the controller holds it and the generation that the
 server keeps for it have to be of the same configuration, from its reading to its end. What was seen is written to
@@ -11,10 +11,11 @@
 import os
 import sys
 import time
+from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import Any
 
 from nickelslip.admission.controller import AdmissionController
+from nickelslip.admission.interface import Decisions, Settings
 from nickelslip.server.decision_executor import DecisionExecutor
 
 
@@ -50,25 +51,36 @@
         self.across += one.generation is not executor.context.generation
 
 
+def request_number(arguments: Sequence[object]) -> int | None:
+    """Return the number of the request that a method of the controller is called for.
+
+    The first argument is the number itself, or an object that has it as `id`. None if the call is for no request.
+    """
+    if not arguments:
+        return None
+    first = arguments[0]
+    number = first if isinstance(first, int) else getattr(first, "id", None)
+    return number if isinstance(number, int) else None
+
+
 def watch(witness: Witness) -> None:
     """Put the witness beside the module's adoption of settings and every event of a transaction."""
     adopt, decide = AdmissionController._adopt, DecisionExecutor.decide
 
-    def adopted(control: AdmissionController, settings: Any) -> None:
+    def adopted(control: AdmissionController, settings: Settings) -> None:
         adopt(control, settings)
         witness.adopted(control, settings)
 
-    def decided(executor: DecisionExecutor, call: Any, *values: Any) -> None:
-        number = (
-            values[0] if values and isinstance(values[0], int) else getattr(values[0], "id", None) if values else None
-        )
-        if isinstance(number, int) and call is not AdmissionController.drain:
+    def decided(executor: DecisionExecutor, method: Callable[..., Decisions], *arguments: object) -> None:
+        number = None if method is AdmissionController.drain else request_number(arguments)
+        if number is not None:
             witness.event(executor, number)
-        decide(executor, call, *values)
-        if isinstance(number, int) and call is not AdmissionController.drain:
+        decide(executor, method, *arguments)
+        if number is not None:
             witness.event(executor, number)
 
-    AdmissionController._adopt, DecisionExecutor.decide = adopted, decided  # type: ignore[method-assign]
+    AdmissionController._adopt = adopted  # type: ignore[method-assign, assignment]
+    DecisionExecutor.decide = decided  # type: ignore[method-assign, assignment]
 
 
 def main() -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from benchmarks.capacity import hollow, real
+from benchmarks.capacity import in_process, real
 from benchmarks.capacity.__main__ import DATA, PAGE, page_text
+from benchmarks.capacity.documents import encoded, lifted_bounds, own_document
 from benchmarks.capacity.fit import Point, fit
 from benchmarks.capacity.page import NOT_MEASURED, exponent, number
 from benchmarks.capacity.plan import PLAN
@@ -16,7 +17,6 @@
 from benchmarks.capacity.rollout import spread
 from benchmarks.capacity.rows import BOUND, COST, NOISY, ROLES, Row, rows_of, worst_of
 from benchmarks.capacity.summary import summary_of
-from benchmarks.capacity.texts import encoded, lifted_bounds, own_document
 from nickelslip.configuration.control_client import ask_once
 from nickelslip.configuration.json5_reader import parse_document
 from nickelslip.configuration.schema import MAX_NAMES
@@ -147,7 +147,7 @@
     text = encoded(own_document(most + 1))
     big = text + b" " * (600 * 1024)
     with lifted_bounds():
-        assert len(hollow.whole_of(own_document(most + 1))["customers"]) == most + 1
+        assert len(in_process.whole_of(own_document(most + 1))["customers"]) == most + 1
         assert parse_document(big, "settings", with_positions=False).value["version"] == 1
     assert MAX_NAMES["customers"] == most
     with pytest.raises(InvalidDocumentError):
@@ -155,9 +155,9 @@
 
 
 def test_a_hollow_change_is_in_force_and_kept_as_in_a_server():
-    changing = hollow.Changing(hollow.whole_of(own_document(20)))
+    changing = in_process.Changing(in_process.whole_of(own_document(20)))
     for number_of in range(3):
-        changing.push(hollow.part_for(number_of))
+        changing.push(in_process.part_for(number_of))
     held = changing.changes.in_force
     assert held.generation.number == 4
     assert held.document["customers"]["t00000"]["share_per_s"] == 5.0
@@ -165,16 +165,16 @@
 
 
 def test_a_full_history_holds_no_more_however_many_changes_follow():
-    changing = hollow.Changing(hollow.whole_of(own_document(10)))
-    for number_of in range(1, hollow.FULL_CHANGES + 20):
-        changing.push(hollow.rules_part_for(number_of))
+    changing = in_process.Changing(in_process.whole_of(own_document(10)))
+    for number_of in range(1, in_process.FULL_CHANGES + 20):
+        changing.push(in_process.rules_part_for(number_of))
     assert len(changing.changes.records) == changing.changes.records.maxlen
-    few, many = hollow.full_history_bytes(10), hollow.full_history_bytes(110)
-    assert (many - few) / 100 / hollow.FULL_CHANGES > 50  # bytes a tenant and change: each keeps a whole document
+    few, many = in_process.full_history_bytes(10), in_process.full_history_bytes(110)
+    assert (many - few) / 100 / in_process.FULL_CHANGES > 50  # bytes a tenant and change: each keeps a whole document
 
 
 def test_memory_is_told_by_tenant():
-    few, many = hollow.memory_cost(50), hollow.memory_cost(450)
+    few, many = in_process.memory_cost(50), in_process.memory_cost(450)
     for name in ("configuration", "tables", "change"):
         assert 30 < (getattr(many, name) - getattr(few, name)) / 400 < 3_000
 
@@ -191,7 +191,7 @@
 async def one_real_server(folder):
     """What is read of a real server with few tenants, and how it ended."""
     async with real.serving(folder, 50, changes=True) as server:
-        reply = await ask_once(server.socket, "apply", document=hollow.part_for(0))
+        reply = await ask_once(server.socket, "apply", document=in_process.part_for(0))
         await server.open_lines(20)
         async with real.echoing() as echo:
             times = await real.request_times(server, echo, 50, 40.0, 1.0, 7)
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -19,7 +19,7 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.watched import Witness, watch
+from benchmarks.generation_watch import Witness, watch
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import RequestState
