--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,9 +1,10 @@
-"""Configuration pushed under load: what is kept, what is undone and how soon, and what it costs.
+"""Configuration pushed under load: what is kept, what is rolled back and how soon, and what it costs.
 
-`python -m benchmarks.configuration [--quick] [--seed N]`. Several lanes, each a server in a process of its own under a
-witness, with stand-ins on loopback and callers in open loop, take good changes, harmful ones, and harmless ones at
-the very start of a burst. A further lane runs two servers side by side, with changes off and on, under the same
-traffic, and compares the CPU that each transaction costs. The last line is one JSON object.
+`python -m benchmarks.configuration [--quick] [--seed N]`. Several lanes run at once. Each has a server in a process of
+its own under `benchmarks.generation_watch`, with fake services on loopback and clients in open loop. It takes good
+changes, harmful ones, and harmless ones at the very start of a burst. A further process runs two servers side by side,
+with changes off and on, under the same traffic, and compares the processor time of a request. The last line is one
+JSON object.
 """
 
 from __future__ import annotations
@@ -23,29 +24,33 @@
 import anyio
 import click
 
-from benchmarks.fake_services import Callers, Traffic, Workers, listen, records
+from benchmarks.fake_services import FakeWorkerPool, OpenLoopClients, Traffic, serve_on_free_port, serve_records
 from benchmarks.sample_statistics import percentile_by_rounded_rank, upper_median
 from nickelslip.configuration.control_client import ControlClient, ServerUnreachableError
 
 WORK_MS = {"balance": 40.0, "payout": 20.0}
 CALLS = {"balance": True, "payout": False}
-MIX = {"balance": 0.68, "payout": 0.32}
-CUSTOMERS = {"daugava": 0.4, "vecriga": 0.3, "jurmala": 0.2, "cesis": 0.1}
-QUOTED_MS = {"balance": 600.0, "payout": 300.0}
-ABANDON_MS = {"balance": 2000.0, "payout": 1200.0}
-CORES, RATE, BURST = 4, 75.0, 2.0  # 0.63 of what the cores can do, and 1.26 of it in a burst
+CLASS_WEIGHTS = {"balance": 0.68, "payout": 0.32}
+TENANT_WEIGHTS = {"daugava": 0.4, "vecriga": 0.3, "jurmala": 0.2, "cesis": 0.1}
+LATENCY_OBJECTIVE_MS = {"balance": 600.0, "payout": 300.0}
+TIMEOUT_MS = {"balance": 2000.0, "payout": 1200.0}
+CORES = 4
+RATE_PER_S = 75.0  # 0.63 of what the cores can do
+BURST_FACTOR = 2.0
 CALL_MS = 5.0
-PROBATION_MS, PROBATION_MOST_MS, BASELINE_MS = 5000.0, 6000.0, 8000.0
-REST_S, AFTER_BURST_S = 2.5, 7.0  # after a change that was undone, and until the baseline is one again
+START_TIMEOUT_S = 20
+QUICK_COSTS_S, FULL_COSTS_S = 12.0, 60.0
+CANARY_PERIOD_MS, MAX_CANARY_PERIOD_MS, BASELINE_MS = 5000.0, 6000.0, 8000.0
+AFTER_ROLL_BACK_S, AFTER_BURST_S = 2.5, 7.0  # after a change that was undone, and until the baseline is one again
 LANES, QUICK_ROUNDS, FULL_ROUNDS = 6, 2, 8
-CPU_WORK_MS, CPU_RATE, CPU_WINDOW_S = {"balance": 4.0, "payout": 2.0}, 250.0, 2.0
+CPU_WORK_MS, CPU_RATE_PER_S, CPU_WINDOW_S = {"balance": 4.0, "payout": 2.0}, 250.0, 2.0
 KINDS = ("good", "harmful", "burst")
 
 
 def document(
     folder: Path, pool: int, service: int, directory: int, listen_on: int, seed: int, changes: bool
 ) -> dict[str, Any]:
-    """A server in our own words."""
+    """Return the configuration of a server as a document."""
     return {
         "version": 1,
         "node": {
@@ -78,19 +83,19 @@
         "grades": {
             name: {
                 "credit": {"balance": 1, "payout": 3}[name],
-                "quoted_ms": QUOTED_MS[name],
-                "abandon_ms": ABANDON_MS[name],
+                "quoted_ms": LATENCY_OBJECTIVE_MS[name],
+                "abandon_ms": TIMEOUT_MS[name],
                 "calls": CALLS[name],
                 "repeat": {"balance": "replayable", "payout": "single-use"}[name],
             }
-            for name in MIX
+            for name in CLASS_WEIGHTS
         },
-        "customers": {name: {"share_per_s": 2 * part * RATE} for name, part in CUSTOMERS.items()},
+        "customers": {name: {"share_per_s": 2 * part * RATE_PER_S} for name, part in TENANT_WEIGHTS.items()},
         "changes": {
             "socket": str(folder / "control") if changes else "",
             "history": str(folder / "history") if changes else "",
-            "probation_ms": PROBATION_MS,
-            "probation_most_ms": PROBATION_MOST_MS,
+            "probation_ms": CANARY_PERIOD_MS,
+            "probation_most_ms": MAX_CANARY_PERIOD_MS,
             "baseline_ms": BASELINE_MS,
             "reload": "all" if changes else "peers",
         },
@@ -98,7 +103,7 @@
 
 
 def change_of(kind: str, chance: random.Random) -> dict[str, Any]:
-    """A change of this kind; no two are quite the same."""
+    """Return a document with a change of this kind; its values are drawn."""
     part = chance.uniform(1.0, 1.1)
     if kind != "harmful":
         return chance.choice(
@@ -126,21 +131,34 @@
 
 
 class Server:
-    """A server in a process of its own, with its stand-ins and callers here."""
+    """A server in a process of its own, with its fake services and clients in this one.
+
+    Args:
+        folder: For its files; it is made.
+        seed: For the server, the worker pool and the clients.
+        changes: Whether it takes changes.
+        work_ms: Mean work of a run, by traffic class.
+        rate_per_s: Of requests.
+        watched: Whether generations are compared at each event.
+    """
 
     def __init__(
-        self, folder: Path, seed: int, changes: bool, work_ms: dict[str, float], rate: float, watched: bool
+        self, folder: Path, seed: int, changes: bool, work_ms: dict[str, float], rate_per_s: float, watched: bool
     ) -> None:
-        self.folder, self._seed, self._changes, self._work, self._watched = folder, seed, changes, work_ms, watched
-        self.traffic = Traffic(rate, MIX, CUSTOMERS, QUOTED_MS, ABANDON_MS)
+        self.folder = folder
+        self._seed = seed
+        self._changes = changes
+        self._work_ms = work_ms
+        self._watched = watched
+        self.traffic = Traffic(rate_per_s, CLASS_WEIGHTS, TENANT_WEIGHTS, TIMEOUT_MS)
         self.report = folder / "report.json"
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start all of it, and wait until the server has its worker pool."""
         self.folder.mkdir(parents=True)
-        self.workers = Workers(tasks, CORES, self._work, CALLS, self._seed)
-        pool = await listen(tasks, self.workers.serve)
-        service = await listen(tasks, partial(records, call_ms=CALL_MS))
+        self.worker_pool = FakeWorkerPool(tasks, CORES, self._work_ms, CALLS, self._seed)
+        pool = await serve_on_free_port(tasks, self.worker_pool.serve)
+        service = await serve_on_free_port(tasks, partial(serve_records, call_ms=CALL_MS))
         udp = await anyio.create_udp_socket(local_host="127.0.0.1")
         directory = udp.extra(anyio.abc.SocketAttribute.local_port)
         tasks.start_soon(self._hear, udp)
@@ -156,29 +174,23 @@
             stderr=self.log,
             env={**os.environ, "WATCHED": "yes" if self._watched else "no"},
         )
-        with anyio.fail_after(20):
-            while True:
-                try:
-                    await (await anyio.connect_tcp("127.0.0.1", port)).aclose()
-                    break
-                except OSError:
-                    await anyio.sleep(0.05)
+        await wait_until_it_listens(port)
         await anyio.sleep(0.5)
-        self.callers = Callers(port, self.traffic, self._seed, lambda: time.time() * 1000)
-        tasks.start_soon(self.callers.run, tasks)
+        self.clients = OpenLoopClients(port, self.traffic, self._seed, lambda: time.time() * 1000)
+        tasks.start_soon(self.clients.run, tasks)
 
     async def _hear(self, udp: anyio.abc.UDPSocket) -> None:
         async for _ in udp:
             pass
 
     def cpu_ns(self) -> int:
-        """What the server's thread has had of a core so far."""
+        """Return the processor time that the server's main thread has used so far."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0])
 
     async def stop(self) -> dict[str, Any]:
-        """Let all be answered, have the server leave, and say what came of it."""
-        self.callers.stopping = True
-        await anyio.sleep(max(ABANDON_MS.values()) / 1000 + 0.5)
+        """Wait for open requests, stop the server, and return the counts of the lane."""
+        self.clients.is_stopping = True
+        await anyio.sleep(max(TIMEOUT_MS.values()) / 1000 + 0.5)
         self.process.send_signal(signal.SIGTERM)
         with anyio.move_on_after(8):
             while self.process.poll() is None:
@@ -187,35 +199,52 @@
             self.process.kill()
         self.log.close()
         seen = json.loads(self.report.read_text()) if self.report.exists() else {}
-        asked = self.traffic.asked.values()
-        for ident, one in self.traffic.asked.items():
-            if not one.answers:
-                click.echo(
-                    f"unanswered: {ident} {one.grade} asked at {one.begun:.3f}, now {time.monotonic():.3f}, "
-                    f"starts {self.workers.starts[ident]}",
-                    err=True,
-                )
-        twice = [
-            ident
-            for ident, count in self.workers.starts.items()
-            if count > 1 and self.workers.grades[ident] == "payout"
-        ]
+        self._print_unanswered()
+        requests = self.traffic.requests.values()
         return {
-            "asked": len(asked),
-            "unanswered": sum(not one.answers for one in asked),
-            "answered_twice": sum(one.answers > 1 for one in asked),
-            "payouts_twice": len(twice),
-            "satisfied": sum(one.word == "done" for one in asked),
-            "lag_ms": self.traffic.lag_ms,
+            "asked": len(requests),
+            "unanswered": sum(not request.answer_count for request in requests),
+            "answered_twice": sum(request.answer_count > 1 for request in requests),
+            "payouts_twice": self._payouts_run_twice(),
+            "satisfied": sum(request.answer_word == "done" for request in requests),
+            "lag_ms": self.traffic.max_lag_ms,
             "clean": self.process.returncode == 0,
             **{f"seen_{name}": value for name, value in seen.items()},
         }
 
+    def _print_unanswered(self) -> None:
+        for request_id, request in self.traffic.requests.items():
+            if not request.answer_count:
+                click.echo(
+                    f"unanswered: {request_id} {request.traffic_class} asked at {request.sent_at_s:.3f}, "
+                    f"now {time.monotonic():.3f}, starts {self.worker_pool.starts[request_id]}",
+                    err=True,
+                )
+
+    def _payouts_run_twice(self) -> int:
+        classes = self.worker_pool.classes
+        starts = self.worker_pool.starts.items()
+        return sum(count > 1 and classes[request_id] == "payout" for request_id, count in starts)
+
+
+async def wait_until_it_listens(port: int) -> None:
+    """Return when a connection to a loopback port succeeds.
+
+    Raises TimeoutError after START_TIMEOUT_S.
+    """
+    with anyio.fail_after(START_TIMEOUT_S):
+        while True:
+            try:
+                await (await anyio.connect_tcp("127.0.0.1", port)).aclose()
+                return
+            except OSError:
+                await anyio.sleep(0.05)
+
 
 async def push(server: Server, kind: str, chance: random.Random) -> dict[str, Any]:
-    """One change, from its push to its end."""
+    """Push one change, wait until it is confirmed or rolled back, and return what came of it."""
     if kind == "burst":
-        server.traffic.rate = RATE * BURST
+        server.traffic.rate_per_s = RATE_PER_S * BURST_FACTOR
     change = change_of(kind, chance)
     async with ControlClient(str(server.folder / "control")) as control:
         reply = await control.ask("apply", document=change, origin=kind)
@@ -229,17 +258,16 @@
                 break
             await anyio.sleep(0.05)
     kept = status["digest"] == digest
-    took = (time.monotonic() - begun) * 1000
-    if kind == "burst":
-        server.traffic.rate = RATE
+    elapsed_ms = (time.monotonic() - begun) * 1000
     if kind == "burst":
+        server.traffic.rate_per_s = RATE_PER_S
         await anyio.sleep(AFTER_BURST_S)
     elif not kept:
-        await anyio.sleep(REST_S)
+        await anyio.sleep(AFTER_ROLL_BACK_S)
     return {
         "kind": kind,
         "end": "kept" if kept else "undone",
-        "ms": took,
+        "ms": elapsed_ms,
         "change": change,
         "verdict": status["verdict"],
         "apply_us": status["apply_us"][-1 if kept else -2 :][0],
@@ -247,19 +275,19 @@
 
 
 async def lane(seed: int, rounds: int) -> dict[str, Any]:
-    """One server, and all that is pushed to it."""
+    """Run one server with all changes that are pushed to it."""
     chance = random.Random(seed)
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
-            server = Server(Path(folder) / "n", seed, True, WORK_MS, RATE, True)
+            server = Server(Path(folder) / "n", seed, True, WORK_MS, RATE_PER_S, True)
             await server.start(tasks)
             await anyio.sleep(BASELINE_MS / 1000 + 1)
             pushes = []
-            for at in range(rounds):
+            for number in range(rounds):
                 kinds = chance.sample(KINDS, len(KINDS)) if rounds > QUICK_ROUNDS else chance.sample(KINDS[:2], 2)
                 for kind in kinds:
                     pushes.append(await push(server, kind, chance))
-                if rounds <= QUICK_ROUNDS and at == rounds - 1:
+                if rounds <= QUICK_ROUNDS and number == rounds - 1:
                     pushes.append(await push(server, "burst", chance))
             end = await server.stop()
             tasks.cancel_scope.cancel()
@@ -267,11 +295,11 @@
 
 
 async def costs(seed: int, seconds: float) -> dict[str, Any]:
-    """Two servers side by side under the same traffic: CPU a transaction with changes off and on."""
+    """Run two servers under the same traffic, and compare the processor time of a request, changes off and on."""
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
             pair = [
-                Server(Path(folder) / name, seed, on, CPU_WORK_MS, CPU_RATE, False)
+                Server(Path(folder) / name, seed, on, CPU_WORK_MS, CPU_RATE_PER_S, False)
                 for name, on in (("off", False), ("on", True))
             ]
             for server in pair:
@@ -280,10 +308,10 @@
             figures: list[tuple[float, float]] = []
             until = time.monotonic() + seconds
             while time.monotonic() < until:
-                marks = [(server.cpu_ns(), len(server.traffic.asked)) for server in pair]
+                marks = [(server.cpu_ns(), len(server.traffic.requests)) for server in pair]
                 await anyio.sleep(CPU_WINDOW_S)
                 each = [
-                    (server.cpu_ns() - mark[0]) / 1000 / max(1, len(server.traffic.asked) - mark[1])
+                    (server.cpu_ns() - mark[0]) / 1000 / max(1, len(server.traffic.requests) - mark[1])
                     for server, mark in zip(pair, marks, strict=True)
                 ]
                 figures.append((each[0], each[1]))
@@ -301,39 +329,39 @@
     }
 
 
-def summed(lanes: list[dict[str, Any]], cost: dict[str, Any]) -> dict[str, Any]:
-    """The figures of the whole run."""
-    pushes = [each for one in lanes for each in one["pushes"]]
-    of = {kind: [each for each in pushes if each["kind"] == kind] for kind in KINDS}
-    quiet = of["good"] + of["burst"]
-    undone = [each["ms"] for each in of["harmful"] if each["end"] == "undone"]
-    pauses = [each["apply_us"] for each in pushes if "apply_us" in each]
+def summary_of(lanes: list[dict[str, Any]], cost: dict[str, Any]) -> dict[str, Any]:
+    """Return the figures of the whole run."""
+    pushes = [push for lane in lanes for push in lane["pushes"]]
+    by_kind = {kind: [push for push in pushes if push["kind"] == kind] for kind in KINDS}
+    harmless = by_kind["good"] + by_kind["burst"]
+    roll_back_ms = [push["ms"] for push in by_kind["harmful"] if push["end"] == "undone"]
+    apply_us = [push["apply_us"] for push in pushes if "apply_us" in push]
     return {
         "pushed": len(pushes),
-        "pushed_good": len(of["good"]),
-        "pushed_burst": len(of["burst"]),
-        "pushed_harmful": len(of["harmful"]),
-        "good_kept": round(sum(each["end"] == "kept" for each in quiet) / max(1, len(quiet)), 3),
-        "burst_kept": round(sum(each["end"] == "kept" for each in of["burst"]) / max(1, len(of["burst"])), 3),
-        "denied": sum(each["end"] == "denied" for each in pushes),
-        "harmful_undone": round(len(undone) / max(1, len(of["harmful"])), 3),
-        "undo_ms_p50": round(upper_median(undone)),
-        "undo_ms_max": round(max(undone, default=0)),
-        "mixed_transactions": sum(one.get("seen_mixed", -1) for one in lanes),
-        "watched_transactions": sum(one.get("seen_transactions", 0) for one in lanes),
-        "events_across_an_apply": sum(one.get("seen_across", 0) for one in lanes),
-        "payouts_twice": sum(one["payouts_twice"] for one in lanes),
-        "unanswered": sum(one["unanswered"] for one in lanes),
-        "answered_twice": sum(one["answered_twice"] for one in lanes),
-        "unclean_ends": sum(not one["clean"] for one in lanes),
-        "asked": sum(one["asked"] for one in lanes),
-        "apply_us_p50": round(upper_median(pauses)),
-        "apply_us_p99": round(percentile_by_rounded_rank(pauses, 0.99)),
+        "pushed_good": len(by_kind["good"]),
+        "pushed_burst": len(by_kind["burst"]),
+        "pushed_harmful": len(by_kind["harmful"]),
+        "good_kept": round(sum(push["end"] == "kept" for push in harmless) / max(1, len(harmless)), 3),
+        "burst_kept": round(sum(push["end"] == "kept" for push in by_kind["burst"]) / max(1, len(by_kind["burst"])), 3),
+        "denied": sum(push["end"] == "denied" for push in pushes),
+        "harmful_undone": round(len(roll_back_ms) / max(1, len(by_kind["harmful"])), 3),
+        "undo_ms_p50": round(upper_median(roll_back_ms)),
+        "undo_ms_max": round(max(roll_back_ms, default=0)),
+        "mixed_transactions": sum(lane.get("seen_mixed", -1) for lane in lanes),
+        "watched_transactions": sum(lane.get("seen_transactions", 0) for lane in lanes),
+        "events_across_an_apply": sum(lane.get("seen_across", 0) for lane in lanes),
+        "payouts_twice": sum(lane["payouts_twice"] for lane in lanes),
+        "unanswered": sum(lane["unanswered"] for lane in lanes),
+        "answered_twice": sum(lane["answered_twice"] for lane in lanes),
+        "unclean_ends": sum(not lane["clean"] for lane in lanes),
+        "asked": sum(lane["asked"] for lane in lanes),
+        "apply_us_p50": round(upper_median(apply_us)),
+        "apply_us_p99": round(percentile_by_rounded_rank(apply_us, 0.99)),
         "cpu_us_per_transaction_off": round(cost["off_us"], 1),
         "cpu_us_per_transaction_on": round(cost["on_us"], 1),
         "cpu_ratio": round(cost["ratio"], 3),
         "cpu_ratio_10_90": [round(cost["ratio_from"], 3), round(cost["ratio_to"], 3)],
-        "callers_lag_ms": round(max(one["lag_ms"] for one in lanes)),
+        "callers_lag_ms": round(max(lane["lag_ms"] for lane in lanes)),
     }
 
 
@@ -346,45 +374,56 @@
 def main(quick: bool, seed: int, lanes: int, part: str, rounds: int) -> None:
     """Run the lanes side by side, then the pair for the costs alone."""
     if part != "all":
-        try:
-            told = anyio.run(lane, seed, rounds) if part == "lane" else anyio.run(costs, seed, 12.0 if quick else 60.0)
-        except ServerUnreachableError as fault:
-            raise SystemExit(f"no answer: {fault}") from None
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(run_part(part, quick, seed, rounds)))
         return
     rounds = rounds or (QUICK_ROUNDS if quick else FULL_ROUNDS)
+    processes = [start_part("lane", 1000 * seed + number, rounds, quick) for number in range(lanes)]
+    cost_seed = 1000 * seed + lanes
+    if quick:
+        cost_process = start_part("costs", cost_seed, rounds, quick)
+        results = [result_of(process) for process in processes]
+    else:
+        results = [result_of(process) for process in processes]
+        cost_process = start_part("costs", cost_seed, rounds, quick)
+    cost = result_of(cost_process)
+    for number, result in enumerate(results):
+        print_pushes(number, result)
+    summary = {"benchmark": "configuration", "seed": seed, "quick": quick, **summary_of(results, cost)}
+    click.echo(json.dumps(summary))
 
-    def begin(kind: str, at: int) -> subprocess.Popen[bytes]:
-        flags = ["--quick"] if quick else []
-        return subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "benchmarks.configuration",
-                "--part",
-                kind,
-                "--seed",
-                str(1000 * seed + at),
-                "--rounds",
-                str(rounds),
-                *flags,
-            ],
-            stdout=subprocess.PIPE,
-        )
 
-    running = [begin("lane", at) for at in range(lanes)]
+def run_part(part: str, quick: bool, seed: int, rounds: int) -> dict[str, Any]:
+    """Run one lane or the pair for the costs in this process; the program ends if its server does not answer."""
+    try:
+        if part == "lane":
+            return anyio.run(lane, seed, rounds)
+        return anyio.run(costs, seed, QUICK_COSTS_S if quick else FULL_COSTS_S)
+    except ServerUnreachableError as error:
+        raise SystemExit(f"no answer: {error}") from None
+
+
+def start_part(part: str, seed: int, rounds: int, quick: bool) -> subprocess.Popen[bytes]:
+    """Start one lane or the pair for the costs in a process of its own."""
+    arguments = ["--part", part, "--seed", str(seed), "--rounds", str(rounds)]
     if quick:
-        running.append(begin("costs", lanes))
-    out = [json.loads(each.communicate()[0].splitlines()[-1]) for each in running]
-    cost = out.pop() if quick else json.loads(begin("costs", lanes).communicate()[0].splitlines()[-1])
-    for at, one in enumerate(out):
-        for each in one["pushes"]:
-            why = (each.get("verdict") or {}).get("reason", each.get("why", ""))
-            click.echo(
-                f"lane {at}: {each['kind']:<8} {each['end']:<7} {each.get('ms', 0):7.0f} ms  "
-                f"{json.dumps(each['change'])}  {why}"
-            )
-    click.echo(json.dumps({"benchmark": "configuration", "seed": seed, "quick": quick, **summed(out, cost)}))
+        arguments.append("--quick")
+    return subprocess.Popen([sys.executable, "-m", "benchmarks.configuration", *arguments], stdout=subprocess.PIPE)
+
+
+def result_of(process: subprocess.Popen[bytes]) -> Any:
+    """Wait for a process of `start_part`, and return the JSON object in its last line."""
+    output, _ = process.communicate()
+    return json.loads(output.splitlines()[-1])
+
+
+def print_pushes(number: int, result: dict[str, Any]) -> None:
+    """Print a line for each change that was pushed in a lane."""
+    for pushed in result["pushes"]:
+        reason = (pushed.get("verdict") or {}).get("reason", pushed.get("why", ""))
+        click.echo(
+            f"lane {number}: {pushed['kind']:<8} {pushed['end']:<7} {pushed.get('ms', 0):7.0f} ms  "
+            f"{json.dumps(pushed['change'])}  {reason}"
+        )
 
 
 if __name__ == "__main__":
