--- a/benchmarks/generation_watch.py
+++ b/benchmarks/generation_watch.py
@@ -1,4 +1,6 @@
-"""A server under a witness: `python -m benchmarks.generation_watch REPORT serve --config FILE`.
+"""A server whose configurations are compared at each event.
+
+`python -m benchmarks.generation_watch REPORT serve --config FILE` runs it.
 
 At every event of every request, the class statistics by which the controller holds it and the generation that the
 server keeps for it have to be of the same configuration, from its reading to its end. What was seen is written to
@@ -19,36 +21,51 @@
 from nickelslip.server.decision_executor import DecisionExecutor
 
 
-class Witness:
-    """Which transactions were seen, and which of them under two generations."""
+class GenerationWatch:
+    """Counts requests that were seen under more than one configuration.
+
+    Configurations are compared by the identity of their settings.
+    """
 
     def __init__(self) -> None:
-        self.kept: list[object] = []  # so that no id is used again
-        self.of_settings: dict[int, int] = {}  # by which settings each class's statistics came
-        self.adoptions = 0
-        self.first: dict[int, tuple[int, int]] = {}
-        self.mixed: set[int] = set()
-        self.events = self.across = 0
-
-    def adopted(self, control: AdmissionController, settings: object) -> None:
-        """The module has taken settings: the class statistics that it made are of these."""
-        self.adoptions += 1
-        self.kept.append(settings)
-        for statistics in control._classes.values():
-            self.kept.append(statistics)
-            self.of_settings[id(statistics)] = id(settings)
-
-    def event(self, executor: DecisionExecutor, number: int) -> None:
-        """Something happened to a transaction."""
-        one, control = executor.context.requests.get(number), executor.controller
-        item = control._requests.by_id.get(number) if control is not None else None
-        if one is None or item is None:
+        self.adoption_count = 0
+        self.event_count = 0
+        self.events_across_generations = 0  # of requests of an earlier generation than the one in force
+        self.first_seen: dict[int, tuple[int, int]] = {}  # settings of the controller and of the server, by request
+        self.mixed_requests: set[int] = set()
+        self._kept: list[object] = []  # so that no identity is used again
+        self._settings_of_statistics: dict[int, int] = {}
+
+    def record_adoption(self, controller: AdmissionController, settings: object) -> None:
+        """Note by which settings the controller's class statistics were made."""
+        self.adoption_count += 1
+        self._kept.append(settings)
+        for statistics in controller._classes.values():
+            self._kept.append(statistics)
+            self._settings_of_statistics[id(statistics)] = id(settings)
+
+    def record_event(self, executor: DecisionExecutor, number: int) -> None:
+        """Compare the configurations under which the controller and the server hold a request."""
+        request = executor.context.requests.get(number)
+        controller = executor.controller
+        tracked = controller._requests.by_id.get(number) if controller is not None else None
+        if request is None or tracked is None:
             return
-        self.events += 1
-        seen = (self.of_settings[id(item.statistics)], id(one.generation.settings))
-        if seen[0] != seen[1] or self.first.setdefault(number, seen) != seen:
-            self.mixed.add(number)
-        self.across += one.generation is not executor.context.generation
+        self.event_count += 1
+        seen = (self._settings_of_statistics[id(tracked.statistics)], id(request.generation.settings))
+        if seen[0] != seen[1] or self.first_seen.setdefault(number, seen) != seen:
+            self.mixed_requests.add(number)
+        self.events_across_generations += request.generation is not executor.context.generation
+
+    def as_dict(self) -> dict[str, float]:
+        """Return the counts under their keys in the report."""
+        return {
+            "transactions": len(self.first_seen),
+            "events": self.event_count,
+            "mixed": len(self.mixed_requests),
+            "across": self.events_across_generations,
+            "adoptions": self.adoption_count,
+        }
 
 
 def request_number(arguments: Sequence[object]) -> int | None:
@@ -63,52 +80,42 @@
     return number if isinstance(number, int) else None
 
 
-def watch(witness: Witness) -> None:
-    """Put the witness beside the module's adoption of settings and every event of a transaction."""
-    adopt, decide = AdmissionController._adopt, DecisionExecutor.decide
+def install(watch: GenerationWatch) -> None:
+    """Have the watch called at each adoption of settings, and before and after each decision about a request."""
+    adopt = AdmissionController._adopt
+    decide = DecisionExecutor.decide
 
-    def adopted(control: AdmissionController, settings: Settings) -> None:
-        adopt(control, settings)
-        witness.adopted(control, settings)
+    def adopt_and_record(controller: AdmissionController, settings: Settings) -> None:
+        adopt(controller, settings)
+        watch.record_adoption(controller, settings)
 
-    def decided(executor: DecisionExecutor, method: Callable[..., Decisions], *arguments: object) -> None:
+    def decide_and_record(executor: DecisionExecutor, method: Callable[..., Decisions], *arguments: object) -> None:
         number = None if method is AdmissionController.drain else request_number(arguments)
         if number is not None:
-            witness.event(executor, number)
+            watch.record_event(executor, number)
         decide(executor, method, *arguments)
         if number is not None:
-            witness.event(executor, number)
+            watch.record_event(executor, number)
 
-    AdmissionController._adopt = adopted  # type: ignore[method-assign, assignment]
-    DecisionExecutor.decide = decided  # type: ignore[method-assign, assignment]
+    AdmissionController._adopt = adopt_and_record  # type: ignore[method-assign, assignment]
+    DecisionExecutor.decide = decide_and_record  # type: ignore[method-assign, assignment]
 
 
 def main() -> None:
-    """Serve; then write what was seen."""
-    report, *rest = sys.argv[1:]
-    witness = Witness()
+    """Serve, and write the report at the end."""
+    report, *arguments = sys.argv[1:]
+    watch = GenerationWatch()
     if os.environ.get("WATCHED") != "no":
-        watch(witness)
-    from nickelslip.server.cli import main as program
+        install(watch)
+    from nickelslip.server.cli import main as serve
 
-    begun = time.monotonic()
+    started_at = time.monotonic()
     try:
-        program(rest, standalone_mode=False)
+        serve(arguments, standalone_mode=False)
     finally:
         usage = os.times()
-        Path(report).write_text(
-            json.dumps(
-                {
-                    "transactions": len(witness.first),
-                    "events": witness.events,
-                    "mixed": len(witness.mixed),
-                    "across": witness.across,
-                    "adoptions": witness.adoptions,
-                    "cpu_s": usage.user + usage.system,
-                    "wall_s": time.monotonic() - begun,
-                }
-            )
-        )
+        times = {"cpu_s": usage.user + usage.system, "wall_s": time.monotonic() - started_at}
+        Path(report).write_text(json.dumps({**watch.as_dict(), **times}))
 
 
 if __name__ == "__main__":
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
-"""Something to try a server with: small stand-ins for all that it talks to, and a balancer with a few transactions.
+"""Something to try a server with: small fakes of all that it talks to, and a load balancer with a few requests.
 
 Start the server (`make run`), then this program from the same folder; the order does not matter. First one
-transaction is asked for alone, then a handful at once, more than two cores can answer within the quoted time. It
-measures nothing and is no load rig.
+request is sent alone, then a handful at once, more than two cores can answer within the latency objective. It measures
+nothing. It imports nothing of nickelslip, so that it shows the whole of each protocol and runs from any folder.
 """
 
 import json
@@ -15,75 +15,83 @@
 import anyio
 import anyio.abc
 
+CORES = 2
 RUN_S = 0.15
 TOGETHER = 12
 
 
 def address(text: str) -> tuple[str, int]:
+    """Return host and port of `host:port`."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
-class Pool:
+class WorkerPool:
     """A worker pool with two cores, on which each run calls the records once and turns its body round."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
-        self.tasks, self.cores, self.seq, self.replies = tasks, anyio.Semaphore(2), count(1), {}
-        self.telling = anyio.Lock()
+        self.tasks = tasks
+        self.cores = anyio.Semaphore(CORES)
+        self.numbers = count(1)
+        self.replies: dict[str, anyio.Event] = {}
+        self.send_lock = anyio.Lock()
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        held = b""
+        """Execute the commands of one link."""
+        buffer = b""
         async for data in stream:
-            *lines, held = (held + data).split(b"\n")
-            for told in map(json.loads, lines):
-                if told["op"] == "bind":
-                    await self.tell(stream, op="bound", end="running", ms=0)
-                elif told["op"] == "poll":
-                    busy = (2 - self.cores.value) / 2
-                    await self.tell(stream, op="polled", tag=told["tag"], values=[busy, 2 * busy, 0.1, 1])
-                elif told["op"] == "spawn":
-                    self.tasks.start_soon(self.run, stream, told["id"], b64decode(told["body"]))
-                elif told["op"] in ("supply", "pass") and told["id"] in self.replies:
-                    self.replies[told["id"]].set()
-
-    async def run(self, stream: anyio.abc.SocketStream, ident: str, body: bytes) -> None:
-        begun = time.monotonic()
+            *lines, buffer = (buffer + data).split(b"\n")
+            for command in map(json.loads, lines):
+                if command["op"] == "bind":
+                    await self.send(stream, op="bound", end="running", ms=0)
+                elif command["op"] == "poll":
+                    busy = (CORES - self.cores.value) / CORES
+                    await self.send(stream, op="polled", tag=command["tag"], values=[busy, CORES * busy, 0.1, 1])
+                elif command["op"] == "spawn":
+                    self.tasks.start_soon(self.run, stream, command["id"], b64decode(command["body"]))
+                elif command["op"] in ("supply", "pass") and command["id"] in self.replies:
+                    self.replies[command["id"]].set()
+
+    async def run(self, stream: anyio.abc.SocketStream, request_id: str, body: bytes) -> None:
+        """Run one request, with one call to the records service."""
+        started_at = time.monotonic()
         async with self.cores:
             await anyio.sleep(RUN_S)
-        self.replies[ident] = anyio.Event()
-        await self.tell(stream, op="blocked", id=ident, body=b64encode(b"look up").decode())
-        await self.replies[ident].wait()
-        del self.replies[ident]
-        await self.tell(
+        self.replies[request_id] = anyio.Event()
+        await self.send(stream, op="blocked", id=request_id, body=b64encode(b"look up").decode())
+        await self.replies[request_id].wait()
+        del self.replies[request_id]
+        await self.send(
             stream,
             op="finished",
-            id=ident,
+            id=request_id,
             end="fine",
-            ms=1000 * (time.monotonic() - begun),
+            ms=1000 * (time.monotonic() - started_at),
             body=b64encode(body[::-1]).decode(),
         )
 
-    async def tell(self, stream: anyio.abc.SocketStream, **line: object) -> None:
-        async with self.telling:
-            if line["op"] in ("blocked", "finished"):
-                line["seq"] = next(self.seq)
-            await stream.send(json.dumps(line).encode() + b"\n")
+    async def send(self, stream: anyio.abc.SocketStream, **notification: object) -> None:
+        """Send a notification; numbered if the server has to have it."""
+        async with self.send_lock:
+            if notification["op"] in ("blocked", "finished"):
+                notification["seq"] = next(self.numbers)
+            await stream.send(json.dumps(notification).encode() + b"\n")
 
 
 async def records(stream: anyio.abc.SocketStream) -> None:
     """A records service that answers every call with a word."""
-    held = b""
+    buffer = b""
     async for data in stream:
-        held += data
-        while b"\r\n" in held:
-            line, _, rest = held.partition(b"\r\n")
-            verb, ident, *more = line.split(b" ")
+        buffer += data
+        while b"\r\n" in buffer:
+            line, _, rest = buffer.partition(b"\r\n")
+            verb, request_id, *more = line.split(b" ")
             size = int(more[1]) + 2 if more else 0
             if len(rest) < size:
                 break
-            held = rest[size:]
+            buffer = rest[size:]
             if verb == b"OP":
-                await stream.send(b"%b DONE 5\r\nfound\r\n" % ident)
+                await stream.send(b"%b DONE 5\r\nfound\r\n" % request_id)
 
 
 async def directory(sock: anyio.abc.UDPSocket) -> None:
@@ -96,10 +104,13 @@
 
 
 def message(*parts: bytes) -> bytes:
+    """Encode a message of the load balancers' protocol."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 async def answer(stream: anyio.abc.ByteReceiveStream) -> list[bytes]:
+    """Read the parts of one answer."""
+
     async def line() -> bytes:
         text = b""
         while not text.endswith(b"\r\n"):
@@ -116,23 +127,25 @@
     return parts
 
 
-async def ask(stream: anyio.abc.SocketStream, tag: int, grade: bytes) -> None:
+async def ask(stream: anyio.abc.SocketStream, tag: int, traffic_class: bytes) -> None:
+    """Send one request."""
     now = int(time.time() * 1000)
     fields = f"req={time.time_ns() % 2**64:016x},ts={now},via=1,owner=acme,timeout=2000,need=24.5,level=0.5"
-    await stream.send(message(b"ASK", b"%d" % tag, grade, fields.encode(), b"stressed"))
+    await stream.send(message(b"ASK", b"%d" % tag, traffic_class, fields.encode(), b"stressed"))
 
 
 async def show(stream: anyio.abc.SocketStream) -> None:
+    """Print the next answer."""
     tag, word, fields, body = await answer(stream)
     what = {b"done": "satisfied", b"later": "dismissed"}.get(word, "forfeited")
     print(f"  {tag.decode():>2} {what} {body.decode()} {fields.decode()}")
 
 
 async def main(path: Path) -> None:
-    """Start the stand-ins, then be the balancer."""
+    """Start the fakes, then send requests as a load balancer."""
     config = json.loads(path.read_text())
     async with anyio.create_task_group() as tasks:
-        for name, handler in (("pool", Pool(tasks).serve), ("records", records)):
+        for name, handler in (("pool", WorkerPool(tasks).serve), ("records", records)):
             host, port = address(config[name])
             listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
             tasks.start_soon(listener.serve, handler)
--- a/tests/test_changing.py
+++ b/tests/test_changing.py
@@ -19,7 +19,7 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.generation_watch import Witness, watch
+from benchmarks.generation_watch import GenerationWatch, install
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import RequestState
@@ -56,8 +56,8 @@
     """A watch over every event of every transaction."""
     for part, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
-    seen = Witness()
-    watch(seen)
+    seen = GenerationWatch()
+    install(seen)
     return seen
 
 
@@ -96,7 +96,7 @@
         assert len(place.pool.told("spawn", A)) == 1 and not place.pool.told("spawn", C)
         await caller.ask("00000000000000e5", "book", opkey="k2")
         assert (await caller.answer())[:2] == (5, "error")
-        assert not witness.mixed and witness.across >= 4 and len(witness.first) == 4
+        assert not witness.mixed_requests and witness.events_across_generations >= 4 and len(witness.first_seen) == 4
 
 
 async def test_the_witness_catches_a_transaction_that_is_moved_to_another_generation(witness):
@@ -108,7 +108,7 @@
         control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
         await place.pool.finish(A)
         await caller.answer()
-        assert witness.mixed == {int(A, 16)}
+        assert witness.mixed_requests == {int(A, 16)}
 
 
 async def test_the_module_carries_over_what_it_learned_and_says_the_weight_it_had():
