--- a/benchmarks/capacity/echo_server.py
+++ b/benchmarks/capacity/echo_server.py
@@ -1,4 +1,4 @@
-"""An empty echo on loopback: what the machine and the client themselves add to a request.
+"""An echo server on loopback, for what the machine and the client themselves add to a request.
 
 `python -m benchmarks.capacity.echo_server` prints its port and serves until it is ended.
 """
@@ -11,12 +11,14 @@
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes."""
+    """A connection on which all that is received is sent back."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Send the data back."""
         self._transport.write(data)  # type: ignore[attr-defined]
 
 
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,7 +1,4 @@
-"""A power law through measured points: value = factor x size ^ exponent, by least squares on logarithms.
-
-Owns the fit and its standard error. It does no I/O and has no dependencies.
-"""
+"""A power law through measured points: value = factor x size ^ exponent, by least squares on logarithms."""
 
 from __future__ import annotations
 
@@ -9,7 +6,7 @@
 from dataclasses import dataclass
 from math import exp, log, sqrt
 
-SIZES_LEAST = 4  # through fewer sizes a slope says little
+MIN_SIZES = 4  # through fewer sizes a slope says little
 
 
 @dataclass(frozen=True)
@@ -35,8 +32,8 @@
 
 def fit(points: Sequence[Point]) -> Fit:
     """The power law through these points. Raises ValueError where they are too few sizes, or not positive."""
-    if len({point.size for point in points}) < SIZES_LEAST:
-        raise ValueError(f"no fewer than {SIZES_LEAST} sizes are needed")
+    if len({point.size for point in points}) < MIN_SIZES:
+        raise ValueError(f"no fewer than {MIN_SIZES} sizes are needed")
     if any(point.size <= 0 or point.value <= 0 for point in points):
         raise ValueError("sizes and values have to be over 0")
     sizes = [log(point.size) for point in points]
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,6 +1,6 @@
 """docs/CAPACITY.md out of the data file: the template's prose with tables whose every figure was measured.
 
-Owns the form of tables and figures. It does no I/O; the prose is in page.md beside it.
+The prose is in page.md beside this module; this module makes the tables and figures. It does no I/O.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import Measured, Series
-from benchmarks.capacity.rows import BOUND, COST, NOISY, ROLES, Row, rows_of, worst_of
+from benchmarks.capacity.rows import BOUND, COST, MIN_WITH_SEPARATORS, NOISY, ROLES, Row, rows_of, worst_of
 
 NOT_MEASURED = "not measured"
 HOUR_S = 3600.0
@@ -39,7 +39,7 @@
     """A figure with three digits that count, or that it was not measured."""
     if value is None:
         return NOT_MEASURED
-    if abs(value) >= 1000:
+    if abs(value) >= MIN_WITH_SEPARATORS:
         return f"{value:,.0f}"
     return f"{value:.3g}"
 
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -1,6 +1,6 @@
 """The users' plan for two years: the sizes to design for, and the limits that they set.
 
-Owns the numbers of the plan and what follows from them by arithmetic alone. It must never hold a measured figure.
+These are the plan's numbers and what follows from them by arithmetic alone, not measured figures.
 """
 
 from __future__ import annotations
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -1,7 +1,7 @@
 """Real processes of the server on loopback, between a worker pool and a directory that answer at once.
 
-Owns the start and end of each process (by its id, bounded), and what is read of it from outside: resident memory,
-processor time, its reports, and the time of requests and changes. Linux only: memory and time come from /proc.
+A process is started and ended by its id within a bounded time. Read from outside are its resident memory, processor
+time and load reports, and the time of requests and changes. Linux only: memory and processor time come from /proc.
 """
 
 from __future__ import annotations
@@ -24,104 +24,113 @@
 from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES
 from nickelslip.server import resp
 
-READY_MOST_S, LEAVE_MOST_S, ANSWER_MOST_S = 20.0, 6.0, 10.0
+READY_TIMEOUT_S, STOP_TIMEOUT_S, ANSWER_TIMEOUT_S = 20.0, 6.0, 10.0
 UDP_HEADERS = 28  # of IPv4 and UDP, on each datagram
-LINES = 8  # connections over which requests are sent
-TURNS = 2  # a request passes the server twice, on its way to the worker pool and back: so does an echo
-GRADE = "balance"
+CONNECTION_COUNT = 8  # connections over which requests are sent
+ECHOES_PER_REQUEST = 2  # a request passes the server twice, on its way to the worker pool and back: so does an echo
+TRAFFIC_CLASS = "balance"
 
 
-class Pool(asyncio.Protocol):
-    """A worker pool whose every run is over at once."""
+class InstantWorkerPool(asyncio.Protocol):
+    """A worker pool whose every run ends at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport, self._held, self._seq = transport, b"", 0
+        """Keep the transport."""
+        self._transport = transport
+        self._buffer = b""
+        self._last_number = 0
 
     def data_received(self, data: bytes) -> None:
-        *lines, self._held = (self._held + data).split(b"\n")
+        """Execute whole commands."""
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
-            self._command(json.loads(line))
+            self._execute(json.loads(line))
 
-    def _command(self, told: dict[str, object]) -> None:
-        if told["op"] == "bind":
-            self._seq = int(str(told["seq"]))
-            self._say(op="bound", end="running", ms=60_000.0)
-        elif told["op"] == "poll":
-            self._say(op="polled", tag=told["tag"], values=[0.1, 0.1, 0.2, 8])
-        elif told["op"] == "spawn":
-            self._seq += 1
-            self._say(op="finished", seq=self._seq, id=told["id"], end="fine", ms=0.1, body="b2s=")
+    def _execute(self, command: dict[str, object]) -> None:
+        if command["op"] == "bind":
+            self._last_number = int(str(command["seq"]))
+            self._send(op="bound", end="running", ms=60_000.0)
+        elif command["op"] == "poll":
+            self._send(op="polled", tag=command["tag"], values=[0.1, 0.1, 0.2, 8])
+        elif command["op"] == "spawn":
+            self._last_number += 1
+            self._send(op="finished", seq=self._last_number, id=command["id"], end="fine", ms=0.1, body="b2s=")
 
-    def _say(self, **line: object) -> None:
-        self._transport.write(json.dumps(line).encode() + b"\n")  # type: ignore[attr-defined]
+    def _send(self, **message: object) -> None:
+        self._transport.write(json.dumps(message).encode() + b"\n")  # type: ignore[attr-defined]
 
 
-class Directory(asyncio.DatagramProtocol):
-    """A directory that notes when reports come and how long they are."""
+class FakeDirectory(asyncio.DatagramProtocol):
+    """A directory that keeps the moment and the size in bytes of each load report."""
 
     def __init__(self) -> None:
         self.reports: list[tuple[float, int]] = []
 
     def datagram_received(self, data: bytes, address: object) -> None:
+        """Keep moment and size."""
         self.reports.append((time.monotonic(), len(data)))
 
 
-class Line(asyncio.Protocol):
-    """A caller's connection; each answer resolves the future under its tag."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection; each answer resolves the future under its tag."""
 
     def __init__(self) -> None:
         self.waiting: dict[int, asyncio.Future[bytes]] = {}
-        self._held, self._tag = bytearray(), 0
-        self.ended = False
+        self.is_closed = False
+        self._buffer = bytearray()
+        self._last_tag = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.ended = True
+        """Note that the connection is closed."""
+        self.is_closed = True
 
     def data_received(self, data: bytes) -> None:
-        self._held += data
+        """Resolve the futures of whole answers."""
+        self._buffer += data
         start = 0
-        while (whole := resp.parse(self._held, start, len(self._held))) is not None:
-            parts, start = whole
+        while (parsed := resp.parse(self._buffer, start, len(self._buffer))) is not None:
+            parts, start = parsed
             future = self.waiting.pop(int(parts[0]) if parts[0].isdigit() else int(parts[1]), None)
             if future is not None and not future.done():
                 future.set_result(parts[1])
-        del self._held[:start]
+        del self._buffer[:start]
 
     def send(self, verb: bytes, *parts: bytes) -> asyncio.Future[bytes]:
-        """Send a message; the word of its answer."""
-        self._tag += 1
-        future = self.waiting[self._tag] = asyncio.get_running_loop().create_future()
-        self.transport.write(resp.message(verb, b"%d" % self._tag, *parts))  # type: ignore[attr-defined]
+        """Send a message, and return a future of the word of its answer."""
+        self._last_tag += 1
+        future = self.waiting[self._last_tag] = asyncio.get_running_loop().create_future()
+        self.transport.write(resp.message(verb, b"%d" % self._last_tag, *parts))  # type: ignore[attr-defined]
         return future
 
 
-async def line_to(port: int) -> Line:
-    """A new connection."""
-    _, line = await asyncio.get_running_loop().create_connection(Line, "127.0.0.1", port)
-    line.transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return line
+async def connect(port: int) -> ClientConnection:
+    """Open a connection."""
+    _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, "127.0.0.1", port)
+    connection.transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return connection
 
 
 @dataclass
 class Server:
-    """One real process."""
+    """A real process of the server."""
 
     process: subprocess.Popen[bytes]
     port: int
-    directory: Directory
+    directory: FakeDirectory
     socket: str
     ready_ms: float = 0.0
-    lines: list[Line] = field(default_factory=list)
+    connections: list[ClientConnection] = field(default_factory=list)
 
     def resident_kb(self) -> float:
         """Resident memory now."""
-        for each in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
-            if each.startswith("VmRSS:"):
-                return float(each.split()[1])
-        raise RuntimeError("no resident memory is told")
+        for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
+            if line.startswith("VmRSS:"):
+                return float(line.split()[1])
+        raise RuntimeError("no VmRSS in /proc")
 
     def processor_ms(self) -> float:
         """What its main thread has had of a core so far."""
@@ -133,18 +142,18 @@
         await asyncio.sleep(span_s)
         return (self.processor_ms() - had) / 1000 / (time.monotonic() - begun)
 
-    async def open_lines(self, many: int) -> None:
-        """Have so many open connections, each of which has been answered once."""
-        while len(self.lines) < many:
-            line = await line_to(self.port)
-            await asyncio.wait_for(line.send(b"STATUS"), ANSWER_MOST_S)
-            self.lines.append(line)
+    async def open_connections(self, count: int) -> None:
+        """Open connections until there are `count`; each has had one answer."""
+        while len(self.connections) < count:
+            connection = await connect(self.port)
+            await asyncio.wait_for(connection.send(b"STATUS"), ANSWER_TIMEOUT_S)
+            self.connections.append(connection)
 
-    def close_lines(self) -> None:
-        """Close all of them."""
-        for line in self.lines:
-            line.transport.close()
-        self.lines.clear()
+    def close_connections(self) -> None:
+        """Close all connections."""
+        for connection in self.connections:
+            connection.transport.close()
+        self.connections.clear()
 
 
 def free_port() -> int:
@@ -156,11 +165,13 @@
 
 @asynccontextmanager
 async def serving(folder: Path, tenants: int, changes: bool = False) -> AsyncIterator[Server]:
-    """A real server with so many tenants, which has its worker pool. Its bounds are lifted only where they have to be.
-    With changes it has a control socket."""
+    """Run a real server with so many tenants, and yield it once it is connected to its worker pool.
+
+    Its bounds on documents are lifted only if the size needs it. With `changes` it has a control socket.
+    """
     loop = asyncio.get_running_loop()
-    pool = await loop.create_server(Pool, "127.0.0.1", 0)
-    transport, directory = await loop.create_datagram_endpoint(Directory, ("127.0.0.1", 0))
+    pool = await loop.create_server(InstantWorkerPool, "127.0.0.1", 0)
+    transport, directory = await loop.create_datagram_endpoint(FakeDirectory, ("127.0.0.1", 0))
     ports = Ports(free_port(), pool.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1])
     path = str(folder / f"control{ports.listen}") if changes else ""
     text = encoded(own_document(tenants, ports, path) if changes else platform_value(tenants, ports))
@@ -183,7 +194,7 @@
         server.ready_ms = (time.monotonic() - begun) * 1000
         yield server
     finally:
-        server.close_lines()
+        server.close_connections()
         await end(process)
         transport.close()
         pool.close()
@@ -191,12 +202,12 @@
 
 async def ready(server: Server) -> None:
     """Wait until it answers a request well, which it does once it has its worker pool."""
-    async with asyncio.timeout(READY_MOST_S):
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while server.process.poll() is None:
             with suppress(OSError):
-                line = await line_to(server.port)
-                word = await line.send(b"ASK", *request(random.Random(0), 1))
-                line.transport.close()
+                connection = await connect(server.port)
+                word = await connection.send(b"ASK", *request(random.Random(0), 1))
+                connection.transport.close()
                 if word == b"done":
                     return
             await asyncio.sleep(0.005)
@@ -207,7 +218,7 @@
     """Have one process leave, and kill it where it does not."""
     process.terminate()
     with suppress(TimeoutError):
-        async with asyncio.timeout(LEAVE_MOST_S):
+        async with asyncio.timeout(STOP_TIMEOUT_S):
             while process.poll() is None:
                 await asyncio.sleep(0.02)
     if process.poll() is None:
@@ -221,7 +232,7 @@
         f"req={chance.getrandbits(64):016x},ts={int(time.time() * 1000)},via=1,"
         f"owner={tenant(chance.randrange(tenants))},timeout=3000,need=8,level=0.5"
     )
-    return GRADE.encode(), fields.encode(), b"body"
+    return TRAFFIC_CLASS.encode(), fields.encode(), b"body"
 
 
 @dataclass(frozen=True)
@@ -237,43 +248,43 @@
 async def request_times(server: Server, echo_port: int, tenants: int, rate: float, span_s: float, seed: int) -> Times:
     """Ask in open loop at this rate, with two turns of a like message through the echo beside each request."""
     chance = random.Random(seed)
-    lines = [await line_to(server.port) for _ in range(LINES)]
-    echo = await line_to(echo_port)
-    took: list[float] = []
-    echoed: list[float] = []
+    connections = [await connect(server.port) for _ in range(CONNECTION_COUNT)]
+    echo = await connect(echo_port)
+    request_ms: list[float] = []
+    echo_ms: list[float] = []
     failed = 0
 
-    async def one(line: Line) -> None:
+    async def send_request(connection: ClientConnection) -> None:
         nonlocal failed
         parts = request(chance, tenants)
         begun = time.perf_counter()
         try:
-            word = await asyncio.wait_for(line.send(b"ASK", *parts), ANSWER_MOST_S)
+            word = await asyncio.wait_for(connection.send(b"ASK", *parts), ANSWER_TIMEOUT_S)
         except TimeoutError:
             word = b""
-        took.append((time.perf_counter() - begun) * 1000)
+        request_ms.append((time.perf_counter() - begun) * 1000)
         failed += word != b"done"
 
-    async def echo_one() -> None:
+    async def send_echoes() -> None:
         begun = time.perf_counter()
-        for _ in range(TURNS):
-            await asyncio.wait_for(echo.send(b"ASK", *request(chance, tenants)), ANSWER_MOST_S)
-        echoed.append((time.perf_counter() - begun) * 1000)
+        for _ in range(ECHOES_PER_REQUEST):
+            await asyncio.wait_for(echo.send(b"ASK", *request(chance, tenants)), ANSWER_TIMEOUT_S)
+        echo_ms.append((time.perf_counter() - begun) * 1000)
 
     begun, had = time.monotonic(), server.processor_ms()
     due, count = begun, 0
     async with asyncio.TaskGroup() as tasks:
         while due < begun + span_s:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            tasks.create_task(one(lines[count % LINES]))
+            tasks.create_task(send_request(connections[count % CONNECTION_COUNT]))
             await asyncio.sleep(max(0.0, due + 0.5 / rate - time.monotonic()))
-            tasks.create_task(echo_one())
+            tasks.create_task(send_echoes())
             count += 1
             due += chance.expovariate(rate)
     share = (server.processor_ms() - had) / 1000 / (time.monotonic() - begun)
-    for line in (*lines, echo):
-        line.transport.close()
-    return Times(tuple(sorted(took)), tuple(sorted(echoed)), failed, share)
+    for connection in (*connections, echo):
+        connection.transport.close()
+    return Times(tuple(sorted(request_ms)), tuple(sorted(echo_ms)), failed, share)
 
 
 @asynccontextmanager
@@ -284,7 +295,7 @@
     )
     try:
         assert process.stdout is not None
-        yield int(await asyncio.wait_for(process.stdout.readline(), READY_MOST_S))
+        yield int(await asyncio.wait_for(process.stdout.readline(), READY_TIMEOUT_S))
     finally:
         process.kill()
         await process.wait()
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -1,7 +1,6 @@
 """What a run measured, as typed values and as JSON.
 
-Owns the form of docs/capacity/measured.json. It must never compute a figure that was not measured: what is missing
-stays missing.
+The JSON is the form of docs/capacity/measured.json. A figure that was not measured is missing or None.
 """
 
 from __future__ import annotations
@@ -10,11 +9,14 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any, TypeAlias
 
-from benchmarks.capacity.fit import SIZES_LEAST, Fit, Point, fit
+from benchmarks.capacity.fit import MIN_SIZES, Fit, Point, fit
 
 SizedValues: TypeAlias = Mapping[int, float] | Mapping[float, float]
 
-HOLLOW, REAL, SIMULATED = "hollow", "real", "simulated"
+# How a figure was had; the words stand in the data file and on the page.
+IN_PROCESS = "hollow"
+REAL = "real"
+SIMULATED = "simulated"
 FEW_TENANTS = 100  # beside the plan's, where two sizes are enough
 
 
@@ -34,7 +36,7 @@
     @property
     def fit(self) -> Fit | None:
         """The power law, or None where there is none to be fitted (too few sizes, or a value of 0 or less)."""
-        usable = len({point.size for point in self.points}) >= SIZES_LEAST
+        usable = len({point.size for point in self.points}) >= MIN_SIZES
         usable = usable and all(point.size > 0 and point.value > 0 for point in self.points)
         return fit(self.points) if usable else None
 
@@ -78,12 +80,12 @@
     """What a data file holds."""
     series = {
         name: Series(
-            each["name"],
-            each["dimension"],
-            each["unit"],
-            each["source"],
-            tuple(Point(point["size"], point["value"]) for point in each["points"]),
+            stored["name"],
+            stored["dimension"],
+            stored["unit"],
+            stored["source"],
+            tuple(Point(point["size"], point["value"]) for point in stored["points"]),
         )
-        for name, each in value["series"].items()
+        for name, stored in value["series"].items()
     }
     return Measured(dict(value["run"]), series, dict(value["figures"]), dict(value["notes"]))
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,6 +1,5 @@
 """The rows of the page: each figure at the plan's size, the slope that it comes from, and the plan's limit.
 
-Owns which figures are held against which limit, by role, and the choice of the row that misses by the largest factor.
 A row whose figure was not measured has no value, and is never over its limit.
 """
 
@@ -20,7 +19,8 @@
 ROLES = (SERVER, CALLER, DIRECTORY, RECORDS, CONTROL, COMMAND)
 FULL_HISTORY = "memory of changes once the history in memory is full"
 COST, BOUND, NOISY = "cost", "bound", "noisy"
-HELD_MOST = 1024  # items, the most that were measured
+MAX_HELD = 1024  # items, the most that were measured
+MIN_WITH_SEPARATORS = 1000  # figures from here on are written whole, with separators of thousands
 
 
 @dataclass(frozen=True)
@@ -155,7 +155,7 @@
         _from(measured, SERVER, "two documents compared (plan)", "tenants_plan_ms", tenants, "ms"),
         _from(measured, SERVER, "decisions on one request, by tenants", "tenants_decision_us", tenants, "us"),
         _from(measured, SERVER, "decisions on one request, by grades", "grades_decision_us", MAX_NAMES["grades"], "us"),
-        _from(measured, SERVER, "a decision on one event, by held items", "held_decision_us", HELD_MOST, "us"),
+        _from(measured, SERVER, "a decision on one event, by held items", "held_decision_us", MAX_HELD, "us"),
         _from(
             measured,
             SERVER,
@@ -347,4 +347,8 @@
 
 
 def _text(value: float | None) -> str:
-    return "not measured" if value is None else f"{value:,.0f}" if value >= 1000 else f"{value:.3g}"
+    if value is None:
+        return "not measured"
+    if value >= MIN_WITH_SEPARATORS:
+        return f"{value:,.0f}"
+    return f"{value:.3g}"
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -1,7 +1,6 @@
-"""One run of all measurements: hollow ones, real ones and simulated ones, one after the other.
+"""One run of all measurements: in this process, in real processes and in simulated time, one after the other.
 
-Owns the sizes at which each is done and the order. Each part fills in what it measured; nothing is filled in for a
-part that was not run.
+Each part adds what it measured; nothing is added for a part that was not run.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from benchmarks.capacity import in_process, real
 from benchmarks.capacity.documents import lifted_bounds
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.results import FEW_TENANTS, HOLLOW, REAL, SIMULATED, Measured
+from benchmarks.capacity.results import FEW_TENANTS, IN_PROCESS, REAL, SIMULATED, Measured
 from benchmarks.capacity.rollout import spread
 from benchmarks.sample_statistics import percentile_by_floor_index
 from nickelslip.configuration.config import ChangeRules
@@ -31,11 +30,12 @@
 
 HELD_CORES, RATE_CORES = 2, 64
 REST_S = 1.2
-CHANGES_EACH = 3  # changes that are taken by a real server at each size
+CHANGES_PER_SIZE = 3  # taken by a real server
 ASK_MS = 20_000.0
-CONFIRMED_MOST_S = 8.0  # after a change, until it has to be confirmed
-WARM_LINES = 100  # connections that are open before those that are counted: a start leaves room for some
+CONFIRMATION_TIMEOUT_S = 8.0  # after a change, until it has to be confirmed
+WARM_CONNECTIONS = 100  # connections that are open before those that are counted: a start leaves room for some
 REPORTS_S = 3.0  # over which reports are counted
+MIN_REPORTS = 2  # for an interval
 
 
 @dataclass(frozen=True)
@@ -84,10 +84,18 @@
 
 
 class Run:
-    """One run; `measured` is what it has brought so far."""
-
-    def __init__(self, sizes: Sizes, seed: int, tell: Callable[[str], None]) -> None:
-        self._sizes, self._seed, self._tell = sizes, seed, tell
+    """One run; `measured` is what it has measured so far.
+
+    Args:
+        sizes: At which all is measured.
+        seed: For requests and decisions.
+        report_progress: Called with a line of text after each part.
+    """
+
+    def __init__(self, sizes: Sizes, seed: int, report_progress: Callable[[str], None]) -> None:
+        self._sizes = sizes
+        self._seed = seed
+        self._report_progress = report_progress
         self.measured = Measured()
 
     async def all(self, quick: bool) -> Measured:
@@ -123,41 +131,41 @@
         for name in next(iter(costs.values())):
             unit = "bytes" if name.endswith("bytes") else "ms"
             points = {size: cost[name] for size, cost in costs.items()}
-            self.measured.add(f"tenants_{name}", "tenants", unit, HOLLOW, points)
+            self.measured.add(f"tenants_{name}", "tenants", unit, IN_PROCESS, points)
         points = {
             size: in_process.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
         }
-        self.measured.add("grades_change_ms", "grades", "ms", HOLLOW, points)
-        self._tell("configurations measured")
+        self.measured.add("grades_change_ms", "grades", "ms", IN_PROCESS, points)
+        self._report_progress("configurations measured")
 
     def _memory(self) -> None:
         """What is kept for each tenant."""
         costs = {size: asdict(in_process.memory_cost(size)) for size in self._sizes.tenants}
         for name in ("configuration", "tables", "change"):
             points = {size: cost[name] / 1024 for size, cost in costs.items()}
-            self.measured.add(f"tenants_{name}_kb", "tenants", "KB", HOLLOW, points)
+            self.measured.add(f"tenants_{name}_kb", "tenants", "KB", IN_PROCESS, points)
         points = {size: in_process.full_history_bytes(size) / 1024 for size in self._sizes.history_tenants}
-        self.measured.add("tenants_full_history_kb", "tenants", "KB", HOLLOW, points)
+        self.measured.add("tenants_full_history_kb", "tenants", "KB", IN_PROCESS, points)
         self.measured.figures["active_ring_bytes"] = in_process.active_ring_bytes()
-        self._tell("memory measured")
+        self._report_progress("memory measured")
 
     def _decisions(self) -> None:
         """What the module takes for a request or an event."""
         sizes = self._sizes
         rate = PLAN.requests_per_server_s
 
-        def one(tenants: int, grades: int | None = None, at_rate: float = rate) -> float:
+        def decision_us(tenants: int, grades: int | None = None, rate_per_s: float = rate) -> float:
             settings = in_process.settings_for(tenants, grades, core_count=RATE_CORES)
             return median(
-                in_process.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
+                in_process.decision_us(settings, rate_per_s, sizes.requests, self._seed + trial) for trial in range(3)
             )
 
-        points = {size: one(size) for size in sizes.tenants}
-        self.measured.add("tenants_decision_us", "tenants", "us a request", HOLLOW, points)
-        points = {size: one(1, size) for size in sizes.grades}
-        self.measured.add("grades_decision_us", "grades", "us a request", HOLLOW, points)
-        shares = {at: one(PLAN.tenants, None, at) * at / 1e6 for at in sizes.rates}
-        self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
+        points = {size: decision_us(size) for size in sizes.tenants}
+        self.measured.add("tenants_decision_us", "tenants", "us a request", IN_PROCESS, points)
+        points = {size: decision_us(1, size) for size in sizes.grades}
+        self.measured.add("grades_decision_us", "grades", "us a request", IN_PROCESS, points)
+        shares = {rate: decision_us(PLAN.tenants, None, rate) * rate / 1e6 for rate in sizes.rates}
+        self.measured.add("rate_decision_share", "requests a second", "of a core", IN_PROCESS, shares)
         settings = in_process.settings_for(FEW_TENANTS, core_count=HELD_CORES)
         grades = tuple(
             replace(grade, latency_objective_ms=in_process.LONG_MS, timeout_ms=in_process.LONG_MS)
@@ -165,8 +173,8 @@
         )
         settings = replace(settings, traffic_classes=grades)
         points = {size: in_process.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
-        self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
-        self._tell("decisions measured")
+        self.measured.add("held_decision_us", "held items", "us an event", IN_PROCESS, points)
+        self._report_progress("decisions measured")
 
     async def _processes(self, folder: Path) -> None:
         """Start time and resident memory of real processes, and the reports of one."""
@@ -178,14 +186,14 @@
                     await self._reports(server)
         self.measured.add("real_tenants_ready_ms", "tenants", "ms", REAL, ready)
         self.measured.add("real_tenants_resident_kb", "tenants", "KB", REAL, resident)
-        self._tell("processes measured")
+        self._report_progress("processes measured")
 
     async def _reports(self, server: real.Server) -> None:
         begun = len(server.directory.reports)
         await asyncio.sleep(REPORTS_S)
         reports = server.directory.reports[begun:]
         figures = self.measured.figures
-        if len(reports) >= 2:
+        if len(reports) >= MIN_REPORTS:
             figures["report_bytes"] = reports[-1][1] + real.UDP_HEADERS
             figures["report_interval_s"] = (reports[-1][0] - reports[0][0]) / (len(reports) - 1)
 
@@ -193,18 +201,18 @@
         """What open connections at rest cost a real process."""
         memory, share = {}, {}
         async with real.serving(folder, FEW_TENANTS) as server:
-            await server.open_lines(WARM_LINES)
+            await server.open_connections(WARM_CONNECTIONS)
             before = server.resident_kb()
             self.measured.figures["rest_core_share"] = await server.processor_share(REST_S)
             for size in self._sizes.connections:
-                await server.open_lines(WARM_LINES + size)
+                await server.open_connections(WARM_CONNECTIONS + size)
                 share[size] = await server.processor_share(REST_S)
                 memory[size] = server.resident_kb() - before
-                if any(line.ended for line in server.lines):
+                if any(connection.is_closed for connection in server.connections):
                     raise RuntimeError("the server ended a connection that was to rest")
         self.measured.add("connections_kb", "connections", "KB", REAL, memory)
         self.measured.add("connections_core_share", "connections", "of a core", REAL, share)
-        self._tell("connections measured")
+        self._report_progress("connections measured")
 
     async def _changes(self, folder: Path) -> None:
         """What a change costs a real process, and what it keeps of it."""
@@ -212,7 +220,7 @@
         for size in self._sizes.real_tenants:
             async with real.serving(folder, size, changes=True) as server:
                 trips, cores, resident = [], [], []
-                for number in range(CHANGES_EACH):
+                for number in range(CHANGES_PER_SIZE):
                     had, begun = server.processor_ms(), time.perf_counter()
                     reply = await ask_once(server.socket, "apply", ASK_MS, document=in_process.part_for(number))
                     trips.append((time.perf_counter() - begun) * 1000)
@@ -230,10 +238,10 @@
         self.measured.add("real_change_core_ms", "tenants", "ms", REAL, spent)
         self.measured.add("real_changed_resident_kb", "tenants", "KB", REAL, kept)
         self.measured.figures["status_ms"] = status
-        self._tell("changes measured")
+        self._report_progress("changes measured")
 
     async def _history(self, folder: Path) -> None:
-        """The memory of a full history in a real process, against the hollow figure at the same size."""
+        """The memory of a full history in a real process, against the in-process figure at the same size."""
         tenants = max(self._sizes.history_tenants)
         async with real.serving(folder, tenants, changes=True) as server:
             before = server.resident_kb()
@@ -242,11 +250,11 @@
                 if not reply["ok"]:
                     raise RuntimeError(f"a change was not taken: {reply['text']}")
             real_kb = server.resident_kb() - before
-        hollow_kb = self.measured.at("tenants_full_history_kb", tenants)
-        assert hollow_kb is not None
+        in_process_kb = self.measured.at("tenants_full_history_kb", tenants)
+        assert in_process_kb is not None
         self.measured.figures["real_full_history_kb"] = real_kb
-        self.measured.figures["hollow_error_history"] = hollow_kb / real_kb - 1
-        self._tell("history measured")
+        self.measured.figures["hollow_error_history"] = in_process_kb / real_kb - 1
+        self._report_progress("history measured")
 
     async def _requests(self, folder: Path) -> None:
         """What a real process adds to a request, beside an echo."""
@@ -264,7 +272,7 @@
                         figures[f"request_core_share_{at}"] = seen.core_share
                         figures[f"requests_{at}"] = len(seen.server_ms)
                         figures[f"requests_failed_{at}"] = seen.failed
-        self._tell("requests measured")
+        self._report_progress("requests measured")
 
     def _rollouts(self) -> None:
         """Roll-outs in simulated time, with the measured times of a change and a look."""
@@ -273,18 +281,18 @@
         assert apply_ms is not None and status_ms is not None
         last, took = {}, {}
         for size in self._sizes.servers:
-            one = spread(size, apply_ms, status_ms)
-            last[size], took[size] = one.in_force_s[-1], one.took_s
-            self.measured.notes[f"rollout_{size}"] = one.course
+            rollout = spread(size, apply_ms, status_ms)
+            last[size], took[size] = rollout.in_force_s[-1], rollout.took_s
+            self.measured.notes[f"rollout_{size}"] = rollout.course
             if size == PLAN.servers:
-                self.measured.figures["simulated_in_force_s_p99"] = one.percentile(0.99)
-                self.measured.figures["simulated_in_force_s_max"] = one.in_force_s[-1]
+                self.measured.figures["simulated_in_force_s_p99"] = rollout.percentile(0.99)
+                self.measured.figures["simulated_in_force_s_max"] = rollout.in_force_s[-1]
         self.measured.add("rollout_in_force_s", "servers", "s", SIMULATED, last)
         self.measured.add("rollout_took_s", "servers", "s", SIMULATED, took)
-        self._tell("roll-outs simulated")
+        self._report_progress("roll-outs simulated")
 
     def _together(self) -> None:
-        """Figures that follow from several: the control side of a server, and hollow against real."""
+        """Figures that follow from several: the control side of a server, and in-process figures against real ones."""
         measured, figures = self.measured, self.measured.figures
         few, many = min(self._sizes.real_tenants), PLAN.tenants
 
@@ -298,11 +306,11 @@
         figures["control_core_share"] = rest + need("real_change_core_ms", many) / 1000 * PLAN.changes_per_s
         base = need("real_tenants_resident_kb", few)
         figures["control_mb"] = (need("real_changed_resident_kb", many) - base) / 1024
-        figures["control_changes_kept"] = CHANGES_EACH
+        figures["control_changes_kept"] = CHANGES_PER_SIZE
         real_kb = (need("real_tenants_resident_kb", many) - base) / (many - few)
-        hollow_kb = (self._kept_kb(many) - self._kept_kb(few)) / (many - few)
-        figures["real_kb_per_tenant"], figures["hollow_kb_per_tenant"] = real_kb, hollow_kb
-        figures["hollow_error_memory"] = hollow_kb / real_kb - 1
+        in_process_kb = (self._kept_kb(many) - self._kept_kb(few)) / (many - few)
+        figures["real_kb_per_tenant"], figures["hollow_kb_per_tenant"] = real_kb, in_process_kb
+        figures["hollow_error_memory"] = in_process_kb / real_kb - 1
         figures["hollow_error_change"] = need("tenants_change_ms", many) / need("real_change_core_ms", many) - 1
         bytes_s = PLAN.changes_per_s * ((figures["change_bytes"] or 0.0) + self._looks() * status_bytes)
         report_bytes, report_interval_s = figures.get("report_bytes"), figures.get("report_interval_s")
@@ -326,7 +334,7 @@
 
 async def confirmed(server: real.Server) -> tuple[dict[str, object], float]:
     """The status of a server once its change is confirmed, and how long the last question took, in milliseconds."""
-    async with asyncio.timeout(CONFIRMED_MOST_S):
+    async with asyncio.timeout(CONFIRMATION_TIMEOUT_S):
         while True:
             begun = time.perf_counter()
             looked = await ask_once(server.socket, "status", ASK_MS)
--- a/benchmarks/capacity/summary.py
+++ b/benchmarks/capacity/summary.py
@@ -1,6 +1,6 @@
 """The last line of a run: one JSON object with the keys by which versions are compared.
 
-Owns the names of the keys. What was not measured is null.
+What was not measured is null.
 """
 
 from __future__ import annotations
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.fit import Point, fit
 from benchmarks.capacity.page import NOT_MEASURED, exponent, number
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.results import HOLLOW, Measured, Series, measured_from
+from benchmarks.capacity.results import IN_PROCESS, Measured, Series, measured_from
 from benchmarks.capacity.rollout import spread
 from benchmarks.capacity.rows import BOUND, COST, NOISY, ROLES, Row, rows_of, worst_of
 from benchmarks.capacity.summary import summary_of
@@ -64,7 +64,7 @@
 
 
 def test_a_series_gives_what_was_measured_and_extrapolates_only_by_a_fit():
-    series = Series("s", "tenants", "ms", HOLLOW, tuple(law(2.0, 1.0)))
+    series = Series("s", "tenants", "ms", IN_PROCESS, tuple(law(2.0, 1.0)))
     assert series.at(700.0) == 1400.0 and series.measured_at(700.0)
     assert series.at(1_000.0) == pytest.approx(2_000.0) and not series.measured_at(1_000.0)
     short = replace(series, points=series.points[:3])
@@ -192,10 +192,10 @@
     """What is read of a real server with few tenants, and how it ended."""
     async with real.serving(folder, 50, changes=True) as server:
         reply = await ask_once(server.socket, "apply", document=in_process.part_for(0))
-        await server.open_lines(20)
+        await server.open_connections(20)
         async with real.echoing() as echo:
             times = await real.request_times(server, echo, 50, 40.0, 1.0, 7)
-        ended = [line.ended for line in server.lines]
+        ended = [connection.is_closed for connection in server.connections]
         process, resident, reports = server.process, server.resident_kb(), list(server.directory.reports)
     return reply, times, ended, process, resident, reports
 
