--- a/benchmarks/capacity/documents.py
+++ b/benchmarks/capacity/documents.py
@@ -1,7 +1,7 @@
-"""Configurations of a chosen size, in both forms, and the bounds that today refuse the plan's size.
+"""Configurations with a chosen number of tenants and traffic classes, in both forms.
 
-Owns the making of texts with so many tenants and grades, and `lifted_bounds`, under which a text over today's bounds
-is read all the same, so that its cost can be measured. Nothing of the server itself is changed by it.
+Under `lifted_bounds` a document that is larger than the server accepts is read all the same, so that its cost can be
+measured. Nothing else of the server is changed.
 """
 
 from __future__ import annotations
--- a/benchmarks/capacity/in_process.py
+++ b/benchmarks/capacity/in_process.py
@@ -1,8 +1,8 @@
-"""Costs of configuration and of decisions in this one process, without sockets: the "hollow" figures.
+"""Costs of configuration and of decisions in this process, without sockets: the "hollow" figures of the page.
 
-Owns the timing of the true code (document, plan, changes, generation, module) at chosen sizes. Times are processor
-time of this process, the median of several repeats; memory is what tracemalloc counts. real.py checks both against a
-real process; a figure here stands for a server only with that error beside it.
+The code of the server (document, plan, changes, generation, controller) is run at chosen sizes. Times are processor
+time of this process, the median of several repeats; memory is what tracemalloc counts. The run compares both with a
+real process, and the page shows the error.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 KEPT_CHANGES = 1  # over which the memory of one more change is told
 FULL_CHANGES = MAX_RECORDS_IN_MEMORY // 2 + 4  # each leaves two records, so that the history in memory is full by then
 WORK_MS = 40.0  # of a run on a core
-LONG_MS = 600_000.0  # a quoted time so long that nothing held falls due within a measurement
+LONG_MS = 600_000.0  # a latency objective and timeout that no queued request reaches within a measurement
 RING_BUCKETS = 16
 RINGS = 500
 
@@ -43,9 +43,9 @@
     times = []
     for _ in range(repeats):
         gc.collect()
-        begun = time.process_time_ns()
+        started_at_ns = time.process_time_ns()
         work()
-        times.append((time.process_time_ns() - begun) / 1e6)
+        times.append((time.process_time_ns() - started_at_ns) / 1e6)
     return float(median(times))
 
 
@@ -57,7 +57,7 @@
     return whole
 
 
-class Changing:
+class ChangeSteps:
     """The steps of a change in a server, without its event loop, history file and sockets."""
 
     def __init__(self, whole: Document) -> None:
@@ -76,9 +76,9 @@
             Generation(0, change.config).settings, 0, 0.0
         )  # made for nothing, as the server proves a change
         self.changes.stage(self.now, change)
-        begun, _ = self.changes.begin_applying(self.now)
-        assert begun.generation is not None
-        self.control.settings_changed(self.now, begun.generation.settings)
+        change_begun, _ = self.changes.begin_applying(self.now)
+        assert change_begun.generation is not None
+        self.control.settings_changed(self.now, change_begun.generation.settings)
         if self.changes.mark_applied(self.now) is None:  # on probation
             self.changes.confirm(self.now, "benchmark")
 
@@ -117,7 +117,7 @@
     other, _ = complete(merge(whole, part_for(0)))
     old, new = Generation(1, config_from(whole)).settings, Generation(2, config_from(other)).settings
     control = AdmissionController(old, SEED, 0.0)
-    changing, number = Changing(whole), iter(range(1, 1000))
+    changing, number = ChangeSteps(whole), iter(range(1, 1000))
     return ConfigurationCost(
         text_bytes=len(text),
         parse_ms=processor_ms(lambda: parse_document(text, "settings", with_positions=False), repeats),
@@ -146,22 +146,22 @@
     whole = whole_of(own_document(tenants, grades=grades))
     tracemalloc.start()
     try:
-        begun = counted()
+        bytes_before = traced_bytes()
         generation = Generation(1, config_from(whole))
         assert len(generation.tenant_names) == tenants
-        configuration = counted()
+        configuration = traced_bytes()
         control = AdmissionController(generation.settings, SEED, 0.0)
-        tables = counted()
+        tables = traced_bytes()
         del control
-        changing = Changing(whole)
+        changing = ChangeSteps(whole)
         changing.push(part_for(0))
-        first = counted()
+        first = traced_bytes()
         for number in range(1, KEPT_CHANGES + 1):
             changing.push(part_for(number))
-        change = (counted() - first) / KEPT_CHANGES
+        change = (traced_bytes() - first) / KEPT_CHANGES
     finally:
         tracemalloc.stop()
-    return MemoryCost(configuration - begun, tables - configuration, change)
+    return MemoryCost(configuration - bytes_before, tables - configuration, change)
 
 
 def full_history_bytes(tenants: int) -> float:
@@ -169,17 +169,17 @@
     whole = whole_of(own_document(tenants))
     tracemalloc.start()
     try:
-        changing = Changing(whole)
-        begun = counted()
+        changing = ChangeSteps(whole)
+        bytes_before = traced_bytes()
         for number in range(FULL_CHANGES):
             changing.push(part_for(number))
-        return counted() - begun
+        return traced_bytes() - bytes_before
     finally:
         tracemalloc.stop()
 
 
-def counted() -> int:
-    """Bytes that are in use."""
+def traced_bytes() -> int:
+    """Return the bytes that tracemalloc counts as in use."""
     gc.collect()
     return tracemalloc.get_traced_memory()[0]
 
@@ -188,12 +188,12 @@
     """What the ring of one tenant takes once every bucket of it has been used."""
     tracemalloc.start()
     try:
-        begun = counted()
+        bytes_before = traced_bytes()
         rings = [SlidingWindowSum(float(RING_BUCKETS)) for _ in range(RINGS)]
         for ring in rings:
             for bucket in range(RING_BUCKETS):
                 ring.add(bucket + 0.5, 1.0)
-        return (counted() - begun) / RINGS
+        return (traced_bytes() - bytes_before) / RINGS
     finally:
         tracemalloc.stop()
 
@@ -216,7 +216,7 @@
     owners = [chance.choice(customers) for _ in range(requests)]
     grades = [chance.choice(settings.traffic_classes).name for _ in range(requests)]
     running: list[tuple[float, int]] = []
-    begun = time.process_time_ns()
+    started_at_ns = time.process_time_ns()
     for ident in range(requests):
         now = ident * 1000 / rate
         while running and running[0][0] <= now:
@@ -226,7 +226,7 @@
         running += [
             (now + WORK_MS, change.id) for change in result.state_changes if change.state is RequestState.RUNNING
         ]
-    return (time.process_time_ns() - begun) / 1000 / requests
+    return (time.process_time_ns() - started_at_ns) / 1000 / requests
 
 
 def held_decision_us(settings: Settings, held: int, events: int) -> float:
@@ -249,10 +249,10 @@
 
     for _ in range(held + settings.core_count):
         read()
-    begun = time.process_time_ns()
+    started_at_ns = time.process_time_ns()
     for _ in range(events // 2):
         now += 1000 / 70.0
         take(control.run_ended(now, running.pop(0), Outcome.OK, 1.0))
         read()
-    spent = time.process_time_ns() - begun
+    spent = time.process_time_ns() - started_at_ns
     return spent / 1000 / (2 * (events // 2))
--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -1,8 +1,8 @@
 """How soon a change is in force everywhere by today's `nickelslip config rollout`, in simulated time.
 
-Owns a run of the true `Rollout` over so many nodes, each of which takes the measured time for a change and confirms it
-after its shortest probation, with as many orders out at once as the command has. All nodes are up and quick, so the
-times are the least that the command can reach.
+The `Rollout` of the command is run over simulated nodes. Each takes the measured time for a change and confirms it
+after its shortest canary period, with as many instructions in flight at once as the command allows. All nodes are up
+and quick, so the times are the shortest that the command can reach.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from nickelslip.configuration.rollout_runner import MAX_CONCURRENT_TARGETS, ROLLOUT_STATUS_WORDS
 
 STEP_MS = 50.0  # between the command's looks at its nodes
-MOST_MS = 600_000.0
+MAX_ROLLOUT_MS = 600_000.0
 DIGEST = "0" * 32
 
 
@@ -35,30 +35,30 @@
 
 def spread(servers: int, apply_ms: float, status_ms: float) -> Spread:
     """One roll-out over so many servers."""
-    terms, probation_ms = RolloutPolicy(), ChangeRules().canary_period_ms
-    plan = Rollout([f"n{number}" for number in range(servers)], terms, 0.0)
+    canary_period_ms = ChangeRules().canary_period_ms
+    plan = Rollout([f"n{number}" for number in range(servers)], RolloutPolicy(), 0.0)
     waiting: list[Instruction] = []
-    out: list[tuple[float, str, Action]] = []  # replies, by when they come
+    replies: list[tuple[float, str, Action]] = []  # a heap, by the time at which they come
     in_force: dict[str, float] = {}
     now = 0.0
-    while not plan.is_finished and now < MOST_MS:
+    while not plan.is_finished and now < MAX_ROLLOUT_MS:
         waiting += plan.advance(now)
         until = now + STEP_MS
         while True:
-            while waiting and len(out) < MAX_CONCURRENT_TARGETS:
-                order = waiting.pop(0)
-                took = status_ms if order.action is Action.CHECK_STATUS else apply_ms
-                heapq.heappush(out, (now + took, order.target, order.action))
-            if not out or out[0][0] > until:
+            while waiting and len(replies) < MAX_CONCURRENT_TARGETS:
+                instruction = waiting.pop(0)
+                reply_ms = status_ms if instruction.action is Action.CHECK_STATUS else apply_ms
+                heapq.heappush(replies, (now + reply_ms, instruction.target, instruction.action))
+            if not replies or replies[0][0] > until:
                 break
-            now, node, do = heapq.heappop(out)
-            if do is Action.APPLY:
+            now, node, action = heapq.heappop(replies)
+            if action is Action.APPLY:
                 in_force.setdefault(node, now)
-            step = "confirmed" if now >= in_force.get(node, now) + probation_ms else "on_probation"
-            plan.record_reply(now, node, do, _reply(step), DIGEST)
+            step = "confirmed" if now >= in_force.get(node, now) + canary_period_ms else "on_probation"
+            plan.record_reply(now, node, action, _reply(step), DIGEST)
         now = until
     course = ROLLOUT_STATUS_WORDS[plan.status if plan.is_finished else RolloutStatus.IN_PROGRESS]
-    return Spread(course, now / 1000, tuple(sorted(at / 1000 for at in in_force.values())))
+    return Spread(course, now / 1000, tuple(sorted(applied_at_ms / 1000 for applied_at_ms in in_force.values())))
 
 
 def _reply(step: str) -> dict[str, object]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -155,7 +155,7 @@
 
 
 def test_a_hollow_change_is_in_force_and_kept_as_in_a_server():
-    changing = in_process.Changing(in_process.whole_of(own_document(20)))
+    changing = in_process.ChangeSteps(in_process.whole_of(own_document(20)))
     for number_of in range(3):
         changing.push(in_process.part_for(number_of))
     held = changing.changes.in_force
@@ -165,7 +165,7 @@
 
 
 def test_a_full_history_holds_no_more_however_many_changes_follow():
-    changing = in_process.Changing(in_process.whole_of(own_document(10)))
+    changing = in_process.ChangeSteps(in_process.whole_of(own_document(10)))
     for number_of in range(1, in_process.FULL_CHANGES + 20):
         changing.push(in_process.rules_part_for(number_of))
     assert len(changing.changes.records) == changing.changes.records.maxlen
