--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -81,8 +81,20 @@
 
 
 def _server(measured: Measured) -> tuple[Row, ...]:
-    figures, tenants = measured.figures, PLAN.tenants
-    rows = [
+    return (
+        *_server_memory(measured),
+        *_server_time(measured),
+        *_server_bytes(measured),
+        *_server_process(measured),
+        *_server_bounds(measured),
+        *_added(measured),
+    )
+
+
+def _server_memory(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         _from(
             measured,
             SERVER,
@@ -130,6 +142,13 @@
             "tenants and changes off",
         ),
         _from(measured, SERVER, FULL_HISTORY, "tenants_full_history_kb", tenants, "MB", PLAN.control_mb, 1 / 1024),
+    ]
+
+
+def _server_time(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "processor time of control",
@@ -165,6 +184,13 @@
             "of a core",
             how="with one zone of six gone",
         ),
+    ]
+
+
+def _server_bytes(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "bytes of control a second",
@@ -183,6 +209,12 @@
             tenants,
             "text x changes a second",
         ),
+    ]
+
+
+def _server_process(measured: Measured) -> list[Row]:
+    tenants = PLAN.tenants
+    return [
         _from(measured, SERVER, "start until it answers, real", "real_tenants_ready_ms", tenants, "ms"),
         _from(
             measured,
@@ -210,6 +242,12 @@
             PLAN.callers,
             "of a core",
         ),
+    ]
+
+
+def _server_bounds(measured: Measured) -> list[Row]:
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "tenants in a document",
@@ -242,7 +280,6 @@
             kind=BOUND,
         ),
     ]
-    return (*rows, *_added(measured))
 
 
 def _active_mb(measured: Measured) -> float | None:
