--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -1,6 +1,5 @@
 """The rows of the page: each figure at the plan's size, the slope that it comes from, and the plan's limit.
 
-Owns which figures are held against which limit, by role, and the choice of the row that misses by the largest factor.
 A row whose figure was not measured has no value, and is never over its limit.
 """
 
@@ -20,7 +19,8 @@
 ROLES = (SERVER, CALLER, DIRECTORY, RECORDS, CONTROL, COMMAND)
 FULL_HISTORY = "memory of changes once the history in memory is full"
 COST, BOUND, NOISY = "cost", "bound", "noisy"
-HELD_MOST = 1024  # items, the most that were measured
+MAX_HELD = 1024  # items, the most that were measured
+MIN_WITH_SEPARATORS = 1000  # figures from here on are written whole, with separators of thousands
 
 
 @dataclass(frozen=True)
@@ -81,8 +81,20 @@
 
 
 def _server(measured: Measured) -> tuple[Row, ...]:
-    figures, tenants = measured.figures, PLAN.tenants
-    rows = [
+    return (
+        *_server_memory(measured),
+        *_server_time(measured),
+        *_server_bytes(measured),
+        *_server_process(measured),
+        *_server_bounds(measured),
+        *_added(measured),
+    )
+
+
+def _server_memory(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         _from(
             measured,
             SERVER,
@@ -130,6 +142,13 @@
             "tenants and changes off",
         ),
         _from(measured, SERVER, FULL_HISTORY, "tenants_full_history_kb", tenants, "MB", PLAN.control_mb, 1 / 1024),
+    ]
+
+
+def _server_time(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "processor time of control",
@@ -155,7 +174,7 @@
         _from(measured, SERVER, "two documents compared (plan)", "tenants_plan_ms", tenants, "ms"),
         _from(measured, SERVER, "decisions on one request, by tenants", "tenants_decision_us", tenants, "us"),
         _from(measured, SERVER, "decisions on one request, by grades", "grades_decision_us", MAX_NAMES["grades"], "us"),
-        _from(measured, SERVER, "a decision on one event, by held items", "held_decision_us", HELD_MOST, "us"),
+        _from(measured, SERVER, "a decision on one event, by held items", "held_decision_us", MAX_HELD, "us"),
         _from(
             measured,
             SERVER,
@@ -165,6 +184,13 @@
             "of a core",
             how="with one zone of six gone",
         ),
+    ]
+
+
+def _server_bytes(measured: Measured) -> list[Row]:
+    figures = measured.figures
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "bytes of control a second",
@@ -183,6 +209,12 @@
             tenants,
             "text x changes a second",
         ),
+    ]
+
+
+def _server_process(measured: Measured) -> list[Row]:
+    tenants = PLAN.tenants
+    return [
         _from(measured, SERVER, "start until it answers, real", "real_tenants_ready_ms", tenants, "ms"),
         _from(
             measured,
@@ -210,6 +242,12 @@
             PLAN.callers,
             "of a core",
         ),
+    ]
+
+
+def _server_bounds(measured: Measured) -> list[Row]:
+    tenants = PLAN.tenants
+    return [
         Row(
             SERVER,
             "tenants in a document",
@@ -242,7 +280,6 @@
             kind=BOUND,
         ),
     ]
-    return (*rows, *_added(measured))
 
 
 def _active_mb(measured: Measured) -> float | None:
@@ -347,4 +384,8 @@
 
 
 def _text(value: float | None) -> str:
-    return "not measured" if value is None else f"{value:,.0f}" if value >= 1000 else f"{value:.3g}"
+    if value is None:
+        return "not measured"
+    if value >= MIN_WITH_SEPARATORS:
+        return f"{value:,.0f}"
+    return f"{value:.3g}"
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -1,7 +1,6 @@
-"""One run of all measurements: hollow ones, real ones and simulated ones, one after the other.
+"""One run of all measurements: in this process, in real processes and in simulated time, one after the other.
 
-Owns the sizes at which each is done and the order. Each part fills in what it measured; nothing is filled in for a
-part that was not run.
+Each part adds what it measured; nothing is added for a part that was not run.
 """
 
 from __future__ import annotations
@@ -19,22 +18,24 @@
 
 import orjson
 
-from benchmarks.capacity import hollow, real
+from benchmarks.capacity import in_process, real
+from benchmarks.capacity.documents import lifted_bounds
 from benchmarks.capacity.plan import PLAN
-from benchmarks.capacity.results import FEW_TENANTS, HOLLOW, REAL, SIMULATED, Measured
+from benchmarks.capacity.results import FEW_TENANTS, IN_PROCESS, REAL, SIMULATED, Measured
 from benchmarks.capacity.rollout import spread
-from benchmarks.capacity.texts import lifted_bounds
+from benchmarks.sample_statistics import percentile_by_floor_index
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_client import ask_once
 from nickelslip.configuration.rollout import RolloutPolicy
 
 HELD_CORES, RATE_CORES = 2, 64
 REST_S = 1.2
-CHANGES_EACH = 3  # changes that are taken by a real server at each size
+CHANGES_PER_SIZE = 3  # taken by a real server
 ASK_MS = 20_000.0
-CONFIRMED_MOST_S = 8.0  # after a change, until it has to be confirmed
-WARM_LINES = 100  # connections that are open before those that are counted: a start leaves room for some
+CONFIRMATION_TIMEOUT_S = 8.0  # after a change, until it has to be confirmed
+WARM_CONNECTIONS = 100  # connections that are open before those that are counted: a start leaves room for some
 REPORTS_S = 3.0  # over which reports are counted
+MIN_REPORTS = 2  # for an interval
 
 
 @dataclass(frozen=True)
@@ -83,10 +84,18 @@
 
 
 class Run:
-    """One run; `measured` is what it has brought so far."""
-
-    def __init__(self, sizes: Sizes, seed: int, tell: Callable[[str], None]) -> None:
-        self._sizes, self._seed, self._tell = sizes, seed, tell
+    """One run; `measured` is what it has measured so far.
+
+    Args:
+        sizes: At which all is measured.
+        seed: For requests and decisions.
+        report_progress: Called with a line of text after each part.
+    """
+
+    def __init__(self, sizes: Sizes, seed: int, report_progress: Callable[[str], None]) -> None:
+        self._sizes = sizes
+        self._seed = seed
+        self._report_progress = report_progress
         self.measured = Measured()
 
     async def all(self, quick: bool) -> Measured:
@@ -118,54 +127,54 @@
 
     def _configurations(self) -> None:
         """What a settings document costs, by tenants and by grades."""
-        costs = {size: asdict(hollow.configuration_cost(size, self._sizes.repeats)) for size in self._sizes.tenants}
+        costs = {size: asdict(in_process.configuration_cost(size, self._sizes.repeats)) for size in self._sizes.tenants}
         for name in next(iter(costs.values())):
             unit = "bytes" if name.endswith("bytes") else "ms"
             points = {size: cost[name] for size, cost in costs.items()}
-            self.measured.add(f"tenants_{name}", "tenants", unit, HOLLOW, points)
+            self.measured.add(f"tenants_{name}", "tenants", unit, IN_PROCESS, points)
         points = {
-            size: hollow.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
+            size: in_process.configuration_cost(1, self._sizes.repeats, size).change_ms for size in self._sizes.grades
         }
-        self.measured.add("grades_change_ms", "grades", "ms", HOLLOW, points)
-        self._tell("configurations measured")
+        self.measured.add("grades_change_ms", "grades", "ms", IN_PROCESS, points)
+        self._report_progress("configurations measured")
 
     def _memory(self) -> None:
         """What is kept for each tenant."""
-        costs = {size: asdict(hollow.memory_cost(size)) for size in self._sizes.tenants}
+        costs = {size: asdict(in_process.memory_cost(size)) for size in self._sizes.tenants}
         for name in ("configuration", "tables", "change"):
             points = {size: cost[name] / 1024 for size, cost in costs.items()}
-            self.measured.add(f"tenants_{name}_kb", "tenants", "KB", HOLLOW, points)
-        points = {size: hollow.full_history_bytes(size) / 1024 for size in self._sizes.history_tenants}
-        self.measured.add("tenants_full_history_kb", "tenants", "KB", HOLLOW, points)
-        self.measured.figures["active_ring_bytes"] = hollow.active_ring_bytes()
-        self._tell("memory measured")
+            self.measured.add(f"tenants_{name}_kb", "tenants", "KB", IN_PROCESS, points)
+        points = {size: in_process.full_history_bytes(size) / 1024 for size in self._sizes.history_tenants}
+        self.measured.add("tenants_full_history_kb", "tenants", "KB", IN_PROCESS, points)
+        self.measured.figures["active_ring_bytes"] = in_process.active_ring_bytes()
+        self._report_progress("memory measured")
 
     def _decisions(self) -> None:
         """What the module takes for a request or an event."""
         sizes = self._sizes
         rate = PLAN.requests_per_server_s
 
-        def one(tenants: int, grades: int | None = None, at_rate: float = rate) -> float:
-            settings = hollow.settings_for(tenants, grades, core_count=RATE_CORES)
+        def decision_us(tenants: int, grades: int | None = None, rate_per_s: float = rate) -> float:
+            settings = in_process.settings_for(tenants, grades, core_count=RATE_CORES)
             return median(
-                hollow.decision_us(settings, at_rate, sizes.requests, self._seed + trial) for trial in range(3)
+                in_process.decision_us(settings, rate_per_s, sizes.requests, self._seed + trial) for trial in range(3)
             )
 
-        points = {size: one(size) for size in sizes.tenants}
-        self.measured.add("tenants_decision_us", "tenants", "us a request", HOLLOW, points)
-        points = {size: one(1, size) for size in sizes.grades}
-        self.measured.add("grades_decision_us", "grades", "us a request", HOLLOW, points)
-        shares = {at: one(PLAN.tenants, None, at) * at / 1e6 for at in sizes.rates}
-        self.measured.add("rate_decision_share", "requests a second", "of a core", HOLLOW, shares)
-        settings = hollow.settings_for(FEW_TENANTS, core_count=HELD_CORES)
+        points = {size: decision_us(size) for size in sizes.tenants}
+        self.measured.add("tenants_decision_us", "tenants", "us a request", IN_PROCESS, points)
+        points = {size: decision_us(1, size) for size in sizes.grades}
+        self.measured.add("grades_decision_us", "grades", "us a request", IN_PROCESS, points)
+        shares = {rate: decision_us(PLAN.tenants, None, rate) * rate / 1e6 for rate in sizes.rates}
+        self.measured.add("rate_decision_share", "requests a second", "of a core", IN_PROCESS, shares)
+        settings = in_process.settings_for(FEW_TENANTS, core_count=HELD_CORES)
         grades = tuple(
-            replace(grade, latency_objective_ms=hollow.LONG_MS, timeout_ms=hollow.LONG_MS)
+            replace(grade, latency_objective_ms=in_process.LONG_MS, timeout_ms=in_process.LONG_MS)
             for grade in settings.traffic_classes
         )
         settings = replace(settings, traffic_classes=grades)
-        points = {size: hollow.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
-        self.measured.add("held_decision_us", "held items", "us an event", HOLLOW, points)
-        self._tell("decisions measured")
+        points = {size: in_process.held_decision_us(settings, size, sizes.requests) for size in sizes.held}
+        self.measured.add("held_decision_us", "held items", "us an event", IN_PROCESS, points)
+        self._report_progress("decisions measured")
 
     async def _processes(self, folder: Path) -> None:
         """Start time and resident memory of real processes, and the reports of one."""
@@ -177,14 +186,14 @@
                     await self._reports(server)
         self.measured.add("real_tenants_ready_ms", "tenants", "ms", REAL, ready)
         self.measured.add("real_tenants_resident_kb", "tenants", "KB", REAL, resident)
-        self._tell("processes measured")
+        self._report_progress("processes measured")
 
     async def _reports(self, server: real.Server) -> None:
         begun = len(server.directory.reports)
         await asyncio.sleep(REPORTS_S)
         reports = server.directory.reports[begun:]
         figures = self.measured.figures
-        if len(reports) >= 2:
+        if len(reports) >= MIN_REPORTS:
             figures["report_bytes"] = reports[-1][1] + real.UDP_HEADERS
             figures["report_interval_s"] = (reports[-1][0] - reports[0][0]) / (len(reports) - 1)
 
@@ -192,18 +201,18 @@
         """What open connections at rest cost a real process."""
         memory, share = {}, {}
         async with real.serving(folder, FEW_TENANTS) as server:
-            await server.open_lines(WARM_LINES)
+            await server.open_connections(WARM_CONNECTIONS)
             before = server.resident_kb()
             self.measured.figures["rest_core_share"] = await server.processor_share(REST_S)
             for size in self._sizes.connections:
-                await server.open_lines(WARM_LINES + size)
+                await server.open_connections(WARM_CONNECTIONS + size)
                 share[size] = await server.processor_share(REST_S)
                 memory[size] = server.resident_kb() - before
-                if any(line.ended for line in server.lines):
+                if any(connection.is_closed for connection in server.connections):
                     raise RuntimeError("the server ended a connection that was to rest")
         self.measured.add("connections_kb", "connections", "KB", REAL, memory)
         self.measured.add("connections_core_share", "connections", "of a core", REAL, share)
-        self._tell("connections measured")
+        self._report_progress("connections measured")
 
     async def _changes(self, folder: Path) -> None:
         """What a change costs a real process, and what it keeps of it."""
@@ -211,9 +220,9 @@
         for size in self._sizes.real_tenants:
             async with real.serving(folder, size, changes=True) as server:
                 trips, cores, resident = [], [], []
-                for number in range(CHANGES_EACH):
+                for number in range(CHANGES_PER_SIZE):
                     had, begun = server.processor_ms(), time.perf_counter()
-                    reply = await ask_once(server.socket, "apply", ASK_MS, document=hollow.part_for(number))
+                    reply = await ask_once(server.socket, "apply", ASK_MS, document=in_process.part_for(number))
                     trips.append((time.perf_counter() - begun) * 1000)
                     cores.append(server.processor_ms() - had)
                     if not reply["ok"]:
@@ -222,29 +231,30 @@
                     resident.append(server.resident_kb())
                 took[size], spent[size] = median(trips), median(cores)
                 kept[size] = resident[-1]
-                self.measured.figures["change_bytes"] = len(orjson.dumps(hollow.part_for(0))) + len(orjson.dumps(reply))
+                change_bytes = len(orjson.dumps(in_process.part_for(0)))
+                self.measured.figures["change_bytes"] = change_bytes + len(orjson.dumps(reply))
                 self.measured.figures["status_bytes"] = len(orjson.dumps(looked))
         self.measured.add("real_change_ms", "tenants", "ms", REAL, took)
         self.measured.add("real_change_core_ms", "tenants", "ms", REAL, spent)
         self.measured.add("real_changed_resident_kb", "tenants", "KB", REAL, kept)
         self.measured.figures["status_ms"] = status
-        self._tell("changes measured")
+        self._report_progress("changes measured")
 
     async def _history(self, folder: Path) -> None:
-        """The memory of a full history in a real process, against the hollow figure at the same size."""
+        """The memory of a full history in a real process, against the in-process figure at the same size."""
         tenants = max(self._sizes.history_tenants)
         async with real.serving(folder, tenants, changes=True) as server:
             before = server.resident_kb()
-            for number in range(1, hollow.FULL_CHANGES + 1):
-                reply = await ask_once(server.socket, "apply", ASK_MS, document=hollow.rules_part_for(number))
+            for number in range(1, in_process.FULL_CHANGES + 1):
+                reply = await ask_once(server.socket, "apply", ASK_MS, document=in_process.rules_part_for(number))
                 if not reply["ok"]:
                     raise RuntimeError(f"a change was not taken: {reply['text']}")
             real_kb = server.resident_kb() - before
-        hollow_kb = self.measured.at("tenants_full_history_kb", tenants)
-        assert hollow_kb is not None
+        in_process_kb = self.measured.at("tenants_full_history_kb", tenants)
+        assert in_process_kb is not None
         self.measured.figures["real_full_history_kb"] = real_kb
-        self.measured.figures["hollow_error_history"] = hollow_kb / real_kb - 1
-        self._tell("history measured")
+        self.measured.figures["hollow_error_history"] = in_process_kb / real_kb - 1
+        self._report_progress("history measured")
 
     async def _requests(self, folder: Path) -> None:
         """What a real process adds to a request, beside an echo."""
@@ -256,13 +266,13 @@
                     for times in (1, 3):
                         seen = await real.request_times(server, echo, tenants, times * rate, span_s, self._seed)
                         at = f"{tenants}_{times}x"
-                        figures[f"added_ms_p50_{at}"] = percentile(seen.server_ms, 0.5)
-                        figures[f"added_ms_p99_{at}"] = percentile(seen.server_ms, 0.99)
-                        figures[f"added_echo_ms_p99_{at}"] = percentile(seen.echo_ms, 0.99)
+                        figures[f"added_ms_p50_{at}"] = percentile_by_floor_index(seen.server_ms, 0.5)
+                        figures[f"added_ms_p99_{at}"] = percentile_by_floor_index(seen.server_ms, 0.99)
+                        figures[f"added_echo_ms_p99_{at}"] = percentile_by_floor_index(seen.echo_ms, 0.99)
                         figures[f"request_core_share_{at}"] = seen.core_share
                         figures[f"requests_{at}"] = len(seen.server_ms)
                         figures[f"requests_failed_{at}"] = seen.failed
-        self._tell("requests measured")
+        self._report_progress("requests measured")
 
     def _rollouts(self) -> None:
         """Roll-outs in simulated time, with the measured times of a change and a look."""
@@ -271,18 +281,18 @@
         assert apply_ms is not None and status_ms is not None
         last, took = {}, {}
         for size in self._sizes.servers:
-            one = spread(size, apply_ms, status_ms)
-            last[size], took[size] = one.in_force_s[-1], one.took_s
-            self.measured.notes[f"rollout_{size}"] = one.course
+            rollout = spread(size, apply_ms, status_ms)
+            last[size], took[size] = rollout.in_force_s[-1], rollout.took_s
+            self.measured.notes[f"rollout_{size}"] = rollout.course
             if size == PLAN.servers:
-                self.measured.figures["simulated_in_force_s_p99"] = one.percentile(0.99)
-                self.measured.figures["simulated_in_force_s_max"] = one.in_force_s[-1]
+                self.measured.figures["simulated_in_force_s_p99"] = rollout.percentile(0.99)
+                self.measured.figures["simulated_in_force_s_max"] = rollout.in_force_s[-1]
         self.measured.add("rollout_in_force_s", "servers", "s", SIMULATED, last)
         self.measured.add("rollout_took_s", "servers", "s", SIMULATED, took)
-        self._tell("roll-outs simulated")
+        self._report_progress("roll-outs simulated")
 
     def _together(self) -> None:
-        """Figures that follow from several: the control side of a server, and hollow against real."""
+        """Figures that follow from several: the control side of a server, and in-process figures against real ones."""
         measured, figures = self.measured, self.measured.figures
         few, many = min(self._sizes.real_tenants), PLAN.tenants
 
@@ -291,20 +301,21 @@
             assert value is not None, name
             return value
 
-        rest = figures["rest_core_share"]
-        assert rest is not None
+        rest, status_bytes = figures["rest_core_share"], figures["status_bytes"]
+        assert rest is not None and status_bytes is not None
         figures["control_core_share"] = rest + need("real_change_core_ms", many) / 1000 * PLAN.changes_per_s
         base = need("real_tenants_resident_kb", few)
         figures["control_mb"] = (need("real_changed_resident_kb", many) - base) / 1024
-        figures["control_changes_kept"] = CHANGES_EACH
+        figures["control_changes_kept"] = CHANGES_PER_SIZE
         real_kb = (need("real_tenants_resident_kb", many) - base) / (many - few)
-        hollow_kb = (self._kept_kb(many) - self._kept_kb(few)) / (many - few)
-        figures["real_kb_per_tenant"], figures["hollow_kb_per_tenant"] = real_kb, hollow_kb
-        figures["hollow_error_memory"] = hollow_kb / real_kb - 1
+        in_process_kb = (self._kept_kb(many) - self._kept_kb(few)) / (many - few)
+        figures["real_kb_per_tenant"], figures["hollow_kb_per_tenant"] = real_kb, in_process_kb
+        figures["hollow_error_memory"] = in_process_kb / real_kb - 1
         figures["hollow_error_change"] = need("tenants_change_ms", many) / need("real_change_core_ms", many) - 1
-        bytes_s = PLAN.changes_per_s * ((figures["change_bytes"] or 0.0) + self._looks() * figures["status_bytes"])
-        if figures.get("report_bytes") is not None and figures.get("report_interval_s"):
-            bytes_s += figures["report_bytes"] / figures["report_interval_s"]
+        bytes_s = PLAN.changes_per_s * ((figures["change_bytes"] or 0.0) + self._looks() * status_bytes)
+        report_bytes, report_interval_s = figures.get("report_bytes"), figures.get("report_interval_s")
+        if report_bytes is not None and report_interval_s:
+            bytes_s += report_bytes / report_interval_s
             figures["control_bytes_s"] = bytes_s
         text = need("tenants_text_bytes", many)
         figures["whole_documents_bytes_s"] = text * PLAN.changes_per_s
@@ -323,7 +334,7 @@
 
 async def confirmed(server: real.Server) -> tuple[dict[str, object], float]:
     """The status of a server once its change is confirmed, and how long the last question took, in milliseconds."""
-    async with asyncio.timeout(CONFIRMED_MOST_S):
+    async with asyncio.timeout(CONFIRMATION_TIMEOUT_S):
         while True:
             begun = time.perf_counter()
             looked = await ask_once(server.socket, "status", ASK_MS)
@@ -331,8 +342,3 @@
             if looked["step"] == "confirmed":
                 return looked, took
             await asyncio.sleep(0.1)
-
-
-def percentile(ordered: tuple[float, ...], part: float) -> float:
-    """Of figures in order, the one at this part."""
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -18,7 +18,7 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.watched import Witness, watch
+from benchmarks.generation_watch import GenerationWatch, install
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import RequestState
@@ -59,8 +59,8 @@
     """A witness of every event of every request."""
     for part, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
         monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
-    seen = Witness()
-    watch(seen)
+    seen = GenerationWatch()
+    install(seen)
     return seen
 
 
@@ -99,7 +99,7 @@
         assert len(rig.pool.told("spawn", A)) == 1 and not rig.pool.told("spawn", C)
         await client.ask("00000000000000e5", "book", opkey="k2")
         assert (await client.answer())[:2] == (5, "error")
-        assert not witness.mixed and witness.across >= 4 and len(witness.first) == 4
+        assert not witness.mixed_requests and witness.events_across_generations >= 4 and len(witness.first_seen) == 4
 
 
 async def test_the_witness_catches_a_request_that_is_moved_to_another_generation(witness):
@@ -111,7 +111,7 @@
         control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
         await rig.pool.finish(A)
         await client.answer()
-        assert witness.mixed == {int(A, 16)}
+        assert witness.mixed_requests == {int(A, 16)}
 
 
 async def test_the_controller_keeps_its_measurements_and_advertised_weight_over_a_change():
