--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -30,6 +30,7 @@
 from nickelslip.admission.idempotency_records import IdempotencyRecords
 from nickelslip.admission.idle_connections import IdleConnectionTimeout
 from nickelslip.admission.interface import (
+    FINAL_STATES,
     Arrival,
     Decisions,
     Gauges,
@@ -49,12 +50,6 @@
 from nickelslip.admission.tenant_quotas import TenantQuotas
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-FINAL_STATES = (
-    RequestState.COMPLETED,
-    RequestState.REJECTED,
-    RequestState.FAILED,
-    RequestState.CANCELLED,
-)
 # A final state entered from one of these leaves nothing behind. From any other, the request is ORPHANED until the
 # server says that its run is over.
 STATES_OFF_THE_CORES = (RequestState.QUEUED, RequestState.COALESCED, RequestState.PAUSED)
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -74,6 +74,9 @@
     __hash__ = object.__hash__  # states are keys at every step; Enum's own hash is a call of Python code
 
 
+FINAL_STATES = (RequestState.COMPLETED, RequestState.REJECTED, RequestState.FAILED, RequestState.CANCELLED)
+
+
 @dataclass(frozen=True)
 class TrafficClass:
     """A class of requests, as it is configured."""
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -365,7 +365,7 @@
         wave_fractions=waves or RolloutPolicy.wave_fractions,
         max_unreachable_count=max_unreachable_count,
         unreachable_after_ms=unreachable_after_ms,
-        max_canary_period_ms=max_canary_period_ms,
+        canary_timeout_ms=max_canary_period_ms,
         reply_timeout_ms=min(MAX_REPLY_TIMEOUT_MS, unreachable_after_ms),
     )
     try:
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -119,7 +119,7 @@
     reply_timeout_ms: float = 5000.0
     unreachable_after_ms: float = 15_000.0
     status_check_interval_ms: float = 500.0
-    max_canary_period_ms: float = 180_000.0
+    canary_timeout_ms: float = 180_000.0
     rollback_timeout_ms: float = 30_000.0
 
 
@@ -263,7 +263,7 @@
         in_state_ms = now_ms - target.entered_at_ms
         if target.state in UNDECIDED and silent_ms > self._policy.unreachable_after_ms:
             self._enter(target, TargetState.UNREACHABLE, now_ms, "no answer in time")
-        elif target.state is TargetState.IN_CANARY_PERIOD and in_state_ms > self._policy.max_canary_period_ms:
+        elif target.state is TargetState.IN_CANARY_PERIOD and in_state_ms > self._policy.canary_timeout_ms:
             self._enter(target, TargetState.UNREACHABLE, now_ms, "its probation does not end")
 
     def _check_wave(self, now_ms: float) -> None:
--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -12,8 +12,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from nickelslip.admission.interface import RequestState, RetrySafety
-from nickelslip.server.requests import FINAL_STATES, Request
+from nickelslip.admission.interface import FINAL_STATES, RequestState, RetrySafety
+from nickelslip.server.requests import Request
 from nickelslip.server.worker_pool_protocol import (
     QueryGauges,
     ResumeWithoutCall,
@@ -32,30 +32,30 @@
 
     SEND_AGAIN = "arriving twice does no harm"
     START_OVER = "it cannot be sent again; its run is stopped, and admission control starts it anew"
-    LEAVE = "it may have arrived, and must not arrive twice"
+    DO_NOT_SEND = "it may have arrived, and must not arrive twice"
 
 
 def resend_decision(command: RunCommand, can_stop_runs: bool) -> ResendDecision:
     """Decide, once all missed notifications were read, whether a command that may be lost is sent again."""
     request = command.request
-    if not request.run_is_out or request.state in FINAL_STATES:
-        return ResendDecision.LEAVE
+    if not request.has_unfinished_run or request.state in FINAL_STATES:
+        return ResendDecision.DO_NOT_SEND
     if isinstance(command, StartRun) and _is_start_repeatable(request):
         return ResendDecision.SEND_AGAIN
     if isinstance(command, ResumeWithoutCall) and _stands_at_call(request, command.call_seq):
         return ResendDecision.SEND_AGAIN
     if isinstance(command, ResumeWithReply) and can_stop_runs and _is_run_repeatable(request):
         return ResendDecision.START_OVER
-    return ResendDecision.LEAVE
+    return ResendDecision.DO_NOT_SEND
 
 
 def _is_start_repeatable(request: Request) -> bool:
     """A start may come twice where nothing was heard of the run and a second run does no harm."""
-    return not request.notified and _is_idempotent(request)
+    return not request.heard_since_last_command and _is_idempotent(request)
 
 
 def _stands_at_call(request: Request, call_seq: int) -> bool:
-    """Leave to go on without a call names that call's notification, and has no effect at any other call."""
+    """Permission to continue without a call names that call's notification, and has no effect at any other call."""
     return request.state is RequestState.DEGRADED and call_seq == request.call.seq
 
 
@@ -65,7 +65,7 @@
     An idempotent run of which nothing was heard since is run again instead. Left alone it would stand at its call, and
     keep its slot, until its deadline.
     """
-    return request.state is RequestState.RUNNING and not request.notified and _is_idempotent(request)
+    return request.state is RequestState.RUNNING and not request.heard_since_last_command and _is_idempotent(request)
 
 
 def _is_idempotent(request: Request) -> bool:
@@ -127,7 +127,7 @@
             for command in [*self._possibly_lost, *self._unconfirmed]
             if not isinstance(command, QueryGauges | StopRun)
         }
-        self._possibly_lost = [command for request, command in last_by_request.items() if request.run_is_out]
+        self._possibly_lost = [command for request, command in last_by_request.items() if request.has_unfinished_run]
         self._unconfirmed_runs = dict.fromkeys(
             (*self._unconfirmed_runs, *(command.request for command in self._possibly_lost)),
             UnconfirmedRun(0, self._answer_count),
@@ -192,7 +192,9 @@
         already, or the worker pool answers that it is too late for it, and so the run is confirmed or over.
         """
         requests = [
-            request for request in self._unconfirmed_runs if _is_nobody_waiting(request) and not request.notified
+            request
+            for request in self._unconfirmed_runs
+            if _is_nobody_waiting(request) and not request.heard_since_last_command
         ]
         for request in requests:
             del self._unconfirmed_runs[request]
--- a/nickelslip/server/lifecycle.py
+++ b/nickelslip/server/lifecycle.py
@@ -18,7 +18,7 @@
     WAITING = "the worker pool is not up yet"
     SERVING = "requests are read and decided"
     DRAINING = "shutting down: requests received in time are run, the rest is answered"
-    SHUTTING_DOWN = "the grace period is over and no answer is owed: connections are being closed"
+    SHUTTING_DOWN = "connections are being closed"
     FAILED = "the admission controller or a task raised: all requests are answered with a failure, and the server ends"
 
 
--- a/nickelslip/server/open_requests.py
+++ b/nickelslip/server/open_requests.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from nickelslip.admission.interface import Outcome
+from nickelslip.admission.interface import FINAL_STATES, Outcome
 from nickelslip.server.log_sampling import is_power_of_two
 from nickelslip.server.request_lifecycle import run_request_lifecycle
-from nickelslip.server.requests import FINAL_STATES, Request
+from nickelslip.server.requests import Request
 
 if TYPE_CHECKING:  # types only; importing them would lengthen the start
     from nickelslip.server.decision_executor import DecisionExecutor
--- a/nickelslip/server/request_lifecycle.py
+++ b/nickelslip/server/request_lifecycle.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import TYPE_CHECKING
 
-from nickelslip.admission.interface import Outcome, RequestState
+from nickelslip.admission.interface import FINAL_STATES, Outcome, RequestState
 from nickelslip.server.close_reasons import ABANDONED_CALL_OUTCOME
 from nickelslip.server.request_events import (
     CallRequested,
@@ -18,7 +18,7 @@
     RequestEvent,
     RunFinished,
 )
-from nickelslip.server.requests import FINAL_STATES, Answer, Request
+from nickelslip.server.requests import Answer, Request
 
 if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
     from nickelslip.server.interfaces import DecisionSink, RequestActions
@@ -69,7 +69,7 @@
 
 def _handle_call_requested(sink: DecisionSink, request: Request, event: CallRequested) -> None:
     """Record the call at which the run stands, and ask for permission to make it."""
-    request.notified = True
+    request.heard_since_last_command = True
     request.call = event
     if request.state in (RequestState.RUNNING, RequestState.DEGRADED):
         request.enter(RequestState.AWAITING_CALL)
@@ -95,7 +95,7 @@
     """Report the end of the run and answer with its result; a run that was stopped is queued again."""
     if request.state is RequestState.CALL_IN_FLIGHT:
         actions.dependency_client.give_up(request)
-    request.run_is_out = False
+    request.has_unfinished_run = False
     if event.outcome is Outcome.CANCELLED and request.state in (RequestState.RUNNING, RequestState.DEGRADED):
         request.enter(RequestState.QUEUED)
         sink.run_ended(request, event.outcome, event.took_ms)
--- a/nickelslip/server/requests.py
+++ b/nickelslip/server/requests.py
@@ -14,11 +14,10 @@
 
 import anyio
 
-from nickelslip.admission.interface import Arrival, RequestState
+from nickelslip.admission.interface import FINAL_STATES, Arrival, RequestState
 from nickelslip.configuration.generations import Generation
 from nickelslip.server.request_events import CallRequested, ClientDisconnected, RequestEvent, RunFinished
 
-FINAL_STATES = (RequestState.COMPLETED, RequestState.REJECTED, RequestState.FAILED, RequestState.CANCELLED)
 MAILBOX_CAPACITY = 64  # events that may wait; the two events that end a request are accepted beyond it
 
 
@@ -108,8 +107,9 @@
         state: Current state.
         answered: Whether an answer was written.
         client_gone: Whether the client cancelled the request or closed its connection.
-        run_is_out: Whether the worker pool has a run of it that has not ended.
-        notified: Whether the worker pool has sent anything about that run since it was last started or resumed.
+        has_unfinished_run: Whether the worker pool has a run of it that has not ended.
+        heard_since_last_command: Whether the worker pool has sent anything about that run since it was last started
+            or resumed.
         call_transports: The connections on which its calls were sent.
         call: The call at which its run stands, or last stood.
         call_started_at_ms: When the latest call was sent.
@@ -129,8 +129,8 @@
         self.state = RequestState.QUEUED
         self.answered = False
         self.client_gone = False
-        self.run_is_out = False
-        self.notified = False
+        self.has_unfinished_run = False
+        self.heard_since_last_command = False
         self.call_transports: list[object] = []
         self.call = CallRequested(0, b"")
         self.call_started_at_ms = 0.0
@@ -150,7 +150,7 @@
         """
         if self.state in FINAL_STATES:
             return
-        if state in FINAL_STATES and self.run_is_out:
+        if state in FINAL_STATES and self.has_unfinished_run:
             self.state = RequestState.ORPHANED
         else:
             self.state = state
@@ -195,6 +195,6 @@
     """Answer these requests with a failure and end them, whether or not their runs are out."""
     for request in requests:
         request.answer(Answer(RequestState.FAILED, advertised_weight))
-        request.run_is_out = False
+        request.has_unfinished_run = False
         request.enter(RequestState.FAILED)
         request.wake()
--- a/nickelslip/server/state_changes.py
+++ b/nickelslip/server/state_changes.py
@@ -33,15 +33,15 @@
 
 
 def _start_run(actions: RequestActions, request: Request) -> None:
-    request.run_is_out = True
-    request.notified = False
+    request.has_unfinished_run = True
+    request.heard_since_last_command = False
     request.enter(RequestState.RUNNING)
     actions.worker_pool.start(request)
 
 
 def _stop_run(actions: RequestActions, request: Request) -> None:
     """Ask the worker pool to stop the run; the state changes when the end of the run is reported."""
-    if request.run_is_out:
+    if request.has_unfinished_run:
         actions.worker_pool.stop(request)
 
 
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -109,12 +109,12 @@
 
     def resume_with_reply(self, request: Request, body: bytes) -> None:
         """Resume this request's run with the reply to its call."""
-        request.notified = False
+        request.heard_since_last_command = False
         self._send(ResumeWithReply(request, body))
 
     def resume_without_call(self, request: Request) -> None:
         """Resume this request's run without the call at which it stands."""
-        request.notified = False
+        request.heard_since_last_command = False
         self._send(ResumeWithoutCall(request, request.call.seq))
 
     def request_gauges(self) -> None:
@@ -156,7 +156,7 @@
             return
         try:
             envelope = decode_envelope(line.data)
-            if envelope.seq is not None and not self._is_new(envelope.seq):
+            if envelope.seq is not None and not self._count_if_new(envelope.seq):
                 return
             self._handle(decode_notification(envelope))
         except MalformedNotificationError as error:
@@ -173,10 +173,10 @@
         """
         self._owner.log.error("malformed_notification", error=error, line=repr(line[:LOGGED_LINE_BYTES]))
         fragment = decode_fragment(line)
-        if fragment is not None and self._is_new(fragment.seq) and fragment.notification is not None:
+        if fragment is not None and self._count_if_new(fragment.seq) and fragment.notification is not None:
             self._handle_run(fragment.notification)
 
-    def _is_new(self, seq: int) -> bool:
+    def _count_if_new(self, seq: int) -> bool:
         """Count the notification with this number, and return whether it has not been read before."""
         if seq <= self._last_seq:
             return False
@@ -190,7 +190,7 @@
             case RunEnded() | CallReached() | RunMentioned():
                 self._handle_run(notification)
             case GaugesReported(tag, values):
-                self._handle_gauges(tag, values)
+                self._handle_query_answer(tag, values)
             case Bound(outcome, ago_ms):
                 self._handle_bound(outcome, ago_ms)
             case CommandNotExecuted():
@@ -223,11 +223,11 @@
         unsent = self._unsent
         self._unsent = deque()
         for command in unsent:
-            if command.request.run_is_out:
+            if command.request.has_unfinished_run:
                 self._send(command)
         self._owner.worker_pool_started(ago_ms)
 
-    def _handle_gauges(self, tag: str, values: object) -> None:
+    def _handle_query_answer(self, tag: str, values: object) -> None:
         """Take the answer to a query, first as the confirmation of what was written before it, then for its values.
 
         Raises:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -122,7 +122,7 @@
 
 
 START, REPLY, SKIP = StartRun, partial(ResumeWithReply, body=b"reply"), partial(ResumeWithoutCall, call_seq=7)
-AGAIN, OVER, LEAVE = ResendDecision.SEND_AGAIN, ResendDecision.START_OVER, ResendDecision.LEAVE
+AGAIN, OVER, LEAVE = ResendDecision.SEND_AGAIN, ResendDecision.START_OVER, ResendDecision.DO_NOT_SEND
 
 
 @pytest.mark.parametrize(
@@ -132,13 +132,13 @@
         (START, {}, False, AGAIN),
         (START, {"safety": RetrySafety.IDEMPOTENCY_KEY}, True, LEAVE),
         (START, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
-        (START, {"notified": True}, True, LEAVE),  # it has arrived
-        (START, {"run_is_out": False}, True, LEAVE),
+        (START, {"heard_since_last_command": True}, True, LEAVE),  # it has arrived
+        (START, {"has_unfinished_run": False}, True, LEAVE),
         (START, {"state": RequestState.CANCELLED}, True, LEAVE),
         (REPLY, {}, True, OVER),
         (REPLY, {}, False, LEAVE),
         (REPLY, {"safety": RetrySafety.NON_IDEMPOTENT}, True, LEAVE),
-        (REPLY, {"notified": True}, True, LEAVE),
+        (REPLY, {"heard_since_last_command": True}, True, LEAVE),
         (REPLY, {"state": RequestState.ORPHANED}, True, LEAVE),
         (SKIP, {"state": RequestState.DEGRADED}, True, AGAIN),
         (SKIP, {"state": RequestState.DEGRADED, "safety": RetrySafety.NON_IDEMPOTENT}, False, AGAIN),
@@ -149,12 +149,12 @@
 def test_a_command_that_may_be_lost_is_sent_again_only_where_arriving_twice_does_no_harm(
     command, changed, can_stop_runs, decision
 ):
-    facts = {"state": RequestState.RUNNING, "run_is_out": True, "notified": False, "seq": 7}
+    facts = {"state": RequestState.RUNNING, "has_unfinished_run": True, "heard_since_last_command": False, "seq": 7}
     facts |= {"safety": RetrySafety.IDEMPOTENT} | changed
     request = SimpleNamespace(
         state=facts["state"],
-        run_is_out=facts["run_is_out"],
-        notified=facts["notified"],
+        has_unfinished_run=facts["has_unfinished_run"],
+        heard_since_last_command=facts["heard_since_last_command"],
         call=SimpleNamespace(seq=facts["seq"]),
         received=SimpleNamespace(traffic_class="read"),
         generation=SimpleNamespace(retry_safety_by_class={"read": facts["safety"]}),
