--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -101,7 +101,7 @@
 async def test_a_client_that_does_not_read_its_answers_blocks_nobody_and_is_closed(monkeypatch):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
-        rig.node.stall_ms = 300.0
+        vars(rig.node.generation)["longest_timeout_ms"] = 300.0  # for unread answers, too
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             deaf.connect(("127.0.0.1", rig.port))
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -134,7 +134,13 @@
             await fleet.wait_until(lambda: fleet.local_services.pools["n1"].is_linked)
             took.append(fleet.history.clock() - started)
             await fleet.kill("n1")
-        assert took[3] > took[2] > max(took[:2]) and took[3] > 500, took
+        lines = [json.loads(line) for line in (tmp_path / "n1.log").read_text().splitlines() if line.startswith("{")]
+        delays = [line["delay_ms"] for line in lines if line["event"] == "crash_loop_delay"]
+        assert len(delays) == 2 and delays[1] > delays[0] > 0, delays  # none for the first two starts
+        assert all(span >= delay for span, delay in zip(took[2:], delays, strict=True)) and took[3] > 500, (
+            took,
+            delays,
+        )
         await fleet.start("n1")
         await fleet.wait_until(lambda: json.loads((starts / FILE_NAME).read_text())["row"] == 4)
         assert await fleet.shut_down("n1"), "one that waits is told to leave, and does"
