--- a/nickelslip/admission/answer_deadlines.py
+++ b/nickelslip/admission/answer_deadlines.py
@@ -56,7 +56,7 @@
         """Whether the queue is to be looked through now."""
         return now_ms >= min(self.last_scan_at_ms + self.margin_ms / 2, self.next_due_at_ms - self.margin_ms)
 
-    def watch(self, request: TrackedRequest) -> None:
+    def track(self, request: TrackedRequest) -> None:
         """Take a request that arrived into account."""
         self.next_due_at_ms = min(self.next_due_at_ms, self.answer_by_ms(request))
 
@@ -64,10 +64,10 @@
         """Return the unanswered requests that must be answered now."""
         return [request for request in _unanswered(requests) if self.is_due(now_ms, request)]
 
-    def find_next_due(self, requests: TrackedRequests) -> None:
+    def update_next_due(self, requests: TrackedRequests) -> None:
         """Find out when the next answer falls due."""
-        moments = (self.answer_by_ms(request) for request in _unanswered(requests))
-        self.next_due_at_ms = min(moments, default=inf)
+        due_times = (self.answer_by_ms(request) for request in _unanswered(requests))
+        self.next_due_at_ms = min(due_times, default=inf)
 
 
 def _unanswered(requests: TrackedRequests) -> list[TrackedRequest]:
--- a/nickelslip/admission/class_statistics.py
+++ b/nickelslip/admission/class_statistics.py
@@ -1,24 +1,24 @@
-"""A traffic class as the rules use it, with what was learned of its requests."""
+"""Configuration and request statistics of a traffic class, as the rules use them."""
 
 from __future__ import annotations
 
 from nickelslip.admission.estimators import ClientTimeoutHistogram, RecentMean, SlidingWindowSum
 from nickelslip.admission.interface import RetrySafety, TrafficClass
 
-MIN_LATE_VALUE_FRACTION = 0.5  # a class that keeps less of its value after its objective is judged by the objective
-MIN_RUN_MS = 1e-9  # keeps a quotient finite
-INITIAL_RUN_FRACTION = 1 / 6  # of the latency objective: the guess of a run's time until one was measured
-INITIAL_CALL_FRACTION = 1 / 32  # of the latency objective: the guess of a dependency call's time
-# Starts are counted over so many learning windows, since a small server starts few requests of each class in one.
+MIN_LATE_VALUE_FRACTION = 0.5  # classes that keep less of their value when late must be answered within the objective
+MIN_RUN_MS = 1e-9  # avoids a division by zero
+INITIAL_RUN_FRACTION = 1 / 6  # of the latency objective: run time assumed until one was measured
+INITIAL_CALL_FRACTION = 1 / 32  # of the latency objective: duration assumed for a dependency call
+# Starts are counted over several statistics windows, because a small server starts few requests of a class in one.
 START_COUNT_WINDOWS = 4.0
 
 
 class ClassStatistics:
-    """The settings of one traffic class and the statistics of its requests.
+    """The configuration of one traffic class and the statistics of its requests.
 
     Args:
-        traffic_class: The class as it was configured.
-        window_ms: How far back the recent means look.
+        traffic_class: The configuration of the class.
+        window_ms: Window of the recent means.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
         "is_call_optional",
         "run_ms",
         "run_ms_per_hinted_ms",
-        "at_calls_ms",
+        "time_in_calls_ms",
         "first_attempts",
         "starts",
         "is_starved",
@@ -56,43 +56,43 @@
         self.makes_calls = traffic_class.makes_calls
         self.is_call_optional = traffic_class.degraded_value_fraction > 0
         self.run_ms = RecentMean(objective_ms * INITIAL_RUN_FRACTION, window_ms)  # time on a core
-        self.run_ms_per_hinted_ms = RecentMean(1.0, window_ms)  # how true cost hints are
-        self.at_calls_ms = RecentMean(objective_ms * INITIAL_CALL_FRACTION if self.makes_calls else 0.0, window_ms)
+        self.run_ms_per_hinted_ms = RecentMean(1.0, window_ms)  # accuracy of the cost hints
+        self.time_in_calls_ms = RecentMean(objective_ms * INITIAL_CALL_FRACTION if self.makes_calls else 0.0, window_ms)
         self.first_attempts = SlidingWindowSum(START_COUNT_WINDOWS * window_ms)
         self.starts = SlidingWindowSum(START_COUNT_WINDOWS * window_ms)
         self.is_starved = False
         self.client_timeouts = ClientTimeoutHistogram()
 
     def inherit(self, previous: ClassStatistics) -> None:
-        """Take over what was learned under earlier settings of the same class."""
+        """Take over the statistics that the same class has collected under earlier settings."""
         self.run_ms = previous.run_ms
         self.run_ms_per_hinted_ms = previous.run_ms_per_hinted_ms
-        self.at_calls_ms = previous.at_calls_ms
+        self.time_in_calls_ms = previous.time_in_calls_ms
         self.first_attempts = previous.first_attempts
         self.starts = previous.starts
         self.client_timeouts = previous.client_timeouts
 
     def record_arrival(self, now_ms: float, is_retry: bool) -> None:
-        """Count a first attempt; retries are not counted."""
+        """Count the arrival if it is a first attempt; retries are not counted."""
         self.first_attempts.add(now_ms, 1.0, float(not is_retry))
 
     def record_start(self, now_ms: float) -> None:
-        """Count a request that starts."""
+        """Count the start of a request."""
         self.starts.add(now_ms, 1.0)
 
     def record_completed_run(self, now_ms: float, core_ms: float, call_ms: float, cost_hint_ms: float | None) -> None:
-        """Learn from a run that ended well: its time on a core, its time at calls, and how true its cost hint was."""
+        """Record the core time, the time in calls and the cost hint of a run that has succeeded."""
         self.run_ms.record(now_ms, core_ms)
         if cost_hint_ms:
             self.run_ms_per_hinted_ms.record(now_ms, core_ms / cost_hint_ms)
-        self.at_calls_ms.record(now_ms, call_ms)
+        self.time_in_calls_ms.record(now_ms, call_ms)
 
     def value_per_ms(self, run_ms: float) -> float:
         """Return the priority weight per millisecond of run time."""
         return self.priority_weight / max(run_ms, MIN_RUN_MS)
 
     def expected_run_ms(self, now_ms: float, cost_hint_ms: float | None) -> float:
-        """Return the expected time on a core: by the cost hint where there is one, else the class's mean."""
+        """Return the expected time on a core, from the cost hint if there is one, else the mean of the class."""
         if cost_hint_ms is None:
             return self.run_ms.mean(now_ms)
         return cost_hint_ms * self.run_ms_per_hinted_ms.mean(now_ms)
--- a/nickelslip/admission/concurrency_limit.py
+++ b/nickelslip/admission/concurrency_limit.py
@@ -50,6 +50,6 @@
 
 
 def _is_stalled(now_ms: float, request: TrackedRequest) -> bool:
-    core_ms = now_ms - request.started_at_ms - request.at_calls_ms
+    core_ms = now_ms - request.started_at_ms - request.time_in_calls_ms
     usual_ms = max(request.expected_run_ms, request.statistics.run_ms.mean(now_ms))
     return core_ms > STALLED_RUN_FACTOR * usual_ms
--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -1,10 +1,10 @@
-"""The admission controller of one server: its events, the order of its rules, and the one transition of requests.
+"""The admission controller of one server: event methods, rule order and request state transitions.
 
-A server makes one `AdmissionController` from its settings and a seed, calls `start` once, and then one method for each
-thing that happens. Each method takes the time in milliseconds and returns `Decisions`, which the server carries out
-before it calls again. Nothing here reads a clock, does I/O or shares state.
+A server creates one `AdmissionController` from its settings and a seed. It calls `start` once, then one method per
+event. Each method takes the current time in milliseconds and returns `Decisions`, which the server must carry out
+before its next call. The controller reads no clock, does no I/O and shares no state.
 
-Each rule is a module of its own in this package; docs/design.md gives the reason for each of them.
+Each rule has its own module in this package. docs/design.md gives the reasons for the rules.
 """
 
 from __future__ import annotations
@@ -50,28 +50,29 @@
 from nickelslip.admission.tenant_quotas import TenantQuotas
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-# A final state entered from one of these leaves nothing behind. From any other, the request is ORPHANED until the
-# server says that its run is over.
-STATES_OFF_THE_CORES = (RequestState.QUEUED, RequestState.COALESCED, RequestState.PAUSED)
-# A request that ends like this without ever having run is no original to a retry: its idempotency record is dropped.
-STATES_OF_REQUESTS_NOT_RUN = (RequestState.REJECTED, RequestState.CANCELLED)
+# A request that enters a final state from one of these has no active run and is removed at once. From any other state
+# it becomes ORPHANED until the server reports that its run has ended.
+STATES_WITHOUT_ACTIVE_RUN = (RequestState.QUEUED, RequestState.COALESCED, RequestState.PAUSED)
+# If a request ends in one of these states without having run, retries cannot take its result, so its idempotency
+# record is dropped.
+STATES_RELEASING_RECORD = (RequestState.REJECTED, RequestState.CANCELLED)
 STATE_AFTER_RUN = {Outcome.OK: RequestState.COMPLETED, Outcome.ERROR: RequestState.FAILED}
 
-LEARNING_WINDOW_OBJECTIVES = 2.0  # recent means look back over so many of the longest latency objective
+STATISTICS_WINDOW_OBJECTIVES = 2.0  # window of the recent means, in multiples of the longest latency objective
 
 
 class AdmissionController:
-    """Decides on the requests of one server.
+    """Decides when the requests of one server start, call the dependency, and are rejected or failed.
 
     Args:
-        settings: What the server knows of itself.
-        seed: For the jitter of Retry-After; the same seed and events give the same decisions.
-        now_ms: When the machine came up, which may be in the past.
+        settings: The configuration of the server.
+        seed: Seed of the Retry-After jitter. The same seed and events produce the same decisions.
+        now_ms: When the machine started, which may be in the past.
     """
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         longest_objective_ms = max(each.latency_objective_ms for each in settings.traffic_classes)
-        self._window_ms = LEARNING_WINDOW_OBJECTIVES * longest_objective_ms  # fixed: what was learned is kept by it
+        self._window_ms = STATISTICS_WINDOW_OBJECTIVES * longest_objective_ms  # fixed, existing statistics use it
         self._classes: dict[str, ClassStatistics] = {}
         self._requests = TrackedRequests()
         self._idempotency_records = IdempotencyRecords()
@@ -98,9 +99,9 @@
         self._adopt(settings)
 
     def _adopt(self, settings: Settings) -> None:
-        """Take what the controller itself needs of the settings.
+        """Apply the settings that the controller itself uses.
 
-        Classes keep what was learned of them; requests in hand keep the class settings under which they arrived.
+        Traffic classes keep their statistics. Open requests keep the class settings under which they arrived.
         """
         previous = self._classes
         self._classes = {}
@@ -113,99 +114,100 @@
         self._response_cache_ms = settings.response_cache_ms
         self._health_check_costs_work = settings.health_check_costs_work
 
-    # Events
-
     def start(self, now_ms: float) -> Decisions:
-        """The process has come up. Where health checks cost work, they are to be answered from a cached result."""
+        """Handle the start of the process: if health checks cost work, they are answered from a cached result."""
         if self._health_check_costs_work:
             self._decisions.health = Health(is_healthy=True, is_cached=True)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def request_received(self, now_ms: float, arrival: Arrival) -> Decisions:
-        """A request was read."""
+        """Handle a request that the server has read."""
         statistics = self._classes[arrival.traffic_class]
         request = TrackedRequest(arrival, statistics, now_ms)
         received_at_ms = now_ms - arrival.read_delay_ms
         self._requests.add(request)
-        self._deadlines.watch(request)
+        self._deadlines.track(request)
         self._interval.record_request(arrival.read_delay_ms, statistics.latency_objective_ms)
         self._priority.record_arrival(now_ms, arrival)
         statistics.record_arrival(now_ms, arrival.is_retry)
         has_to_queue = self._has_to_queue()
         age_ms = attempt_age_ms(request, received_at_ms) if arrival.deadline_at_ms is not None else 0.0
-        if has_to_queue:  # a free core takes what may still be in time
+        if has_to_queue:  # not if a core is free: it then runs if it may still be in time
             request.useful_until_ms -= age_ms
-        self._priority.rank(now_ms, request, arrival)
+        self._priority.set_priority(now_ms, request, arrival)
         if received_at_ms > self._drain.grace_ends_at_ms:
             self._reject(now_ms, request)
         else:
             self._admit(now_ms, request, arrival, has_to_queue, age_ms)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def run_ended(self, now_ms: float, request_id: int, outcome: Outcome, took_ms: float) -> Decisions:
-        """A run is over, or the result of the original has come for a coalesced request.
+        """Handle the end of a run, or the arrival of the result of the original of a coalesced request.
 
         Args:
-            now_ms: The present moment.
+            now_ms: The current time.
             request_id: The request.
-            outcome: How it ended. CANCELLED while its answer is still due puts it back into the queue; one that must
-                not run twice waits there to be answered when it is due.
-            took_ms: The time of the run, calls included.
+            outcome: How the run ended. A run that is CANCELLED before its request was answered returns the request to
+                the queue. If the request must not run twice, it stays there until its answer is due.
+            took_ms: The duration of the run, calls included.
         """
         request = self._requests.by_id.get(request_id)
         if request is None:
-            return self._decide(now_ms)
+            return self._apply_rules(now_ms)
         if outcome is Outcome.CANCELLED and request.state in (RequestState.RUNNING, RequestState.DEGRADED):
             self._transition(now_ms, request, RequestState.QUEUED, notify=False)
-            return self._decide(now_ms)
+            return self._apply_rules(now_ms)
         if outcome is Outcome.OK and request.has_run and request.state is not RequestState.DEGRADED:
-            core_ms = max(0.0, took_ms - request.at_calls_ms)
-            request.statistics.record_completed_run(now_ms, core_ms, request.at_calls_ms, request.cost_hint_ms)
+            core_ms = max(0.0, took_ms - request.time_in_calls_ms)
+            request.statistics.record_completed_run(now_ms, core_ms, request.time_in_calls_ms, request.cost_hint_ms)
         state = STATE_AFTER_RUN.get(outcome, RequestState.CANCELLED)
-        self._transition(now_ms, request, state, notify=False, is_run_over=True)
-        return self._decide(now_ms)
+        self._transition(now_ms, request, state, notify=False, has_run_ended=True)
+        return self._apply_rules(now_ms)
 
     def call_requested(self, now_ms: float, request_id: int) -> Decisions:
-        """A run has come to a dependency call and waits for permission."""
+        """Handle a run that has reached a dependency call and waits for permission."""
         request = self._requests.by_id.get(request_id)
         if request is None:
-            return self._decide(now_ms)
-        if request.state is RequestState.ORPHANED:  # nobody awaits its result: its run ends here
-            self._transition(now_ms, request, RequestState.CANCELLED, notify=False, is_run_over=True)
+            return self._apply_rules(now_ms)
+        if request.state is RequestState.ORPHANED:  # already answered or cancelled, so its run ends here
+            self._transition(now_ms, request, RequestState.CANCELLED, notify=False, has_run_ended=True)
         elif request.state in (RequestState.RUNNING, RequestState.DEGRADED):
             self._transition(now_ms, request, RequestState.AWAITING_CALL, notify=False)
             request.call_phase_began_at_ms = now_ms
             request.call_not_before_ms = -inf
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def call_returned(self, now_ms: float, request_id: int, outcome: Outcome, took_ms: float) -> Decisions:
-        """A dependency call has ended. Unless it went well, its request waits for permission again."""
+        """Handle the end of a dependency call. Unless it succeeded, its request waits for permission again."""
         request = self._requests.by_id.get(request_id)
         if request is not None and request.state is RequestState.CALL_IN_FLIGHT:
             self._finish_call(now_ms, request, outcome, took_ms)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def limit_calls(self, now_ms: float, max_calls: float, pause_ms: float) -> Decisions:
-        """The server starts slowly, or the dependency does not answer: so many calls at most, and none for so long."""
-        self._dependency_limit.impose(now_ms, max_calls, pause_ms)
-        return self._decide(now_ms)
+        """Limit the calls in flight to `max_calls` and start none for `pause_ms`.
+
+        The server calls this during slow start, or while the dependency does not respond.
+        """
+        self._dependency_limit.set_external_limit(now_ms, max_calls, pause_ms)
+        return self._apply_rules(now_ms)
 
     def client_disconnected(self, now_ms: float, request_id: int) -> Decisions:
-        """The client of a request is gone: no answer is due."""
+        """Handle a client disconnect: its request no longer needs an answer."""
         request = self._requests.by_id.get(request_id)
         if request is not None and request.state is not RequestState.ORPHANED:
             self._transition(now_ms, request, RequestState.CANCELLED, notify=False)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def drain(self, now_ms: float, kill_at_ms: float) -> Decisions:
-        """The server is told to shut down, and will be killed at the given moment."""
+        """Start a graceful shutdown of the server, which will be killed at `kill_at_ms`."""
         self._drain.start(now_ms, kill_at_ms)
         self._deadlines.next_due_at_ms = now_ms
         self._decisions.health = Health(is_healthy=False, is_cached=True)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def settings_changed(self, now_ms: float, settings: Settings) -> Decisions:
-        """Other settings apply from here on. Requests in hand and all that was learned stay."""
+        """Apply new settings. Open requests and all statistics are kept."""
         self._adopt(settings)
         self._overload.apply_settings(settings)
         self._dependency_limit.apply_settings(settings, self._overload)
@@ -224,30 +226,28 @@
             self._idle_connections,
         ):
             rule.apply_settings(settings)
-        self._deadlines.next_due_at_ms = now_ms  # the margins may have changed, and the spacing of calls
+        self._deadlines.next_due_at_ms = now_ms  # the margins and the spacing of calls may have changed
         self._dependency_limit.end_pause(now_ms)
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
     def timer_fired(self, now_ms: float, gauges: Gauges) -> Decisions:
-        """A wake-up that was asked for, with the gauges of the moment."""
+        """Handle a requested wake-up, with the current gauges."""
         if now_ms >= self._wake_at_ms:
             self._wake_at_ms = inf
         if now_ms >= self._interval.ends_at_ms and gauges.cpu_utilization is not None:
             self._interval.record_gauges(gauges.cpu_utilization, gauges.connection_count or 0.0)
             self._concurrency.adjust(self._interval, has_queue=bool(self._requests.queued))
-        return self._decide(now_ms)
+        return self._apply_rules(now_ms)
 
-    # Rules, in the order in which they are applied after each event
-
-    def _decide(self, now_ms: float) -> Decisions:
-        """Apply all rules and return what was decided since the last event."""
+    def _apply_rules(self, now_ms: float) -> Decisions:
+        """Apply all rules in their fixed order, and return the decisions since the last event."""
         if now_ms >= self._interval.ends_at_ms:
             self._end_interval(now_ms)
         self._stop_orphaned_runs(now_ms)
         self._answer_due_requests(now_ms)
         self._start_calls(now_ms)
         self._start_queued(now_ms)
-        self._keep_memory_budget(now_ms)
+        self._enforce_memory_budget(now_ms)
         decisions = self._decisions
         self._decisions = Decisions()
         decisions.idempotency_updates = self._idempotency_records.take_updates()
@@ -256,18 +256,18 @@
         return decisions
 
     def _end_interval(self, now_ms: float) -> None:
-        """Adapt what adapts once an interval."""
+        """Run the adjustments that are made once per interval, and start the next interval."""
         self._weight.adjust(self._interval)
         self._concurrency.count_effective_slots(now_ms, self._requests)
         self._decisions.idle_connection_timeout_ms = self._idle_connections.adjust(
             self._interval, self._overload.extra_when_warm
         )
         self._starved_classes.update(now_ms, self._classes.values())
-        self._interval.begin_next(now_ms)
+        self._interval.start_next(now_ms)
         self._idempotency_records.drop_expired(now_ms)
 
     def _stop_orphaned_runs(self, now_ms: float) -> None:
-        """Have runs stopped whose result nobody awaits, where runs can be stopped; again after an interval."""
+        """Ask the server to stop orphaned runs if it can stop runs, and repeat the request once per interval."""
         if not self._can_stop_runs:
             return
         for request in self._requests.orphaned.values():
@@ -276,7 +276,7 @@
                 self._decisions.state_changes.append(StateChange(request.id, RequestState.ORPHANED))
 
     def _answer_due_requests(self, now_ms: float) -> None:
-        """Answer what falls due, and queued requests that can no longer be in time."""
+        """Answer requests that are due, and queued requests that can no longer finish in time."""
         if not self._deadlines.is_scan_due(now_ms):
             return
         self._deadlines.last_scan_at_ms = now_ms
@@ -286,14 +286,14 @@
             if self._deadlines.is_due(now_ms, request) or is_late_if_started_now(
                 now_ms, request, has_contention, self._deadlines
             ):
-                self._give_up_queued(now_ms, request)
+                self._reject_or_fail_queued(now_ms, request)
         if self._deadlines.is_any_due(now_ms):
             for request in self._deadlines.due_requests(now_ms, requests):
                 self._transition(now_ms, request, RequestState.FAILED)
-            self._deadlines.find_next_due(requests)
+            self._deadlines.update_next_due(requests)
 
     def _start_calls(self, now_ms: float) -> None:
-        """Let waiting requests call the dependency, go on without their call, or fail."""
+        """Let waiting requests call the dependency, continue without their call, or fail."""
         for decision in self._dependency_calls.decide(now_ms, self._overload.safe_concurrency(now_ms)):
             self._transition(now_ms, decision.request, decision.state, duration_ms=decision.timeout_ms)
 
@@ -303,10 +303,10 @@
         for request in self._dispatcher.requests_to_start(self._concurrency.limit, safe_concurrency):
             self._transition(now_ms, request, RequestState.RUNNING)
 
-    def _keep_memory_budget(self, now_ms: float) -> None:
-        """Give up requests until the rest fits into memory.
+    def _enforce_memory_budget(self, now_ms: float) -> None:
+        """Reject or fail requests until the others fit into memory.
 
-        The original of a coalesced request may have run, so that the request fails rather than being rejected.
+        A coalesced request fails instead of being rejected, because its original may have run.
         """
         for request in self._memory.excess_requests():
             if request.state is RequestState.QUEUED:
@@ -315,7 +315,7 @@
                 self._transition(now_ms, request, RequestState.FAILED)
 
     def _schedule_wake(self, now_ms: float) -> float | None:
-        """Return in how long the controller is to be called again, unless an earlier call has been asked for."""
+        """Return the time until the next wake-up, or None if one is already scheduled at or before it."""
         margin_ms = self._deadlines.margin_ms
         wake_at_ms = min(self._interval.ends_at_ms, self._deadlines.next_due_at_ms - margin_ms)
         next_call_at_ms = self._dependency_limit.next_call_at_ms
@@ -327,23 +327,21 @@
         self._wake_at_ms = wake_at_ms
         return wake_at_ms - now_ms
 
-    # Steps of the events
-
     def _has_to_queue(self) -> bool:
-        """Whether a request that has just been added to the queue has to wait there, behind others or for a slot."""
+        """Whether a request just added to the queue must wait there, behind other requests or for a slot."""
         has_others_queued = len(self._requests.queued) > 1
         return has_others_queued or self._requests.on_core_count() >= self._concurrency.limit
 
-    def _takes_result_of_original(self, request: TrackedRequest, arrival: Arrival) -> bool:
-        """Whether the request is answered with the result of another one, whether that has run or not."""
+    def _should_coalesce(self, request: TrackedRequest, arrival: Arrival) -> bool:
+        """Whether the request takes the result of another one, which may not have finished yet."""
         if arrival.original_request_id is None:
             return False
         if request.statistics.needs_idempotency_record:
             return True
         return request.statistics.is_idempotent and self._response_cache_ms > 0
 
-    def _keep_idempotency_record(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> bool:
-        """Record the request for its key; return False where it must not run since it could not be recorded."""
+    def _ensure_idempotency_record(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> bool:
+        """Record the request under its key. Return False if it must not run because the record does not fit."""
         statistics = request.statistics
         time_to_deadline_ms = request.deadline_at_ms - now_ms
         if statistics.needs_idempotency_record:
@@ -363,16 +361,16 @@
     ) -> None:
         """Coalesce the request with its original, leave it in the queue, or reject it.
 
-        It is rejected, in this order of the rules: where it needs an idempotency record and memory has no room for
-        one; where its tenant is over its quota and it has to queue; where it is predicted to miss its deadline.
+        These rules reject it, in this order: it needs an idempotency record that does not fit into memory; it has to
+        queue and its tenant is over its quota; it is predicted to miss its deadline.
         """
-        if self._takes_result_of_original(request, arrival):
+        if self._should_coalesce(request, arrival):
             self._transition(now_ms, request, RequestState.COALESCED)
             return
-        if not self._keep_idempotency_record(now_ms, request, arrival):
+        if not self._ensure_idempotency_record(now_ms, request, arrival):
             self._reject(now_ms, request)
             return
-        if has_to_queue and request.within_quota_fraction < 1:  # the whole fleet counts the tenant's quota
+        if has_to_queue and request.within_quota_fraction < 1:  # every server enforces the tenant's quota
             self._reject(now_ms, request, retry_elsewhere_useless=True)
             return
         if has_to_queue:
@@ -386,19 +384,19 @@
             self._reject(now_ms, request, retry_elsewhere_useless=is_useless)
 
     def _finish_call(self, now_ms: float, request: TrackedRequest, outcome: Outcome, took_ms: float) -> None:
-        self._dependency_usage.count_until(now_ms, len(self._requests.call_in_flight))
+        self._dependency_usage.accumulate_until(now_ms, len(self._requests.call_in_flight))
         if outcome is Outcome.TIMEOUT:
             self._dependency_usage.record_abandoned(now_ms)
-        if not outcome.proves_never_ran:
+        if not outcome.proves_not_executed:
             self._dependency_limit.record_call(now_ms, took_ms, self._interval.last_read_delay_ms)
-        request.at_calls_ms = request.at_calls_ms + now_ms - request.call_phase_began_at_ms
+        request.time_in_calls_ms = request.time_in_calls_ms + now_ms - request.call_phase_began_at_ms
         request.call_phase_began_at_ms = now_ms
         self._dependency_calls.suspend_optional_calls(now_ms, request)
         if outcome is Outcome.OK:
             self._transition(now_ms, request, RequestState.RUNNING, notify=False)
             return
         self._transition(now_ms, request, RequestState.AWAITING_CALL, notify=False)
-        if outcome.proves_never_ran:  # what sheds calls needs fewer of them, so that the next attempt waits
+        if outcome.proves_not_executed:  # wait, because a dependency that sheds calls needs fewer of them
             request.call_not_before_ms = now_ms + self._dependency_limit.call_duration_ms.mean(now_ms)
             return
         request.call_not_before_ms = -inf
@@ -406,15 +404,15 @@
             is_optional = request.statistics.is_call_optional
             self._transition(now_ms, request, RequestState.DEGRADED if is_optional else RequestState.FAILED)
 
-    def _give_up_queued(self, now_ms: float, request: TrackedRequest) -> None:
-        """Answer a queued request. One that has run and may not run again cannot be sent elsewhere."""
+    def _reject_or_fail_queued(self, now_ms: float, request: TrackedRequest) -> None:
+        """Answer a queued request: fail it if it has run and must not run on another server, else reject it."""
         if request.has_run and not request.statistics.is_idempotent:
             self._transition(now_ms, request, RequestState.FAILED)
         else:
             self._reject(now_ms, request)
 
     def _reject(self, now_ms: float, request: TrackedRequest, retry_elsewhere_useless: bool = False) -> None:
-        """Answer a request that has not run, or that may run again, with the moment to come back."""
+        """Reject a request that has not run or may run again, with a Retry-After delay."""
         self._interval.rejection_count += 1
         delay_ms = self._retry_after.delay_ms(
             now_ms,
@@ -431,8 +429,6 @@
             retry_elsewhere_useless=retry_elsewhere_useless and not self._drain.is_draining(now_ms),
         )
 
-    # The transition
-
     def _transition(
         self,
         now_ms: float,
@@ -442,31 +438,31 @@
         duration_ms: float = 0.0,
         retry_elsewhere_useless: bool = False,
         notify: bool = True,
-        is_run_over: bool = False,
+        has_run_ended: bool = False,
     ) -> None:
-        """Change the state of a request. This is the only place that does.
+        """Change the state of a request. All state changes go through this method.
 
         Args:
-            now_ms: The present moment.
+            now_ms: The current time.
             request: The request.
-            state: The state that it enters. Instead of a final state it enters ORPHANED while its run is on a core.
-            duration_ms: REJECTED: when to come back; CALL_IN_FLIGHT: the timeout of the call.
-            retry_elsewhere_useless: REJECTED: whether another server would not help.
-            notify: Whether the server has to act on the change. It has not where it reported the change itself.
-            is_run_over: Whether the server has reported that nothing of the request is left on a core.
+            state: The new state. If it is final while the run is still on a core, the request becomes ORPHANED instead.
+            duration_ms: REJECTED: the Retry-After delay; CALL_IN_FLIGHT: the timeout of the call.
+            retry_elsewhere_useless: REJECTED: whether a retry on another server would not help.
+            notify: Whether the server has to act on the change; False if the server reported the change itself.
+            has_run_ended: Whether the server has reported that the request no longer occupies a core.
         """
         previous = request.state
         is_final = state in FINAL_STATES
         if notify:
             self._decisions.state_changes.append(StateChange(request.id, state, duration_ms, retry_elsewhere_useless))
         if previous is RequestState.CALL_IN_FLIGHT:
-            self._dependency_usage.count_until(now_ms, len(self._requests.call_in_flight))
+            self._dependency_usage.accumulate_until(now_ms, len(self._requests.call_in_flight))
             if is_final:
                 self._dependency_usage.record_abandoned(now_ms)
         del self._requests.by_state[previous][request.id]
-        if state in STATES_OF_REQUESTS_NOT_RUN and request.statistics.needs_idempotency_record and not request.has_run:
+        if state in STATES_RELEASING_RECORD and request.statistics.needs_idempotency_record and not request.has_run:
             self._idempotency_records.remove(request.id)
-        if is_final and (is_run_over or previous in STATES_OFF_THE_CORES):
+        if is_final and (has_run_ended or previous in STATES_WITHOUT_ACTIVE_RUN):
             del self._requests.by_id[request.id]
             return
         if previous is RequestState.QUEUED and state is RequestState.RUNNING:
--- a/nickelslip/admission/dependency_calls.py
+++ b/nickelslip/admission/dependency_calls.py
@@ -63,8 +63,8 @@
         statistics = request.statistics
         if statistics.is_call_optional:
             return
-        at_calls_ms = now_ms - request.call_phase_began_at_ms + request.at_calls_ms
-        if at_calls_ms > SUSPEND_OPTIONAL_AFTER_FRACTION * statistics.latency_objective_ms:
+        time_in_calls_ms = now_ms - request.call_phase_began_at_ms + request.time_in_calls_ms
+        if time_in_calls_ms > SUSPEND_OPTIONAL_AFTER_FRACTION * statistics.latency_objective_ms:
             self._optional_calls_suspended_until_ms = now_ms + statistics.latency_objective_ms
 
     def decide(self, now_ms: float, safe_concurrency: float) -> Iterator[CallDecision]:
@@ -78,32 +78,32 @@
         """
         if not self._requests.awaiting_call:
             return
-        if now_ms > self._deadlines.last_scan_at_ms and not self._has_free_call():
+        if now_ms > self._deadlines.last_scan_at_ms and not self._has_free_call_slot():
             return
-        self._usage.count_until(now_ms, len(self._requests.call_in_flight))
+        self._usage.accumulate_until(now_ms, len(self._requests.call_in_flight))
         mean_call_ms = self._limit.call_duration_ms.mean(now_ms)
         concurrency = self._limit.limit
         waiting_ahead_count = 0
         max_duration_ms = inf
-        for request in self._in_order(now_ms, mean_call_ms):
+        for request in self._by_urgency(now_ms, mean_call_ms):
             remaining_ms = self._remaining_ms(now_ms, request)
             pause_ms = max(0.0, self._limit.next_call_at_ms - now_ms)
             wait_ms = waiting_ahead_count * mean_call_ms / concurrency + pause_ms
             self.suspend_optional_calls(now_ms, request)
-            if self._goes_on_without(now_ms, request, remaining_ms < mean_call_ms, wait_ms):
+            if self._should_skip_call(now_ms, request, remaining_ms < mean_call_ms, wait_ms):
                 yield CallDecision(request, RequestState.DEGRADED)
             elif remaining_ms <= 0 and request.statistics.is_idempotent:
                 yield CallDecision(request, RequestState.FAILED)
             elif request.call_not_before_ms <= now_ms and self._limit.next_call_at_ms <= now_ms:
                 # How long a call may last is found by a look at all calls; once none fits, none further on does.
-                if max_duration_ms >= mean_call_ms and self._may_add_call(safe_concurrency):
+                if max_duration_ms >= mean_call_ms and self._can_start_call(safe_concurrency):
                     max_duration_ms = self._max_duration_ms(now_ms)
                     if max_duration_ms >= mean_call_ms:
                         timeout_ms = min(max(remaining_ms, mean_call_ms), max_duration_ms)
                         yield self._start_call(now_ms, request, timeout_ms)
                 waiting_ahead_count += request.state is RequestState.AWAITING_CALL
 
-    def _in_order(self, now_ms: float, mean_call_ms: float) -> list[TrackedRequest]:
+    def _by_urgency(self, now_ms: float, mean_call_ms: float) -> list[TrackedRequest]:
         """Return the waiting requests in order of urgency; those that would be late even with a call now come last."""
 
         def order(request: TrackedRequest) -> tuple[bool, tuple[float, float, int]]:
@@ -123,28 +123,28 @@
             end_ms = self._deadlines.answer_by_ms(request)
         return end_ms - self._deadlines.margin_ms - now_ms - request.expected_run_ms / 2
 
-    def _goes_on_without(self, now_ms: float, request: TrackedRequest, is_late: bool, wait_ms: float) -> bool:
+    def _should_skip_call(self, now_ms: float, request: TrackedRequest, is_late: bool, wait_ms: float) -> bool:
         statistics = request.statistics
         if not statistics.is_call_optional:
             return False
         is_wait_long = wait_ms > MAX_CALL_WAIT_FRACTION * statistics.latency_objective_ms
         return is_late or is_wait_long or now_ms < self._optional_calls_suspended_until_ms
 
-    def _has_free_call(self) -> bool:
+    def _has_free_call_slot(self) -> bool:
         occupied_count = len(self._requests.call_in_flight) + self._usage.lingering_count
         return occupied_count + 1 <= max(1.0, self._limit.limit)
 
-    def _may_add_call(self, safe_concurrency: float) -> bool:
+    def _can_start_call(self, safe_concurrency: float) -> bool:
         """Whether one more call is within the limit, and its request safe to have on the cores again."""
-        in_hand_count = self._requests.on_core_count() + len(self._requests.call_in_flight)
-        return self._has_free_call() and in_hand_count < safe_concurrency
+        active_count = self._requests.on_core_count() + len(self._requests.call_in_flight)
+        return self._has_free_call_slot() and active_count < safe_concurrency
 
     def _max_duration_ms(self, now_ms: float) -> float:
         in_flight = self._requests.call_in_flight.values()
         return self._usage.max_call_duration_ms(now_ms, in_flight, self._limit.share)
 
     def _start_call(self, now_ms: float, request: TrackedRequest, timeout_ms: float) -> CallDecision:
-        request.at_calls_ms += now_ms - request.call_phase_began_at_ms
+        request.time_in_calls_ms += now_ms - request.call_phase_began_at_ms
         request.call_phase_began_at_ms = now_ms
         request.call_ends_at_ms = now_ms + timeout_ms
         return CallDecision(request, RequestState.CALL_IN_FLIGHT, timeout_ms)
--- a/nickelslip/admission/dependency_limit.py
+++ b/nickelslip/admission/dependency_limit.py
@@ -37,7 +37,7 @@
         "call_duration_ms",
         "next_call_at_ms",
         "_limit",
-        "_imposed_limit",
+        "_external_limit",
         "_best_mean_ms",
         "_tick_ms",
     )
@@ -48,7 +48,7 @@
         self.share = 1.0
         self.next_call_at_ms = now_ms
         self._limit = 1.0
-        self._imposed_limit = inf
+        self._external_limit = inf
         self._best_mean_ms = inf
         self.apply_settings(settings, overload)
 
@@ -64,9 +64,9 @@
     @property
     def limit(self) -> float:
         """How many calls may be in flight; under one, calls are spaced."""
-        return min(self._limit, self._imposed_limit)
+        return min(self._limit, self._external_limit)
 
-    def impose(self, now_ms: float, max_calls: float, pause_ms: float) -> None:
+    def set_external_limit(self, now_ms: float, max_calls: float, pause_ms: float) -> None:
         """Take a bound from outside, while the server starts slowly or the dependency does not answer.
 
         Args:
@@ -74,7 +74,7 @@
             max_calls: So many calls at most.
             pause_ms: No call for so long.
         """
-        self._imposed_limit = max_calls
+        self._external_limit = max_calls
         self.next_call_at_ms = max(self.next_call_at_ms, now_ms + pause_ms)
 
     def end_pause(self, now_ms: float) -> None:
--- a/nickelslip/admission/dependency_usage.py
+++ b/nickelslip/admission/dependency_usage.py
@@ -30,12 +30,12 @@
         now_ms: The start of the count.
     """
 
-    __slots__ = ("_window_ms", "_in_flight_ms", "_counted_until_ms", "_lingering_until_ms", "_linger_ms")
+    __slots__ = ("_window_ms", "_in_flight_ms", "_accumulated_until_ms", "_lingering_until_ms", "_linger_ms")
 
     def __init__(self, settings: Settings, default_window_ms: float, now_ms: float) -> None:
         self._window_ms = settings.dependency_window_ms if has_dependency_share(settings) else default_window_ms
         self._in_flight_ms = SlidingWindowSum(self._window_ms * COUNTED_BUCKETS / DEFAULT_BUCKET_COUNT)
-        self._counted_until_ms = now_ms
+        self._accumulated_until_ms = now_ms
         self._lingering_until_ms: list[float] = []
         self.apply_settings(settings)
 
@@ -52,11 +52,11 @@
         """A call was abandoned; it occupies the dependency for a while."""
         self._lingering_until_ms.append(now_ms + self._linger_ms)
 
-    def count_until(self, now_ms: float, in_flight_count: int) -> None:
+    def accumulate_until(self, now_ms: float, in_flight_count: int) -> None:
         """Count the calls since the last count. Called before their number changes."""
         occupied_count = in_flight_count + self.lingering_count
-        self._in_flight_ms.add(now_ms, occupied_count * (now_ms - self._counted_until_ms))
-        self._counted_until_ms = now_ms
+        self._in_flight_ms.add(now_ms, occupied_count * (now_ms - self._accumulated_until_ms))
+        self._accumulated_until_ms = now_ms
         self._lingering_until_ms = [until_ms for until_ms in self._lingering_until_ms if until_ms > now_ms]
 
     def max_call_duration_ms(self, now_ms: float, in_flight: Iterable[TrackedRequest], share: float) -> float:
@@ -71,9 +71,9 @@
         if self._in_flight_ms.total(now_ms).amount <= (share - further_count) * self._window_ms:
             return inf
         max_duration_ms = inf
-        for after_ms, past_ms in self._in_flight_ms.remaining_after_each_bucket(now_ms):
-            promised_ms = sum(min(max(span_ms, 0.0), after_ms) for span_ms in remaining_ms)
-            free_ms = share * self._window_ms - past_ms - promised_ms
+        for after_ms, past_use_ms in self._in_flight_ms.remaining_after_each_bucket(now_ms):
+            committed_ms = sum(min(max(span_ms, 0.0), after_ms) for span_ms in remaining_ms)
+            free_ms = share * self._window_ms - past_use_ms - committed_ms
             if free_ms < after_ms:
                 max_duration_ms = min(max_duration_ms, free_ms - self._linger_ms)
         return max_duration_ms
--- a/nickelslip/admission/dispatch.py
+++ b/nickelslip/admission/dispatch.py
@@ -50,7 +50,7 @@
         max_on_cores = min(safe_concurrency - in_flight_count, concurrency_limit + 1, self._max_concurrency)
         if self._requests.on_core_count() >= max_on_cores:
             return
-        are_many_awaiting_call = len(self._requests.awaiting_call) >= self._core_count
+        is_call_backlog_full = len(self._requests.awaiting_call) >= self._core_count
         for request in sorted(self._requests.queued.values(), key=PRIORITY):
             on_core_count = self._requests.on_core_count()
             if on_core_count >= max_on_cores:
@@ -59,9 +59,9 @@
                 return
             if request.has_run and not request.statistics.is_idempotent:
                 continue
-            if are_many_awaiting_call and request.statistics.makes_calls and not request.statistics.is_call_optional:
+            if is_call_backlog_full and request.statistics.makes_calls and not request.statistics.is_call_optional:
                 continue
-            if self._reserved_slots and on_core_count + self._slots_kept_free(request) >= max_on_cores:
+            if self._reserved_slots and on_core_count + self._unused_reserved_slots(request) >= max_on_cores:
                 continue
             if self._memory.has_room_to_start(request):
                 yield request
@@ -74,7 +74,7 @@
         most_urgent_running = min(running, key=PRIORITY)
         return request.priority_key[0] <= URGENT_VALUE_FACTOR * most_urgent_running.priority_key[0]
 
-    def _slots_kept_free(self, request: TrackedRequest) -> float:
+    def _unused_reserved_slots(self, request: TrackedRequest) -> float:
         """Return the slots reserved for other classes than this request's that are not in use."""
         own_class = request.statistics.name
         free_slots = {name: slots for name, slots in self._reserved_slots.items() if name != own_class}
--- a/nickelslip/admission/drain_schedule.py
+++ b/nickelslip/admission/drain_schedule.py
@@ -1,4 +1,4 @@
-"""When this server was told to drain, until when it still runs what arrives, and when it is killed."""
+"""Schedule of a graceful shutdown: when the drain started, when its grace ends, and when the server is killed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DrainSchedule:
-    """The moments of a graceful shutdown; all lie in the infinite future until the server drains."""
+    """The times of a graceful shutdown. All are infinite until the drain starts."""
 
     __slots__ = ("started_at_ms", "kill_at_ms", "_grace_ms")
 
@@ -18,19 +18,19 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the grace; a tick less, since what arrives in the last tick may be decided on only after it."""
+        """Set the grace one tick shorter, since requests of the last tick may be decided on only after the grace."""
         self._grace_ms = settings.drain_grace_ms - settings.tick_ms
 
     def start(self, now_ms: float, kill_at_ms: float) -> None:
-        """Begin to drain."""
+        """Start the drain."""
         self.started_at_ms = now_ms
         self.kill_at_ms = kill_at_ms
 
     @property
     def grace_ends_at_ms(self) -> float:
-        """What arrives after this moment is not run."""
+        """Requests that arrive after this time are not run."""
         return self.started_at_ms + self._grace_ms
 
     def is_draining(self, now_ms: float) -> bool:
-        """Whether the server has been told to drain."""
+        """Whether the drain has started."""
         return now_ms >= self.started_at_ms
--- a/nickelslip/admission/early_rejection.py
+++ b/nickelslip/admission/early_rejection.py
@@ -10,7 +10,7 @@
 
 # A prediction on arrival allows for work that will overtake the request, and for runs that take longer than the mean.
 PREDICTION_SAFETY_FACTOR = 1.5
-ELSEWHERE_USELESS_WEIGHT = 0.6  # under this weight the whole fleet is likely to be full
+FLEET_OVERLOADED_WEIGHT = 0.6  # under this weight the whole fleet is likely to be full
 
 
 def is_predicted_late(
@@ -30,7 +30,7 @@
     )
     wait_ms = run_ms_ahead / effective_slots if effective_slots else inf
     own_ms = request.expected_run_ms
-    call_ms = request.statistics.at_calls_ms.mean(now_ms)
+    call_ms = request.statistics.time_in_calls_ms.mean(now_ms)
     return now_ms + PREDICTION_SAFETY_FACTOR * (wait_ms + own_ms + call_ms) > deadlines.answer_useful_until_ms(request)
 
 
@@ -45,10 +45,10 @@
     statistics = request.statistics
     if has_contention:
         run_ms = request.expected_run_ms
-        call_ms = statistics.at_calls_ms.mean(now_ms)
+        call_ms = statistics.time_in_calls_ms.mean(now_ms)
     else:
         run_ms = min(request.expected_run_ms, statistics.run_ms.recent_mean(now_ms))
-        call_ms = statistics.at_calls_ms.recent_mean(now_ms)
+        call_ms = statistics.time_in_calls_ms.recent_mean(now_ms)
     return now_ms + run_ms + call_ms > deadlines.answer_useful_until_ms(request)
 
 
@@ -58,4 +58,4 @@
     Retries have been elsewhere already; under a low weight the whole fleet is likely to be full, and each server that
     is tried has to read the request again.
     """
-    return arrival.is_retry or attempt_age_ms > 0 or weight < ELSEWHERE_USELESS_WEIGHT
+    return arrival.is_retry or attempt_age_ms > 0 or weight < FLEET_OVERLOADED_WEIGHT
--- a/nickelslip/admission/estimators.py
+++ b/nickelslip/admission/estimators.py
@@ -1,4 +1,4 @@
-"""What the rules learn from: sums over a sliding window, means of recent samples, a histogram of client timeouts."""
+"""Estimators that the rules use: sliding-window sums, means of recent samples, a histogram of client timeouts."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 from typing import NamedTuple
 
 DEFAULT_BUCKET_COUNT = 16
-LONG_TERM_WEIGHT = 2.0  # the long-term mean counts as so many recent samples
-LONG_TERM_SAMPLE_LIMIT = 64  # each sample moves the long-term mean by at least one part in so many
+LONG_TERM_WEIGHT = 2.0  # weight of the long-term mean, in recent samples
+LONG_TERM_SAMPLE_LIMIT = 64  # each sample has at least the weight 1 / limit in the long-term mean
 
 TIMEOUT_BIN_COUNT = 64
-TIMEOUT_SAMPLE_LIMIT = 512  # counts are halved when so many timeouts have been recorded
-MIN_TIMEOUT_SAMPLES = 16  # with fewer samples no timeout is called unusual
-USUAL_TIMEOUT_FRACTION = 1 / 8  # a timeout that this fraction of the requests carry is a usual one
+TIMEOUT_SAMPLE_LIMIT = 512  # counts are halved when they reach this total
+MIN_TIMEOUT_SAMPLES = 16  # with fewer samples no timeout counts as unusual
+USUAL_TIMEOUT_FRACTION = 1 / 8  # a timeout sent with at least this fraction of the requests is usual
 
 
 class WindowTotal(NamedTuple):
-    """Sum and count of what was added within a window."""
+    """Sum and count of the samples within a window."""
 
     amount: float
     sample_count: float
 
 
 class RemainingAmount(NamedTuple):
-    """What will be left of a window's sum after a span, if nothing is added meanwhile."""
+    """The sum of a window `after_ms` from now, if no samples are added until then."""
 
     after_ms: float
     amount: float
@@ -41,7 +41,7 @@
         self._latest_bucket = 0
 
     def _advance(self, now_ms: float) -> int:
-        """Clear the buckets that have left the window; return the index of the current one."""
+        """Clear the buckets that have left the window, and return the index of the current one."""
         bucket = int(now_ms // self._bucket_ms)
         bucket_count = len(self._amounts)
         if bucket > self._latest_bucket:
@@ -53,7 +53,7 @@
         return self._latest_bucket % bucket_count
 
     def add(self, now_ms: float, amount: float, count: float = 1.0) -> None:
-        """Add an amount at this moment."""
+        """Add an amount to the current bucket."""
         index = self._advance(now_ms)
         self._amounts[index] += amount
         self._counts[index] += count
@@ -64,7 +64,7 @@
         return WindowTotal(sum(self._amounts), sum(self._counts))
 
     def remaining_after_each_bucket(self, now_ms: float) -> list[RemainingAmount]:
-        """Return what is left of the sum after each coming bucket width, as the buckets leave one by one."""
+        """Return the sum left after each further bucket width, as the oldest buckets leave the window one by one."""
         index = self._advance(now_ms)
         bucket_count = len(self._amounts)
         amount = sum(self._amounts)
@@ -76,9 +76,10 @@
 
 
 class RecentMean:
-    """A mean of recent samples that leans on the long-term mean while they are few.
+    """A mean of recent samples, weighted with the long-term mean.
 
-    Until a sample comes, both are the `initial_guess`.
+    The long-term mean dominates while there are few recent samples. Before the first sample, both means are equal to
+    the `initial_guess`.
     """
 
     __slots__ = ("_recent", "_initial_guess", "_long_term_mean", "_sample_count", "_cached_at_ms", "_cached_mean")
@@ -99,16 +100,16 @@
         self._recent.add(now_ms, sample)
 
     def recent_samples(self, now_ms: float) -> WindowTotal:
-        """Return sum and count of the recent samples alone."""
+        """Return sum and count of the recent samples, without the long-term mean."""
         return self._recent.total(now_ms)
 
     def recent_mean(self, now_ms: float) -> float:
-        """Return the mean of the recent samples alone, or the initial guess while there are too few of them."""
+        """Return the mean of the recent samples, or the initial guess if there are too few of them."""
         amount, count = self._recent.total(now_ms)
         return amount / count if count >= LONG_TERM_WEIGHT else self._initial_guess
 
     def mean(self, now_ms: float) -> float:
-        """Return the mean of the recent samples and the long-term mean, weighted."""
+        """Return the weighted mean of the recent samples and the long-term mean."""
         if self._cached_at_ms != now_ms:
             amount, count = self._recent.total(now_ms)
             self._cached_at_ms = now_ms
@@ -117,10 +118,10 @@
 
 
 class ClientTimeoutHistogram:
-    """Which timeouts clients usually send along with their requests.
+    """Histogram of the timeouts that clients send with their requests.
 
-    The usual ones stand out. A retry whose client is about to give up carries what is left of its patience, which is
-    less than those, and so reveals how old it is.
+    Most requests carry one of a few usual timeouts. A retry carries only the remaining time of its client, which is
+    shorter than these, and so shows how long ago the first attempt was sent.
     """
 
     __slots__ = ("_counts", "_total_count")
@@ -130,7 +131,7 @@
         self._total_count = 0
 
     def record(self, timeout_fraction: float) -> bool:
-        """Record a timeout, as a fraction of the class's longest; return whether it is none of the usual ones."""
+        """Record a timeout as a fraction of the class's timeout, and return whether it is an unusual one."""
         if self._total_count >= TIMEOUT_SAMPLE_LIMIT:
             self._counts = [count // 2 for count in self._counts]
             self._total_count = sum(self._counts)
--- a/nickelslip/admission/idempotency_records.py
+++ b/nickelslip/admission/idempotency_records.py
@@ -1,6 +1,6 @@
-"""Which requests are recorded for their idempotency key, or for serving like reads, and until when.
+"""Requests that have an idempotency record, or whose answer is cached for equal reads, and when these records expire.
 
-The server keeps keys and results; the decision to record one, and the memory that it takes, are accounted for here.
+The server stores the keys and results. This module tracks which records exist, because they count towards memory use.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class IdempotencyRecords:
-    """The moments at which records expire, by request id, and the updates that the server has not been told of yet."""
+    """Expiry times of the records by request id, and the updates that the server has not received yet."""
 
     __slots__ = ("expire_at_ms", "_updates")
 
@@ -21,18 +21,18 @@
         return len(self.expire_at_ms)
 
     def add(self, now_ms: float, request_id: int, retention_ms: float) -> None:
-        """Record a request for so long."""
+        """Add a record of a request for `retention_ms`."""
         self.expire_at_ms[request_id] = now_ms + retention_ms
         self._updates.append(IdempotencyUpdate(request_id, retention_ms))
 
     def remove(self, request_id: int) -> None:
-        """Drop the record of a request, if there is one."""
+        """Remove the record of a request, if there is one."""
         if request_id in self.expire_at_ms:
             del self.expire_at_ms[request_id]
             self._updates.append(IdempotencyUpdate(request_id, 0.0))
 
     def drop_expired(self, now_ms: float) -> None:
-        """Forget the records that have expired; the server drops them by itself."""
+        """Remove expired records without an update to the server, which drops them by itself."""
         self.expire_at_ms = {
             request_id: expires_at_ms
             for request_id, expires_at_ms in self.expire_at_ms.items()
@@ -40,7 +40,7 @@
         }
 
     def take_updates(self) -> list[IdempotencyUpdate]:
-        """Return the updates since the last call."""
+        """Return and clear the updates since the last call."""
         updates = self._updates
         self._updates = []
         return updates
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -1,7 +1,7 @@
-"""The types that go into the admission controller and come out of it.
+"""Input and output types of the admission controller.
 
-Types only; nothing here decides. Moments are float milliseconds on one clock that only goes forward. Memory is in
-kilobytes. Ids and names are opaque.
+This module contains no decision logic. Times are float milliseconds of one monotonic clock. Memory is in kilobytes. Ids
+and names are opaque.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
     """Whether a request may be run a second time."""
 
     IDEMPOTENT = "may run again"
-    IDEMPOTENCY_KEY = "runs once within its window; a retry is known by its idempotency key"
+    IDEMPOTENCY_KEY = "runs once within its window; retries carry the same idempotency key"
     NON_IDEMPOTENT = "never runs twice"
 
 
 class Preemption(Enum):
-    """Whether a run can be taken off the cores."""
+    """Whether a run can be taken off the cores before its end."""
 
-    NEVER = "it runs to its end"
-    DISCARD_PROGRESS = "it goes back into the queue, its work lost"
+    NEVER = "it always runs to its end"
+    DISCARD_PROGRESS = "it returns to the queue and loses its progress"
     KEEP_PROGRESS = "it keeps its progress and its memory"
 
 
 class LoadSignal(Enum):
-    """What clients take the advertised value for."""
+    """How clients interpret the advertised value."""
 
     NONE = "nothing can be advertised"
-    SELECTION_PROBABILITY = "the probability with which a client selects this server when its turn comes"
+    SELECTION_PROBABILITY = "the probability that a client uses this server when its turn comes"
     CLIENT_CONCURRENCY = "how many requests each client may have open here"
-    PRIORITY_THRESHOLD = "the lowest priority that is still sent here"
+    PRIORITY_THRESHOLD = "the lowest priority of requests that clients still send here"
 
 
 class Outcome(Enum):
@@ -42,7 +42,7 @@
 
     OK = "it returned a result"
     ERROR = "it returned an error"
-    REJECTED = "the dependency rejected it before it began"  # calls only
+    REJECTED = "the dependency rejected it before it started"  # calls only
     TIMEOUT = "it was abandoned after its timeout"
     CONNECT_FAILED = "no connection could be made"
     RESET = "the connection broke"
@@ -50,28 +50,28 @@
     NOT_STARTED = "it was never started"
 
     @property
-    def proves_never_ran(self) -> bool:
-        """Whether this outcome proves that nothing was executed."""
+    def proves_not_executed(self) -> bool:
+        """Whether this outcome proves that the run or call did not execute."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 class RequestState(Enum):
-    """The state of a request. A change into one of them is an instruction to the server."""
+    """The state of a request. In `Decisions`, a change of state is an instruction to the server."""
 
     QUEUED = "read, and waiting for a slot"
     RUNNING = "on the cores"
-    PAUSED = "taken off the cores with its progress kept"  # not entered by any rule at present
-    AWAITING_CALL = "its run waits for permission to call the dependency"
+    PAUSED = "taken off the cores with its progress kept"  # no rule enters this state at present
+    AWAITING_CALL = "its run is waiting for permission to call the dependency"
     CALL_IN_FLIGHT = "its dependency call is in flight"
-    DEGRADED = "goes on without its call"
-    COALESCED = "takes the result of its original"
-    ORPHANED = "answered or cancelled, its run still on a core"  # as an instruction: stop it, if possible
+    DEGRADED = "running without its call"
+    COALESCED = "waiting for the result of its original"
+    ORPHANED = "answered or cancelled, but its run has not ended"  # as an instruction: stop the run if possible
     COMPLETED = "answered with its result"
     REJECTED = "rejected; not run, or idempotent"
     FAILED = "answered with an error"
-    CANCELLED = "its client is gone"
+    CANCELLED = "its client has disconnected"
 
-    __hash__ = object.__hash__  # states are keys at every step; Enum's own hash is a call of Python code
+    __hash__ = object.__hash__  # states are looked up at every event; Enum.__hash__ is slow because it is Python code
 
 
 FINAL_STATES = (RequestState.COMPLETED, RequestState.REJECTED, RequestState.FAILED, RequestState.CANCELLED)
@@ -79,23 +79,23 @@
 
 @dataclass(frozen=True)
 class TrafficClass:
-    """A class of requests, as it is configured."""
+    """Configuration of one traffic class."""
 
     name: str
     priority_weight: float
     latency_objective_ms: float
     timeout_ms: float
     retry_safety: RetrySafety
-    idempotency_window_ms: float = 0.0  # IDEMPOTENCY_KEY: a retry may come this long after the first attempt
-    late_value_fraction: float = 0.0  # fraction of the value that an answer after the objective has
-    objective_stretch: float = 0.0  # additional objective, as a multiple of the request's run time
+    idempotency_window_ms: float = 0.0  # IDEMPOTENCY_KEY: how long after the first attempt a retry may arrive
+    late_value_fraction: float = 0.0  # fraction of its value that an answer keeps after the objective
+    objective_stretch: float = 0.0  # multiple of the request's run time that is added to the objective
     makes_calls: bool = False
-    degraded_value_fraction: float = 0.0  # fraction of the value of an answer without its call; 0: not allowed
-    reserved_slot_count: int = 0  # slots that requests of other classes do not take
+    degraded_value_fraction: float = 0.0  # fraction of its value that a degraded answer keeps; 0: calls are required
+    reserved_slot_count: int = 0  # slots that requests of other classes must not use
 
 
 class Tenant(NamedTuple):
-    """Who sends requests, and at which rate, over all servers, they count in full."""
+    """A tenant, and the total request rate over all servers up to which its requests have their full value."""
 
     name: str
     quota_per_s: float
@@ -103,16 +103,16 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What a server knows of itself and its surroundings."""
+    """Configuration of one server and its environment."""
 
     traffic_classes: tuple[TrafficClass, ...]
     core_count: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running request over that of a queued one
+    running_memory_factor: float  # memory of a running request divided by that of a queued one
     starts_cold: bool
-    cold_speed_fraction: float  # fraction of its speed that a cold machine starts with
+    cold_speed_fraction: float  # initial speed of a cold machine, as a fraction of its full speed
     warm_up_ms: float
-    overload_concurrency_per_core: float  # running requests per core that a warm machine survives
+    overload_concurrency_per_core: float  # running requests per core that a warm machine handles without collapsing
     answer_slack_ms: float
     drain_grace_ms: float
     tick_ms: float
@@ -124,76 +124,76 @@
     clients_mark_retries: bool = False
     preemption: Preemption = Preemption.NEVER
     load_signal: LoadSignal = LoadSignal.NONE
-    retry_after_max_ms: float = 0.0  # the longest Retry-After that is passed on; 0: none is
-    dependency_concurrency_share: float = 0.0  # this server's share, as a mean of calls in flight; 0: not told
-    dependency_window_ms: float = 0.0  # over which the share is a mean
-    abandoned_call_linger_ms: float = 0.0  # an abandoned call occupies the dependency for so long
+    retry_after_max_ms: float = 0.0  # longest Retry-After that reaches the client; 0: Retry-After is not passed on
+    dependency_concurrency_share: float = 0.0  # this server's share, as a mean number of calls in flight; 0: unknown
+    dependency_window_ms: float = 0.0  # window of that mean
+    abandoned_call_linger_ms: float = 0.0  # how long an abandoned call still occupies the dependency
     idempotency_record_kb: float = 0.0
-    response_cache_ms: float = 0.0  # how long the answer to a read may serve like reads
-    idle_connection_timeout_ms: float = 0.0  # clients close unused connections after this
-    health_check_costs_work: bool = False  # like a small request, unless answered from a cached result
-    max_concurrency: float = inf  # requests on the cores at once that the operators allow
+    response_cache_ms: float = 0.0  # how long the answer to a read may be reused for equal reads
+    idle_connection_timeout_ms: float = 0.0  # idle time after which clients close their connections
+    health_check_costs_work: bool = False  # as much as a small request, unless answered from a cached result
+    max_concurrency: float = inf  # maximum number of requests on the cores, set by the operator
 
 
 @dataclass(slots=True, eq=False)
 class Arrival:
-    """A request as it was read."""
+    """A request that the server has read."""
 
     id: int
     traffic_class: str
     memory_kb: float
     tenant: str | None = None
-    deadline_at_ms: float | None = None  # when its client gives this attempt up, where that is told
+    deadline_at_ms: float | None = None  # when the client of this attempt times out; None: unknown
     cost_hint_ms: float | None = None
     is_retry: bool = False  # marked as a retry
     client: int | None = None
-    read_delay_ms: float = 0.0  # for how long it lay unread
-    original_request_id: int | None = None  # the recorded request of which this is a repetition
-    has_key: bool = False  # it carries a key by which a like request is known
+    read_delay_ms: float = 0.0  # time from its arrival on this machine until it was read
+    original_request_id: int | None = None  # the recorded request that this one repeats
+    has_key: bool = False  # it carries a key that identifies repeated or equal requests
 
 
 class Gauges(NamedTuple):
-    """What the machine measures of itself, where it does."""
+    """Measurements of the machine; None where there is no measurement."""
 
     cpu_utilization: float | None = None  # fraction of the cores in use
-    run_queue_length: float | None = None  # all that wants a core now
+    run_queue_length: float | None = None  # number of tasks that run or wait for a core
     memory_utilization: float | None = None  # fraction in use
     connection_count: float | None = None
 
 
 class StateChange(NamedTuple):
-    """A decided change of a request's state."""
+    """A decision to change the state of a request."""
 
     id: int
     state: RequestState
-    duration_ms: float = 0.0  # REJECTED: when to come back; CALL_IN_FLIGHT: timeout of the call
-    retry_elsewhere_useless: bool = False  # REJECTED: another server would not help
+    duration_ms: float = 0.0  # REJECTED: the Retry-After delay; CALL_IN_FLIGHT: the timeout of the call
+    retry_elsewhere_useless: bool = False  # REJECTED: a retry on another server would not help
 
 
 class IdempotencyUpdate(NamedTuple):
-    """A decided change of the idempotency table; a retention of 0 drops the record."""
+    """A decision to add a record to the idempotency table; a retention of 0 removes it."""
 
     id: int
     retention_ms: float
 
 
 class Health(NamedTuple):
-    """How health checks are answered from now on."""
+    """How health checks are answered until the next change."""
 
     is_healthy: bool
-    is_cached: bool  # from a cached result, at little cost; a server whose answers are always cheap may pass over it
+    is_cached: bool  # answer from a cached result; servers with cheap health checks may ignore this
 
 
 @dataclass(eq=False)
 class Decisions:
-    """What was decided after one event.
+    """The decisions after one event.
 
-    The server carries it out in this order: what is told to clients, the idempotency updates, then the state changes.
+    The server carries them out in this order: values for clients, idempotency updates, state changes.
     """
 
     state_changes: list[StateChange] = field(default_factory=list)
     idempotency_updates: list[IdempotencyUpdate] = field(default_factory=list)
-    advertised_weight: float | None = None  # None in this and the following fields: unchanged
+    advertised_weight: float | None = None  # None here and in the fields below: unchanged
     health: Health | None = None
     idle_connection_timeout_ms: float | None = None
     wake_in_ms: float | None = None
--- a/nickelslip/admission/interval_measurements.py
+++ b/nickelslip/admission/interval_measurements.py
@@ -53,7 +53,7 @@
         self.cpu_utilization = cpu_utilization
         self.connection_count = connection_count
 
-    def begin_next(self, now_ms: float) -> None:
+    def start_next(self, now_ms: float) -> None:
         """Start the next interval. The gauges and the last read delay stay."""
         self.rejection_count = 0
         self.request_count = 0
--- a/nickelslip/admission/queue_priority.py
+++ b/nickelslip/admission/queue_priority.py
@@ -47,7 +47,7 @@
         retry_count, arrival_count = self._retries.total(now_ms)
         self._retry_fraction = retry_count / arrival_count if self._clients_mark_retries else 0.0
 
-    def rank(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> None:
+    def set_priority(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> None:
         """Set the priority of a request that has arrived, and what lies within its tenant's quota."""
         within_quota = self._quotas.within_quota_fraction(now_ms, arrival.tenant)
         request.within_quota_fraction = within_quota
--- a/nickelslip/admission/starved_classes.py
+++ b/nickelslip/admission/starved_classes.py
@@ -34,9 +34,9 @@
         """Mark each class as starved or not, from its first attempts and starts."""
         self.best_value_per_ms = 0.0
         for statistics in classes:
-            due_count = MIN_ADMISSION_FRACTION * statistics.first_attempts.total(now_ms).sample_count
+            required_count = MIN_ADMISSION_FRACTION * statistics.first_attempts.total(now_ms).sample_count
             start_count = statistics.starts.total(now_ms).sample_count
-            chance_count = STARVATION_STANDARD_DEVIATIONS * sqrt(due_count)
-            statistics.is_starved = self._clients_mark_retries and start_count + chance_count < due_count
+            tolerated_shortfall = STARVATION_STANDARD_DEVIATIONS * sqrt(required_count)
+            statistics.is_starved = self._clients_mark_retries and start_count + tolerated_shortfall < required_count
             run_ms = 1.0 if self._value_counts_work else statistics.run_ms.mean(now_ms)
             self.best_value_per_ms = max(self.best_value_per_ms, statistics.value_per_ms(run_ms))
--- a/nickelslip/admission/tenant_quotas.py
+++ b/nickelslip/admission/tenant_quotas.py
@@ -10,7 +10,7 @@
 
 QUOTA_STANDARD_DEVIATIONS = 1.0  # a tenant is over its quota when its starts are so many deviations above it
 ALL_TENANTS = ""
-SMALLEST_COUNT = 1e-9  # keeps a quotient finite
+MIN_COUNT = 1e-9  # keeps a quotient finite
 
 
 class TenantQuotas:
@@ -30,7 +30,7 @@
         """Take the quotas from the settings; starts that were counted stay counted."""
         window_s_per_server = START_COUNT_WINDOWS * self._window_ms / 1000 / settings.server_count
         self._quota_counts = {tenant.name: tenant.quota_per_s * window_s_per_server for tenant in settings.tenants}
-        self._total_quota_count = max(sum(self._quota_counts.values()), SMALLEST_COUNT)
+        self._total_quota_count = max(sum(self._quota_counts.values()), MIN_COUNT)
         self._starts = {
             name: self._starts.get(name) or SlidingWindowSum(START_COUNT_WINDOWS * self._window_ms)
             for name in (ALL_TENANTS, *self._quota_counts)
@@ -54,4 +54,4 @@
         start_count = self._starts[tenant].total(now_ms).sample_count
         quota_count *= max(1.0, self._starts[ALL_TENANTS].total(now_ms).sample_count / self._total_quota_count)
         allowed_count = quota_count + QUOTA_STANDARD_DEVIATIONS * sqrt(quota_count)
-        return min(1.0, allowed_count / max(start_count, SMALLEST_COUNT))
+        return min(1.0, allowed_count / max(start_count, MIN_COUNT))
--- a/nickelslip/admission/tracked_request.py
+++ b/nickelslip/admission/tracked_request.py
@@ -1,4 +1,4 @@
-"""A request in this server's hands, and the table of all of them by state."""
+"""The open requests of a server: one object per request, and tables of them by id and by state."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.interface import Arrival, RequestState
 
-PRIORITY = attrgetter("priority_key")  # sorts the most urgent request first
+PRIORITY = attrgetter("priority_key")  # sort key: the most urgent request comes first
 
 
 class TrackedRequest:
-    """A request from its arrival until nothing of it is left on this server."""
+    """An open request: it is tracked from its arrival until it is answered and its run has ended."""
 
     __slots__ = (
         "id",
@@ -26,7 +26,7 @@
         "state",
         "has_run",
         "started_at_ms",
-        "at_calls_ms",
+        "time_in_calls_ms",
         "call_phase_began_at_ms",
         "call_not_before_ms",
         "call_ends_at_ms",
@@ -54,17 +54,17 @@
         self.state = RequestState.QUEUED
         self.has_run = False
         self.started_at_ms = now_ms
-        self.at_calls_ms = 0.0  # time at calls so far, waiting for permission included
-        self.call_phase_began_at_ms = now_ms  # AWAITING_CALL or CALL_IN_FLIGHT: since when
-        self.call_not_before_ms = inf  # AWAITING_CALL: no call before this moment
+        self.time_in_calls_ms = 0.0  # total so far, including the wait for permission
+        self.call_phase_began_at_ms = now_ms  # AWAITING_CALL or CALL_IN_FLIGHT: start of the current phase
+        self.call_not_before_ms = inf  # AWAITING_CALL: earliest time of the next call
         self.call_ends_at_ms = inf  # CALL_IN_FLIGHT: when the call times out
-        self.stop_requested_at_ms = -inf  # ORPHANED: when its run was last told to stop
-        self.priority_key = (0.0, 0.0, 0)  # the smallest key starts first
-        self.within_quota_fraction = 1.0  # fraction of the tenant's recent starts that lies within its quota
+        self.stop_requested_at_ms = -inf  # ORPHANED: when the server was last asked to stop its run
+        self.priority_key = (0.0, 0.0, 0)  # requests with smaller keys start first
+        self.within_quota_fraction = 1.0  # fraction of the tenant's recent starts within its quota
 
 
 class TrackedRequests:
-    """All requests in this server's hands, by id in order of arrival and by state in order of entry."""
+    """All open requests, by id in order of arrival, and by state in order of entry into it."""
 
     __slots__ = (
         "by_id",
@@ -90,18 +90,18 @@
         self.call_in_flight = self.by_state[RequestState.CALL_IN_FLIGHT]
 
     def add(self, request: TrackedRequest) -> None:
-        """Take in a request that has arrived."""
+        """Add a request that has arrived."""
         self.by_id[request.id] = request
         self.by_state[request.state][request.id] = request
 
     def on_core_count(self) -> int:
-        """Return how many requests occupy a core, those whose result nobody awaits included."""
+        """Return how many requests occupy a core, orphaned ones included."""
         return len(self.running) + len(self.degraded) + len(self.orphaned)
 
     def on_cores(self) -> list[TrackedRequest]:
-        """Return the requests that occupy a core."""
+        """Return the requests that occupy a core, orphaned ones included."""
         return [*self.running.values(), *self.degraded.values(), *self.orphaned.values()]
 
     def queued_run_ms(self) -> float:
-        """Return the expected run time of all queued requests."""
+        """Return the total expected run time of the queued requests."""
         return sum(request.expected_run_ms for request in self.queued.values())
--- a/tests/support/admission_model.py
+++ b/tests/support/admission_model.py
@@ -302,7 +302,7 @@
         linger_ms = self._bounds.abandoned_call_linger_ms if outcome is Outcome.TIMEOUT else 0.0
         self._call_spans.append((started_at_ms, self.now_ms + linger_ms))
         request.stage = Stage.RUNNING if outcome is Outcome.OK else Stage.AWAITING_CALL
-        request.has_unconfirmed_call = outcome is not Outcome.OK and not outcome.proves_never_ran
+        request.has_unconfirmed_call = outcome is not Outcome.OK and not outcome.proves_not_executed
         duration_ms = self.now_ms - started_at_ms
         return self.apply(self.controller.call_returned(self.now_ms, request_id, outcome, duration_ms))
 
