--- a/nickelslip/admission/advertised_weight.py
+++ b/nickelslip/admission/advertised_weight.py
@@ -1,6 +1,6 @@
-"""The advertised weight: how much of the usual load clients are asked to send, from 0 to 1.
+"""The advertised weight: the fraction of their usual load that clients are asked to send, from 0 to 1.
 
-Additive increase, multiplicative decrease (AIMD), once an adjustment interval.
+It is adjusted once per adjustment interval by additive increase and multiplicative decrease (AIMD).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class AdvertisedWeight:
-    """Adapts the weight, and says it in the way that clients understand."""
+    """Adjusts the weight and encodes it as the load signal that clients understand."""
 
     def __init__(self, settings: Settings) -> None:
         self.weight = 1.0
@@ -22,7 +22,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the meaning of the signal from the settings."""
+        """Read the load signal and its scale from the settings."""
         self._load_signal = settings.load_signal
         overload_concurrency = settings.core_count * settings.overload_concurrency_per_core
         self._concurrency_per_client = overload_concurrency / settings.client_count
@@ -30,8 +30,8 @@
     def adjust(self, interval: IntervalMeasurements) -> None:
         """Lower the weight after an interval with congestion, raise it after one without.
 
-        Congestion is a rejection, or a request that lay unread for long. An interval in which nothing was read
-        shows that there is no congestion only if the cores idle.
+        A rejection or a long read delay shows congestion. An interval in which no request was read counts as free of
+        congestion only if the cores were idle.
         """
         if interval.rejection_count or interval.max_read_delay_fraction > HIGH_READ_DELAY_FRACTION:
             self.weight *= WEIGHT_DECREASE_FACTOR
@@ -39,9 +39,9 @@
             self.weight = min(1.0, self.weight + WEIGHT_INCREASE)
 
     def take_change(self, now_ms: float, drain: DrainSchedule) -> float | None:
-        """Return the value to advertise where it has changed, else None.
+        """Return the value to advertise if it has changed, else None.
 
-        A draining server advertises a weight of 0 only once its grace is over: until then its cores are worth having.
+        A draining server advertises a weight of 0 only after its grace. Until then clients should still use its cores.
         """
         weight = 0.0 if now_ms >= drain.grace_ends_at_ms else self.weight
         has_changed = weight != self._last_advertised
@@ -49,7 +49,7 @@
         return self._encode(weight) if has_changed else None
 
     def _encode(self, weight: float) -> float | None:
-        """Return the weight as clients read it, or None where nothing can be advertised."""
+        """Return the weight as the value of the load signal, or None if there is no load signal."""
         match self._load_signal:
             case LoadSignal.SELECTION_PROBABILITY:
                 return weight
--- a/nickelslip/admission/answer_deadlines.py
+++ b/nickelslip/admission/answer_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when each request must be answered, and until when its answer is worth its work."""
+"""Deadlines of requests: the latest time to answer, and the latest time at which an answer is still useful."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from nickelslip.admission.interface import RequestState, Settings
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-MARGIN_TICKS = 2.0  # an answer that falls due goes out so many ticks before
-# All answers go out so many answer slacks before the server is killed, since the process may stand still meanwhile.
+MARGIN_TICKS = 2.0  # answers are sent this many ticks before they are due
+# All answers are sent this many answer slacks before the server is killed, since the process may stall before then.
 KILL_MARGIN_SLACKS = 4.0
 
 
 class AnswerDeadlines:
-    """Finds the requests whose answer falls due.
+    """Finds the requests whose answer is due.
 
-    The queue is scanned at most once in half of the margin, or when something is due: a long queue that is looked
-    through at each event would take the core from the requests.
+    The queue is scanned at most once per half margin, or when an answer is due. Scanning a long queue at every event
+    would take CPU time from the requests.
     """
 
     __slots__ = ("margin_ms", "next_due_at_ms", "last_scan_at_ms", "_drain", "_kill_margin_ms")
@@ -29,16 +29,16 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the margins from the settings."""
+        """Compute the margins from the settings."""
         self.margin_ms = MARGIN_TICKS * settings.tick_ms
         self._kill_margin_ms = KILL_MARGIN_SLACKS * settings.answer_slack_ms
 
     def answer_by_ms(self, request: TrackedRequest) -> float:
-        """Return the moment by which the request must be answered, whatever becomes of it."""
+        """Return the time by which the request must be answered in any case."""
         return min(request.deadline_at_ms, self._drain.kill_at_ms - self._kill_margin_ms)
 
     def answer_useful_until_ms(self, request: TrackedRequest) -> float:
-        """Return the moment by which its answer must be there to be worth its work."""
+        """Return the time by which the result of the request must be ready to be useful."""
         answer_by_ms = self.answer_by_ms(request)
         if request.statistics.is_worthless_when_late:
             return min(answer_by_ms, request.useful_until_ms)
@@ -49,15 +49,15 @@
         return now_ms >= self.answer_by_ms(request) - self.margin_ms
 
     def is_any_due(self, now_ms: float) -> bool:
-        """Whether some request may have to be answered now."""
+        """Whether there may be a request that must be answered now."""
         return now_ms >= self.next_due_at_ms - self.margin_ms
 
     def is_scan_due(self, now_ms: float) -> bool:
-        """Whether the queue is to be looked through now."""
+        """Whether the queue must be scanned now."""
         return now_ms >= min(self.last_scan_at_ms + self.margin_ms / 2, self.next_due_at_ms - self.margin_ms)
 
     def track(self, request: TrackedRequest) -> None:
-        """Take a request that arrived into account."""
+        """Take the deadline of a new request into account."""
         self.next_due_at_ms = min(self.next_due_at_ms, self.answer_by_ms(request))
 
     def due_requests(self, now_ms: float, requests: TrackedRequests) -> list[TrackedRequest]:
@@ -65,7 +65,7 @@
         return [request for request in _unanswered(requests) if self.is_due(now_ms, request)]
 
     def update_next_due(self, requests: TrackedRequests) -> None:
-        """Find out when the next answer falls due."""
+        """Update `next_due_at_ms` from all unanswered requests."""
         due_times = (self.answer_by_ms(request) for request in _unanswered(requests))
         self.next_due_at_ms = min(due_times, default=inf)
 
--- a/nickelslip/admission/attempt_age.py
+++ b/nickelslip/admission/attempt_age.py
@@ -1,4 +1,4 @@
-"""How old a request is whose client has tried before: told from the timeout that the client sends."""
+"""Estimates the age of a retried request from the timeout that its client sends."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def attempt_age_ms(request: TrackedRequest, received_at_ms: float) -> float:
-    """Return how long ago the first attempt of this request was sent, in milliseconds; 0 where nothing tells.
+    """Return how many milliseconds ago the first attempt of this request was sent, or 0 if that is unknown.
 
-    Most clients send one of a few usual timeouts. One that is none of those is what is left of the class's timeout
-    after earlier attempts. A client with a rare timeout of its own is taken for an old one.
+    Most clients send one of a few usual timeouts. Any other timeout is assumed to be the rest of the class's
+    timeout after earlier attempts. A first attempt with a rare timeout is therefore mistaken for a retry.
 
     Args:
         request: A request whose client has sent its timeout.
--- a/nickelslip/admission/concurrency_limit.py
+++ b/nickelslip/admission/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many requests run at once: an adaptive limit, and how many of its slots will become free."""
+"""The adaptive limit on running requests, and how many of its slots will become free soon."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from nickelslip.admission.interval_measurements import IntervalMeasurements
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-MIN_LIMIT_PER_CORE = 1 / 2  # reading may take the rest of the cores
-STALLED_RUN_FACTOR = 4.0  # a run that takes so many times its expected time frees no slot soon
+MIN_LIMIT_PER_CORE = 1 / 2  # the other cores may be needed for reading requests
+STALLED_RUN_FACTOR = 4.0  # a run longer than this many times its expected time is stalled: its slot stays in use
 
 
 class ConcurrencyLimit:
-    """The concurrency limit. Requests whose dependency call is in flight do not count against it."""
+    """The concurrency limit. Requests with a dependency call in flight do not count towards it."""
 
     __slots__ = ("limit", "effective_slots", "_core_count", "_max_concurrency")
 
@@ -21,15 +21,15 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the bounds of the limit from the settings."""
+        """Read the bounds of the limit from the settings."""
         self._core_count = settings.core_count
         self._max_concurrency = settings.max_concurrency
         self.limit = min(self.limit, settings.max_concurrency)
 
     def adjust(self, interval: IntervalMeasurements, has_queue: bool) -> None:
-        """Raise the limit while cores idle and requests wait; else let it fall back to the number of cores.
+        """Raise the limit if cores are idle while requests are queued, else move it back to the number of cores.
 
-        Below the number of cores it falls only to make room for reading.
+        It falls below the number of cores only if requests are read late, to leave CPU time for reading.
         """
         if interval.is_reading_late:
             self.limit = max(self._core_count * MIN_LIMIT_PER_CORE, self.limit - 1)
@@ -40,10 +40,10 @@
         self.limit = min(self.limit, self._max_concurrency)
 
     def count_effective_slots(self, now_ms: float, requests: TrackedRequests) -> None:
-        """Count the slots that become free: those of stalled runs do not.
+        """Count the slots that will become free soon, which are those without a stalled run.
 
-        This covers cores that hang, a machine that has become slow, and costly requests. Where run times vary widely
-        it counts a few slots too little.
+        Runs stall when cores hang, when the machine has become slow, or when requests are costly. If run times vary
+        widely, the count is a few slots too low.
         """
         stalled_count = sum(_is_stalled(now_ms, request) for request in requests.on_cores())
         self.effective_slots = max(self.limit - stalled_count, 0.0)
--- a/nickelslip/admission/dependency_calls.py
+++ b/nickelslip/admission/dependency_calls.py
@@ -1,6 +1,6 @@
-"""Which requests may call the dependency now, which go on without their call, and which are given up.
+"""Decides which waiting requests may call the dependency, which continue without their call, and which fail.
 
-Permission goes to the most urgent request first. A request whose call is optional goes on without it rather than wait.
+The most urgent request may call first. A request with an optional call continues without it instead of waiting long.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
 MAX_CALL_WAIT_FRACTION = 1 / 8  # the longest wait for an optional call, as a fraction of the latency objective
-# A request that needs its calls and has been at them for longer than this fraction of its latency objective has the
-# optional calls of other requests suspended.
+# Optional calls are suspended when a request that requires its calls has spent more than this fraction of its latency
+# objective in them.
 SUSPEND_OPTIONAL_AFTER_FRACTION = 1 / 4
 
 
 class CallDecision(NamedTuple):
-    """What becomes of a request that waits for permission to call."""
+    """Decision on a request that waits for permission to call."""
 
     request: TrackedRequest
     state: RequestState
-    timeout_ms: float = 0.0  # CALL_IN_FLIGHT: how long the call may take
+    timeout_ms: float = 0.0  # CALL_IN_FLIGHT: the timeout of the call
 
 
 class DependencyCalls:
     """Decides on the requests that wait for permission to call.
 
     Args:
-        requests: All requests in hand.
-        deadlines: Until when each answer is due, and useful.
-        limit: How many calls may be in flight.
-        usage: What is left of this server's share.
-        now_ms: The present moment.
+        requests: All open requests.
+        deadlines: The deadlines of the requests.
+        limit: The limit on calls in flight.
+        usage: The use that this server has made of its share.
+        now_ms: The current time.
     """
 
     def __init__(
@@ -55,10 +55,10 @@
         self._optional_calls_suspended_until_ms = now_ms
 
     def suspend_optional_calls(self, now_ms: float, request: TrackedRequest) -> None:
-        """Suspend optional calls for one objective, where a request that needs its calls has been at them for long.
+        """Suspend optional calls for one latency objective if a request has spent long in its required calls.
 
-        This covers a dependency that is slow, or shared by more servers than foreseen. It is told from this server's
-        own wait, so that a standstill of this server alone costs some optional calls, too.
+        This reacts to a dependency that is slow, or shared by more servers than expected. The time is measured on this
+        server, so a stall of this server alone also suspends optional calls.
         """
         statistics = request.statistics
         if statistics.is_call_optional:
@@ -68,13 +68,13 @@
             self._optional_calls_suspended_until_ms = now_ms + statistics.latency_objective_ms
 
     def decide(self, now_ms: float, safe_concurrency: float) -> Iterator[CallDecision]:
-        """Yield what becomes of waiting requests; each decision must be carried out before the next is asked for.
+        """Yield decisions on waiting requests. Each must be carried out before the next one is requested.
 
-        While no call fits, the waiting requests are looked through only as often as the queue is.
+        While no further call is possible, the waiting requests are scanned only as often as the queue is.
 
         Args:
-            now_ms: The present moment.
-            safe_concurrency: How many requests may be on the cores, or return to them.
+            now_ms: The current time.
+            safe_concurrency: How many requests may be on the cores or have a call in flight.
         """
         if not self._requests.awaiting_call:
             return
@@ -95,7 +95,7 @@
             elif remaining_ms <= 0 and request.statistics.is_idempotent:
                 yield CallDecision(request, RequestState.FAILED)
             elif request.call_not_before_ms <= now_ms and self._limit.next_call_at_ms <= now_ms:
-                # How long a call may last is found by a look at all calls; once none fits, none further on does.
+                # Computing the maximum duration scans all calls. Once no call fits, none fits later in the loop.
                 if max_duration_ms >= mean_call_ms and self._can_start_call(safe_concurrency):
                     max_duration_ms = self._max_duration_ms(now_ms)
                     if max_duration_ms >= mean_call_ms:
@@ -104,7 +104,7 @@
                 waiting_ahead_count += request.state is RequestState.AWAITING_CALL
 
     def _by_urgency(self, now_ms: float, mean_call_ms: float) -> list[TrackedRequest]:
-        """Return the waiting requests in order of urgency; those that would be late even with a call now come last."""
+        """Return the waiting requests, most urgent first. Those that would be late even with a call now come last."""
 
         def order(request: TrackedRequest) -> tuple[bool, tuple[float, float, int]]:
             done_at_ms = now_ms + mean_call_ms + request.expected_run_ms / 2
@@ -113,9 +113,10 @@
         return sorted(self._requests.awaiting_call.values(), key=order)
 
     def _remaining_ms(self, now_ms: float, request: TrackedRequest) -> float:
-        """Return how long a call may take for the request to be answered in time; half of its run is still to come.
+        """Return how long a call may take if the request is to be answered in time.
 
-        A request that may not be repeated is worth finishing as long as it can be answered at all.
+        Half of the run is assumed to follow the call. A request that must not run twice is worth finishing late,
+        as long as it can be answered at all.
         """
         if request.statistics.is_idempotent:
             end_ms = self._deadlines.answer_useful_until_ms(request)
@@ -135,7 +136,7 @@
         return occupied_count + 1 <= max(1.0, self._limit.limit)
 
     def _can_start_call(self, safe_concurrency: float) -> bool:
-        """Whether one more call is within the limit, and its request safe to have on the cores again."""
+        """Whether another call is within the limit, and its request can return to the cores without overload."""
         active_count = self._requests.on_core_count() + len(self._requests.call_in_flight)
         return self._has_free_call_slot() and active_count < safe_concurrency
 
--- a/nickelslip/admission/dependency_usage.py
+++ b/nickelslip/admission/dependency_usage.py
@@ -1,6 +1,6 @@
-"""How much of the shared dependency this server uses: calls in flight over time, against its share of them.
+"""Measures this server's use of the shared dependency, as calls in flight over time, against its share.
 
-The share is a mean over a window. Calls that were abandoned are counted for as long as they occupy the dependency.
+The share is a mean over a window. Abandoned calls count for as long as they occupy the dependency.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from nickelslip.admission.interface import Settings
 from nickelslip.admission.tracked_request import TrackedRequest
 
-# The window is counted in buckets, of which one is only partly inside it; one more makes up for that.
+# One more bucket than the window has, because one bucket is always only partly inside the window.
 COUNTED_BUCKETS = DEFAULT_BUCKET_COUNT + 1
 
 
@@ -22,12 +22,12 @@
 
 
 class DependencyUsage:
-    """Counts the calls in flight.
+    """Accumulates the time of calls in flight.
 
     Args:
-        settings: The window over which the share is a mean, and how long abandoned calls linger.
-        default_window_ms: The window where the settings name none.
-        now_ms: The start of the count.
+        settings: The window of the share, and how long abandoned calls linger.
+        default_window_ms: The window if the settings give no share.
+        now_ms: The time at which the measurement starts.
     """
 
     __slots__ = ("_window_ms", "_in_flight_ms", "_accumulated_until_ms", "_lingering_until_ms", "_linger_ms")
@@ -40,7 +40,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take from the settings how long abandoned calls linger; the window is fixed at the start."""
+        """Read from the settings how long abandoned calls linger. The window never changes."""
         self._linger_ms = settings.abandoned_call_linger_ms
 
     @property
@@ -49,24 +49,24 @@
         return len(self._lingering_until_ms)
 
     def record_abandoned(self, now_ms: float) -> None:
-        """A call was abandoned; it occupies the dependency for a while."""
+        """Record an abandoned call, which occupies the dependency until it has lingered."""
         self._lingering_until_ms.append(now_ms + self._linger_ms)
 
     def accumulate_until(self, now_ms: float, in_flight_count: int) -> None:
-        """Count the calls since the last count. Called before their number changes."""
+        """Add the call time since the last update. Must be called before the number of calls changes."""
         occupied_count = in_flight_count + self.lingering_count
         self._in_flight_ms.add(now_ms, occupied_count * (now_ms - self._accumulated_until_ms))
         self._accumulated_until_ms = now_ms
         self._lingering_until_ms = [until_ms for until_ms in self._lingering_until_ms if until_ms > now_ms]
 
     def max_call_duration_ms(self, now_ms: float, in_flight: Iterable[TrackedRequest], share: float) -> float:
-        """Return the longest further call that keeps the mean of every coming window within the share.
+        """Return the longest duration of another call for which every future window mean stays within the share.
 
-        Calls in flight are taken to last until their timeout, and to linger after it.
+        Calls in flight are assumed to last until their timeout, and to linger after it.
         """
         remaining_ms = [request.call_ends_at_ms - now_ms + self._linger_ms for request in in_flight]
         remaining_ms += [until_ms - now_ms for until_ms in self._lingering_until_ms]
-        # Where even calls that last throughout would fit, no single span needs a look.
+        # If the calls fit even when they last for the whole window, the spans need not be checked one by one.
         further_count = (len(remaining_ms) + 1) * COUNTED_BUCKETS / DEFAULT_BUCKET_COUNT
         if self._in_flight_ms.total(now_ms).amount <= (share - further_count) * self._window_ms:
             return inf
--- a/nickelslip/admission/dispatch.py
+++ b/nickelslip/admission/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: which queued request starts next."""
+"""Dispatch: selects the queued requests that start."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from nickelslip.admission.memory_budget import MemoryBudget
 from nickelslip.admission.tracked_request import PRIORITY, TrackedRequest, TrackedRequests
 
-# A request of so many times the value per run time of all that runs may start one over the limit: long runs of little
-# value would keep it waiting past its objective.
+# A request with at least this many times the value per run time of every running request may use one slot above the
+# limit. Long runs of low value would otherwise keep it waiting past its objective.
 URGENT_VALUE_FACTOR = 2.0
 
 
 class Dispatcher:
-    """Chooses the requests that start.
+    """Selects the queued requests that start.
 
     Args:
-        settings: The size of the machine and the slots reserved for classes.
-        requests: All requests in hand.
-        memory: Tells whether a request may take the memory of a running one.
+        settings: The number of cores and the slots reserved for classes.
+        requests: All open requests.
+        memory: Checks whether the memory of a started request fits.
     """
 
     def __init__(self, settings: Settings, requests: TrackedRequests, memory: MemoryBudget) -> None:
@@ -28,7 +28,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the size of the machine and the reserved slots from the settings."""
+        """Read the number of cores, the maximum concurrency and the reserved slots from the settings."""
         self._core_count = settings.core_count
         self._max_concurrency = settings.max_concurrency
         self._reserved_slots = {
@@ -36,15 +36,15 @@
         }
 
     def requests_to_start(self, concurrency_limit: float, safe_concurrency: float) -> Iterator[TrackedRequest]:
-        """Yield the requests that start, the most urgent first; each must have started before the next is asked for.
+        """Yield the requests to start, most urgent first. Each must be started before the next one is requested.
 
-        Passed over are requests that have run and may not run again, requests that need a call while as many as the
-        cores wait for permission to call, requests that would take a slot reserved for another class, and those that
-        memory has no room for. Reserved slots are counted with the one slot over the limit.
+        These requests are skipped: those that have run and must not run again; those that require a call, while as many
+        requests as there are cores wait for permission to call; those that would use a slot reserved for another class;
+        and those that do not fit into memory. Reserved slots are checked against the limit plus one.
 
         Args:
-            concurrency_limit: The slots; one more is used by a request that is far more urgent than what runs.
-            safe_concurrency: How many requests may be on the cores, those with a call in flight included.
+            concurrency_limit: The number of slots. A request far more urgent than the running ones may use one more.
+            safe_concurrency: How many requests may be on the cores, including those with a call in flight.
         """
         in_flight_count = len(self._requests.call_in_flight)
         max_on_cores = min(safe_concurrency - in_flight_count, concurrency_limit + 1, self._max_concurrency)
@@ -67,7 +67,7 @@
                 yield request
 
     def _is_far_more_urgent(self, request: TrackedRequest) -> bool:
-        """Whether all that runs has far less value for its run time. Starting one more slows what runs."""
+        """Whether the request has far more value per run time than all running ones, which another start slows down."""
         running = [*self._requests.running.values(), *self._requests.degraded.values()]
         if not running:
             return False
@@ -75,7 +75,7 @@
         return request.priority_key[0] <= URGENT_VALUE_FACTOR * most_urgent_running.priority_key[0]
 
     def _unused_reserved_slots(self, request: TrackedRequest) -> float:
-        """Return the slots reserved for other classes than this request's that are not in use."""
+        """Return the number of unused slots that are reserved for other classes than that of the request."""
         own_class = request.statistics.name
         free_slots = {name: slots for name, slots in self._reserved_slots.items() if name != own_class}
         for running in self._requests.on_cores():
--- a/nickelslip/admission/early_rejection.py
+++ b/nickelslip/admission/early_rejection.py
@@ -1,4 +1,4 @@
-"""Early rejection: requests that are predicted to miss their deadline are answered at once instead of being queued."""
+"""Early rejection: requests that are predicted to miss their deadline are rejected at once instead of queued."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from nickelslip.admission.interface import Arrival
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
-# A prediction on arrival allows for work that will overtake the request, and for runs that take longer than the mean.
+# Allows for requests that will overtake the new one in the queue, and for runs that take longer than the mean.
 PREDICTION_SAFETY_FACTOR = 1.5
-FLEET_OVERLOADED_WEIGHT = 0.6  # under this weight the whole fleet is likely to be full
+FLEET_OVERLOADED_WEIGHT = 0.6  # below this weight the whole fleet is probably overloaded
 
 
 def is_predicted_late(
@@ -20,10 +20,10 @@
     effective_slots: float,
     deadlines: AnswerDeadlines,
 ) -> bool:
-    """Whether an arrival that has to queue would be answered too late, its queue wait included.
+    """Whether an arrival that has to queue is predicted to be answered too late.
 
-    The wait is the expected run time of the queued requests ahead of it over the slots that become free; its own
-    expected time follows. With no such slot the wait has no end.
+    The prediction is the queue wait plus the expected time of the request itself. The queue wait is the expected run
+    time of the queued requests ahead of it, divided by the effective slots. Without effective slots it is infinite.
     """
     run_ms_ahead = sum(
         queued.expected_run_ms for queued in requests.queued.values() if queued.priority_key < request.priority_key
@@ -39,8 +39,8 @@
 ) -> bool:
     """Whether the request would be answered too late even if it started now.
 
-    Without contention, with a core free, only recent runs may say so: what was learned under pressure must not keep an
-    idle server from learning better.
+    Without contention, which means that a core is free, only recent runs count. Durations measured under load would
+    otherwise make an idle server reject requests, and it would never measure shorter ones.
     """
     statistics = request.statistics
     if has_contention:
@@ -53,9 +53,9 @@
 
 
 def is_retry_elsewhere_useless(arrival: Arrival, attempt_age_ms: float, weight: float) -> bool:
-    """Whether a rejected arrival is told not to try another server.
+    """Whether the rejection of an arrival should advise against a retry on another server.
 
-    Retries have been elsewhere already; under a low weight the whole fleet is likely to be full, and each server that
-    is tried has to read the request again.
+    A retry has been to another server already. With a low weight the whole fleet is probably overloaded, and
+    each further server would have to read the request again.
     """
     return arrival.is_retry or attempt_age_ms > 0 or weight < FLEET_OVERLOADED_WEIGHT
--- a/nickelslip/admission/interval_measurements.py
+++ b/nickelslip/admission/interval_measurements.py
@@ -1,13 +1,13 @@
-"""What was measured since the last adjustment: the rules that adapt do so once an interval, on these figures."""
+"""Measurements of the current adjustment interval. Adaptive rules use them once per interval."""
 
 from __future__ import annotations
 
 ADJUSTMENT_INTERVAL_MS = 100.0
-CPU_BUSY_UTILIZATION = 0.9  # under this utilization the cores count as idle
+CPU_BUSY_UTILIZATION = 0.9  # below this utilization the cores count as idle
 
-# Requests that lie unread show congestion ahead of the queue. As fractions of the class's latency objective:
+# A long read delay shows congestion before it reaches the queue. As fractions of the latency objective of the class:
 HIGH_READ_DELAY_FRACTION = 1 / 6  # a longer delay lowers the advertised weight
-LOW_READ_DELAY_FRACTION = 1 / 12  # a longer delay keeps the weight from rising and makes room for reading
+LOW_READ_DELAY_FRACTION = 1 / 12  # a longer delay keeps the weight from rising and lowers the concurrency limit
 
 
 class IntervalMeasurements:
@@ -34,27 +34,27 @@
 
     @property
     def are_cores_busy(self) -> bool:
-        """Whether the cores had no time to spare when the gauges were last read."""
+        """Whether the cores were busy when the gauges were last read."""
         return self.cpu_utilization >= CPU_BUSY_UTILIZATION
 
     @property
     def is_reading_late(self) -> bool:
-        """Whether a request of this interval lay unread for long enough to call for room for reading."""
+        """Whether the read delay in this interval is high enough to require more CPU time for reading."""
         return self.max_read_delay_fraction > LOW_READ_DELAY_FRACTION
 
     def record_request(self, read_delay_ms: float, latency_objective_ms: float) -> None:
-        """Count a request that was read, and how long it lay unread."""
+        """Count a request that was read, and record its read delay."""
         self.max_read_delay_fraction = max(self.max_read_delay_fraction, read_delay_ms / latency_objective_ms)
         self.request_count += 1
         self.last_read_delay_ms = read_delay_ms
 
     def record_gauges(self, cpu_utilization: float, connection_count: float) -> None:
-        """Keep the latest gauges; a count of 0 stands for one that is not measured, too."""
+        """Store the latest gauges. A connection count of 0 may also mean that it is not measured."""
         self.cpu_utilization = cpu_utilization
         self.connection_count = connection_count
 
     def start_next(self, now_ms: float) -> None:
-        """Start the next interval. The gauges and the last read delay stay."""
+        """Start the next interval. The gauges and the last read delay are kept."""
         self.rejection_count = 0
         self.request_count = 0
         self.max_read_delay_fraction = 0.0
--- a/nickelslip/admission/memory_budget.py
+++ b/nickelslip/admission/memory_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget: queued, running and recorded requests together stay under it."""
+"""The memory budget for queued requests, running requests and idempotency records."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class MemoryBudget:
-    """Tells what fits, and which requests yield where memory falls short.
+    """Checks what fits into memory, and selects the requests to drop when the budget is exceeded.
 
     Args:
-        settings: The memory there is, and what requests and records take of it.
-        requests: All requests in hand.
+        settings: The memory size, and the memory use of requests and records.
+        requests: All open requests.
         records: The idempotency records.
     """
 
@@ -28,31 +28,31 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the sizes from the settings."""
+        """Read the sizes from the settings."""
         self._budget_kb = settings.memory_kb * USABLE_MEMORY_FRACTION
         self._running_factor = settings.running_memory_factor
         self._record_kb = settings.idempotency_record_kb
 
     def used_kb(self) -> float:
-        """Return the memory in use: a request that has run takes its memory times the running factor."""
+        """Return the memory in use. Requests that are not queued or coalesced count with the running factor."""
         all_kb = _total_kb(self._requests.by_id)
         not_run_kb = _total_kb(self._requests.queued) + _total_kb(self._requests.coalesced)
         records_kb = self._record_kb * len(self._records)
         return records_kb + self._running_factor * all_kb - (self._running_factor - 1) * not_run_kb
 
     def has_room_for_record(self) -> bool:
-        """Whether one more idempotency record fits."""
+        """Whether another idempotency record fits."""
         return self.used_kb() + self._record_kb <= self._budget_kb
 
     def has_room_to_start(self, request: TrackedRequest) -> bool:
-        """Whether a queued request may take the memory of a running one."""
+        """Whether the additional memory of a queued request fits once it runs."""
         return self.used_kb() + (self._running_factor - 1) * request.memory_kb <= self._budget_kb
 
     def excess_requests(self) -> Iterator[TrackedRequest]:
-        """Yield the requests that yield their memory, until what is left is within the budget.
+        """Yield the requests to drop until memory use is within the budget.
 
-        The queued ones come first, the least urgent before the others; then those that wait for another's result. Each
-        must have left its state before the next one is asked for.
+        Queued requests come before coalesced ones, and the least urgent first. Each must have left its state before the
+        next one is requested.
         """
         for waiting in (self._requests.queued, self._requests.coalesced):
             while waiting and self.used_kb() > self._budget_kb:
--- a/nickelslip/admission/overload_concurrency.py
+++ b/nickelslip/admission/overload_concurrency.py
@@ -1,14 +1,14 @@
-"""How many requests may be on the cores, or come back to them, before the machine collapses under the load."""
+"""How many requests may be on the cores, or return to them after a call, before the machine collapses under load."""
 
 from __future__ import annotations
 
 from nickelslip.admission.interface import Settings
 
-SAFE_OVERLOAD_FRACTION = 0.7  # of the overload concurrency, what may be on the cores at once
+SAFE_OVERLOAD_FRACTION = 0.7  # fraction of the overload concurrency that is used at most
 
 
 class OverloadConcurrency:
-    """The overload concurrency of this machine: lower while it warms up."""
+    """The overload concurrency of this machine, which is lower during its warm-up."""
 
     __slots__ = ("extra_when_warm", "_began_at_ms", "_cold_fraction", "_warm_up_ms", "_core_count")
 
@@ -19,18 +19,18 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the size of the machine from the settings; how it warms up is fixed at its start."""
+        """Read the size of the machine from the settings. The warm-up parameters never change."""
         self._core_count = settings.core_count
-        # One request per core is the regular load; what a warm machine survives beyond it is lost while it is cold.
+        # One request per core is the regular load. Only the capacity above it depends on the warm-up.
         self.extra_when_warm = settings.core_count * (settings.overload_concurrency_per_core - 1)
 
     @property
     def when_warm(self) -> float:
-        """The concurrency that a warm machine survives."""
+        """The concurrency that a warm machine handles without collapsing."""
         return self._core_count + self.extra_when_warm
 
     def safe_concurrency(self, now_ms: float) -> float:
-        """Return how many requests may be on the cores now, those at a call included."""
+        """Return how many requests may be on the cores now, including those with a call in flight."""
         age_ms = now_ms - self._began_at_ms
         warm_fraction = min(1.0, self._cold_fraction + (1 - self._cold_fraction) * age_ms / self._warm_up_ms)
         return SAFE_OVERLOAD_FRACTION * (self._core_count + self.extra_when_warm * warm_fraction)
--- a/nickelslip/admission/queue_priority.py
+++ b/nickelslip/admission/queue_priority.py
@@ -1,7 +1,7 @@
 """Queue priority: the order in which queued requests start.
 
-Most value for the expected run time comes first, where value is the class's priority weight, less what lies over the
-tenant's quota, and less for retries.
+Requests with the highest value per expected run time come first. The value is the priority weight of the class, reduced
+for tenants over their quota and for retries.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from nickelslip.admission.tenant_quotas import TenantQuotas
 from nickelslip.admission.tracked_request import TrackedRequest
 
-# A retry does not tell its age. The more of them there are, the likelier it is that its objective is over.
+# The age of a retry is unknown. The more retries there are, the more likely it is that its objective has passed.
 MIN_RETRY_VALUE_FRACTION = 0.1
 
 
@@ -21,9 +21,9 @@
 
     Args:
         settings: How value is counted, and whether clients mark retries.
-        window_ms: How far back retries are counted.
-        quotas: Tells what lies within a tenant's quota.
-        starved_classes: Tells which classes go ahead, and with which value.
+        window_ms: Window over which retries are counted.
+        quotas: The quotas of the tenants.
+        starved_classes: The value with which starved classes are queued.
     """
 
     def __init__(
@@ -31,12 +31,12 @@
     ) -> None:
         self._quotas = quotas
         self._starved_classes = starved_classes
-        self._retries = SlidingWindowSum(window_ms)  # its sum counts retries, its count all arrivals
+        self._retries = SlidingWindowSum(window_ms)  # the sum is the number of retries, the count that of all arrivals
         self._retry_fraction = 0.0
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take from the settings how value is counted, and whether retries are marked."""
+        """Read from the settings how value is counted, and whether retries are marked."""
         self._value_counts_work = settings.value_counts_work
         self._clients_mark_retries = settings.clients_mark_retries
         self._over_quota_value_fraction = settings.over_quota_value_fraction
@@ -48,7 +48,7 @@
         self._retry_fraction = retry_count / arrival_count if self._clients_mark_retries else 0.0
 
     def set_priority(self, now_ms: float, request: TrackedRequest, arrival: Arrival) -> None:
-        """Set the priority of a request that has arrived, and what lies within its tenant's quota."""
+        """Set the priority key and the within-quota fraction of a request that has arrived."""
         within_quota = self._quotas.within_quota_fraction(now_ms, arrival.tenant)
         request.within_quota_fraction = within_quota
         value_fraction = within_quota + self._over_quota_value_fraction * (1 - within_quota)
--- a/nickelslip/admission/starved_classes.py
+++ b/nickelslip/admission/starved_classes.py
@@ -1,6 +1,7 @@
-"""Starved classes: a traffic class of which too few first attempts start goes ahead until it has its fraction.
+"""Starved classes: traffic classes of which too few first attempts start.
 
-Where priority weights lie far apart, a crowd would leave the class with the least weight nothing.
+They are queued with the highest value of all classes until a minimum fraction of their first attempts starts.
+If priority weights differ widely, an overload would otherwise leave no slots to the class with the lowest weight.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 from nickelslip.admission.interface import Settings
 
 MIN_ADMISSION_FRACTION = 0.45  # of a class's first attempts
-STARVATION_STANDARD_DEVIATIONS = 1.0  # starts that fall short by less may do so by chance
+STARVATION_STANDARD_DEVIATIONS = 1.0  # a smaller shortfall of starts may be random
 
 
 class StarvedClasses:
-    """Marks the starved classes, and finds the priority with which they are queued.
+    """Marks the starved classes, and computes the value with which they are queued.
 
-    Acts only where clients mark their retries: unmarked ones would pass for first attempts.
+    Classes are marked only if clients mark their retries. Unmarked retries would count as first attempts.
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.best_value_per_ms = 0.0  # the most priority weight for its run time that any class has
+        self.best_value_per_ms = 0.0  # highest priority weight per run time of all classes
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take from the settings how value is counted, and whether retries are marked."""
+        """Read from the settings how value is counted, and whether retries are marked."""
         self._value_counts_work = settings.value_counts_work
         self._clients_mark_retries = settings.clients_mark_retries
 
--- a/nickelslip/admission/tenant_quotas.py
+++ b/nickelslip/admission/tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: which fraction of a tenant's recent starts lies within the rate that its quota allows."""
+"""Tenant quotas: the fraction of a tenant's recent starts that is within its quota."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from nickelslip.admission.estimators import SlidingWindowSum
 from nickelslip.admission.interface import Settings
 
-QUOTA_STANDARD_DEVIATIONS = 1.0  # a tenant is over its quota when its starts are so many deviations above it
+QUOTA_STANDARD_DEVIATIONS = 1.0  # starts exceed the quota only if they are this far above it
 ALL_TENANTS = ""
-MIN_COUNT = 1e-9  # keeps a quotient finite
+MIN_COUNT = 1e-9  # avoids a division by zero
 
 
 class TenantQuotas:
     """Counts the starts of each tenant against this server's part of its quota.
 
     Args:
-        settings: Names the tenants and their quotas over the whole fleet.
-        window_ms: How far back the recent means look; starts are counted over several of these windows.
+        settings: The tenants and their quotas over the whole fleet.
+        window_ms: Window of the recent means. Starts are counted over several of these windows.
     """
 
     def __init__(self, settings: Settings, window_ms: float) -> None:
@@ -27,7 +27,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the quotas from the settings; starts that were counted stay counted."""
+        """Read the quotas from the settings. The counts of starts are kept."""
         window_s_per_server = START_COUNT_WINDOWS * self._window_ms / 1000 / settings.server_count
         self._quota_counts = {tenant.name: tenant.quota_per_s * window_s_per_server for tenant in settings.tenants}
         self._total_quota_count = max(sum(self._quota_counts.values()), MIN_COUNT)
@@ -37,16 +37,16 @@
         }
 
     def record_start(self, now_ms: float, tenant: str) -> None:
-        """Count a request that starts; tenants without a quota are not counted."""
+        """Count the start of a request. Tenants without a quota are not counted."""
         if tenant in self._quota_counts:
             self._starts[ALL_TENANTS].add(now_ms, 1.0)
             self._starts[tenant].add(now_ms, 1.0)
 
     def within_quota_fraction(self, now_ms: float, tenant: str | None) -> float:
-        """Return the fraction of a tenant's starts that lies within its quota, 1 for a tenant without one.
+        """Return the fraction of a tenant's starts that is within its quota, or 1 for a tenant without a quota.
 
-        The quota is this server's part of the tenant's quota, or of all that was started here, if that is more: a
-        quick server does more of everybody's requests.
+        The quota on this server is its part of the tenant's quota. If the starts of all tenants exceed the sum of their
+        quotas here, it grows in proportion, because a fast server runs more requests of every tenant.
         """
         if tenant not in self._quota_counts:
             return 1.0
