--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings of a server from the JSON in which the platform tells them.
+"""Decodes the settings of a server from the JSON that the platform provides.
 
-The simulator's adapter and the real server both read their settings here, so that the admission controller sees the
-same figures in both. The keys are the platform's; they are mapped to the terms of this project here and nowhere else.
+Both the simulator's adapter and the real server use this module, so the admission controller gets the same values in
+both. The JSON keys are defined by the platform. Only this module maps them to the terms of this project.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 }
 VALUE_COUNTS_WORK = {"work": True, "request": False}
 
-# What runs call: a shared dependency, a tier of servers below, or nothing.
+# What runs call: a shared dependency, a lower tier of servers, or nothing.
 SHARED_DEPENDENCY = "common"
 TIER_BELOW = "next_hop"
 NO_DEPENDENCY = "silent"
@@ -43,7 +43,7 @@
     """Decode settings from the text of a JSON object.
 
     Raises:
-        MalformedSettingsError: The text is not JSON, or a field is wrong.
+        MalformedSettingsError: The text is not JSON, or a field is invalid.
     """
     try:
         value = json.loads(text)
@@ -53,20 +53,20 @@
 
 
 def decode_gauge_names(value: object, errors: Errors | None = None) -> tuple[str, ...]:
-    """Return the names of the gauges, in the order in which the worker pool reports them."""
+    """Return the names of the gauges, in the order of the worker pool's reports."""
     machine = JsonFields(value, "settings", errors).child("specifics")
     return tuple(str(name) for name in machine.items("own-stats"))
 
 
 def decode_settings(value: object, errors: Errors | None = None) -> Settings:
-    """Decode settings from a decoded JSON object; unknown keys are passed over.
+    """Decode settings from a decoded JSON object. Unknown keys are ignored.
 
     Args:
         value: The JSON object.
-        errors: Collects all errors, where it is given; then the settings are not to be used if there is any.
+        errors: If given, receives all errors. The returned settings must not be used if there are any.
 
     Raises:
-        MalformedSettingsError: A field is wrong, and no list of errors was given.
+        MalformedSettingsError: A field is invalid, and no list of errors was given.
     """
     top = JsonFields(value, "settings", errors)
     machine = top.child("specifics")
@@ -110,7 +110,7 @@
 def _decode_traffic_classes(
     top: JsonFields, machine: JsonFields, dependency: str, errors: Errors | None
 ) -> tuple[TrafficClass, ...]:
-    """Decode the classes. Whether each makes calls, and what it is worth without, stand in lists of their own."""
+    """Decode the classes. Separate lists state which classes make calls, and their degraded value fractions."""
     makes_calls = machine.items("class-calls")
     degraded_values = machine.items("class-skip-worth")
     return tuple(
@@ -130,16 +130,16 @@
     )
 
 
-def _makes_calls(told: list[Any], index: int) -> bool:
-    """Whether a class makes calls; one that the list does not reach does."""
-    return bool(told[index]) if index < len(told) else True
+def _makes_calls(entries: list[Any], index: int) -> bool:
+    """Whether a class makes calls, which is the default if the list is too short for it."""
+    return bool(entries[index]) if index < len(entries) else True
 
 
-def _degraded_value_fraction(told: list[Any], index: int, errors: Errors | None) -> float:
-    """Return what an answer without its call is worth; nothing where the list does not reach the class."""
-    if index >= len(told):
+def _degraded_value_fraction(entries: list[Any], index: int, errors: Errors | None) -> float:
+    """Return the value fraction of an answer without its call, or 0 if the list is too short for the class."""
+    if index >= len(entries):
         return 0.0
-    fields = JsonFields({"share": told[index]}, f"settings.specifics.class-skip-worth[{index}]", errors)
+    fields = JsonFields({"share": entries[index]}, f"settings.specifics.class-skip-worth[{index}]", errors)
     return fields.number("share", 0.0)
 
 
--- a/nickelslip/simulator_adapter/__init__.py
+++ b/nickelslip/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter through which the simulator drives the admission controller."""
+"""Adapter that lets the simulator drive admission controllers."""
--- a/nickelslip/simulator_adapter/adapter.py
+++ b/nickelslip/simulator_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""Drives many admission controllers from the simulator's text protocol. No decision is made here."""
+"""Drives admission controllers from the text protocol of the simulator. It makes no decisions of its own."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from nickelslip.simulator_adapter import codec
 from nickelslip.simulator_adapter.codec import MalformedLineError
 
-MAX_QUOTED_CHARACTERS = 200  # of a malformed line
+MAX_QUOTED_CHARACTERS = 200  # of a malformed line, in its error message
 EXIT_OK = 0
 EXIT_MALFORMED_INPUT = 2
 
@@ -22,9 +22,9 @@
 
 
 class EventDecoder(NamedTuple):
-    """How the line of one event is read."""
+    """How to decode the line of one event."""
 
-    min_value_count: int  # values behind the instance, at least
+    min_value_count: int  # minimum number of values after the instance name
     decode: Callable[[float, list[str]], Event]
 
 
@@ -79,7 +79,7 @@
 
 
 class Adapter:
-    """The instances of one process, each with a controller of its own."""
+    """The simulated server instances, each with its own controller."""
 
     def __init__(self) -> None:
         self._controllers: dict[str, AdmissionController] = {}
@@ -87,10 +87,10 @@
     def handle(self, now_ms: float, line: str) -> list[str]:
         """Return the replies to one event line.
 
-        An exception of a controller ends that instance alone, and is reported in one line.
+        An exception in a controller ends only its own instance, and is reported in one line.
 
         Raises:
-            MalformedLineError: The line cannot be understood.
+            MalformedLineError: The line cannot be decoded.
         """
         verb, _, rest = line.partition(" ")
         instance = rest.partition(" ")[0]
@@ -100,12 +100,12 @@
             raise _malformed(line, error) from error
         try:
             return codec.encode_decisions(instance, decide())
-        except Exception as error:  # whatever the controller raises is reported for its instance
+        except Exception as error:  # any exception of the controller is reported for its instance
             self._controllers.pop(instance, None)
-            return [_report(instance, error)]
+            return [_format_exception(instance, error)]
 
     def _decode(self, now_ms: float, verb: str, instance: str, line: str) -> Callable[[], Decisions]:
-        """Return what a line asks for; the values of an event are checked whether or not its instance is known."""
+        """Return the action that a line requests. Event values are checked even if the instance is unknown."""
         if verb == "START":
             seed, settings_text = line.split(" ", 3)[2:]
             return partial(self._start, instance, decode_settings_text(settings_text), int(seed), now_ms)
@@ -133,33 +133,33 @@
         return Decisions() if controller is None else event(controller)
 
 
-def main(source: TextIO, sink: TextIO, complaints: TextIO) -> int:
-    """Serve batches of events until the input ends.
+def main(input_stream: TextIO, output_stream: TextIO, error_stream: TextIO) -> int:
+    """Process batches of events until the input ends.
 
     Returns:
-        The exit code: 0, or 2 on input that cannot be understood, which is named in one line of `complaints`.
+        The exit code: 0, or 2 for malformed input, which is reported in one line on `error_stream`.
     """
     try:
-        _serve(source, sink)
+        _process_batches(input_stream, output_stream)
     except MalformedLineError as error:
-        print(f"nickelslip: {error}", file=complaints)
+        print(f"nickelslip: {error}", file=error_stream)
         return EXIT_MALFORMED_INPUT
     return EXIT_OK
 
 
-def _serve(source: TextIO, sink: TextIO) -> None:
-    """A batch begins with the clock, holds event lines, and ends with the request for the replies."""
+def _process_batches(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Process all batches: each starts with the time, contains event lines, and ends with the request for replies."""
     adapter = Adapter()
     now_ms: float | None = None
     replies: list[str] = []
-    for raw in source:
-        line = raw.rstrip("\r\n")
+    for raw_line in input_stream:
+        line = raw_line.rstrip("\r\n")
         if now_ms is None:
             now_ms = _begin_batch(line)
         elif line == "OVER_TO_YOU":
             replies.append("OK\n")
-            sink.write("\n".join(replies))
-            sink.flush()
+            output_stream.write("\n".join(replies))
+            output_stream.flush()
             now_ms = None
             replies = []
         else:
@@ -169,7 +169,7 @@
 
 
 def _begin_batch(line: str) -> float | None:
-    """Return the clock of the batch that this line begins, None for an empty line between batches."""
+    """Return the time of the batch that this line starts, or None for an empty line between batches."""
     if line.startswith("TICK "):
         try:
             return codec.decode_number(line.removeprefix("TICK "))
@@ -184,9 +184,9 @@
     return MalformedLineError(f"malformed line: {line[:MAX_QUOTED_CHARACTERS]!r}: {fault}")
 
 
-def _report(instance: str, error: Exception) -> str:
-    """Return the line that names an error and where it came from."""
+def _format_exception(instance: str, error: Exception) -> str:
+    """Return the line that reports an error and the place where it was raised."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
-    place = f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} in {frame.name}"
-    text = f"{type(error).__name__}: {error} at {place}"
+    location = f"{frame.filename.rsplit('/', 1)[-1]}:{frame.lineno} in {frame.name}"
+    text = f"{type(error).__name__}: {error} at {location}"
     return f"BROKEN {instance} " + " ".join(text.split())
--- a/nickelslip/simulator_adapter/codec.py
+++ b/nickelslip/simulator_adapter/codec.py
@@ -1,6 +1,6 @@
-"""The text protocol of the simulator: lines to typed events, decisions to lines.
+"""The text protocol of the simulator: decodes lines into typed events, and encodes decisions as lines.
 
-The words of the protocol are the simulator's. They are mapped to the terms of this project here and nowhere else.
+The words of the protocol are defined by the simulator. Only this module maps them to the terms of this project.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
     "114": Outcome.NOT_STARTED,
     "125": Outcome.CANCELLED,
 }
-# REJECTED and CALL_IN_FLIGHT carry values of their own; the final states reported by the simulator are never sent.
+# REJECTED and CALL_IN_FLIGHT are encoded separately, with their values. The other final states are reported by the
+# simulator and never sent to it.
 VERBS = {
     RequestState.QUEUED: "STOP",
     RequestState.PAUSED: "STOP",
@@ -43,14 +44,14 @@
 
 
 class MalformedLineError(Exception):
-    """A line that cannot be understood."""
+    """A line that cannot be decoded."""
 
 
 def decode_number(text: str) -> float:
     """Return a finite number.
 
     Raises:
-        ValueError: The text is not one.
+        ValueError: The text is not a finite number.
     """
     value = float(text)
     if not math.isfinite(value):
@@ -59,7 +60,7 @@
 
 
 def decode_arrival(values: list[str]) -> Arrival:
-    """Decode the values of an ASK line behind its instance; absent trailing ones may be left out.
+    """Decode the values of an ASK line after its instance name. Trailing absent values may be omitted.
 
     Raises:
         ValueError: A value is missing or not a number.
@@ -98,7 +99,7 @@
 
 
 def decode_gauges(text: str) -> Gauges:
-    """Decode the gauges of a WAKE line: `name:value` pairs, separated by commas."""
+    """Decode the gauges of a WAKE line, which are `name:value` pairs separated by commas."""
     if text in ("", ABSENT):
         return Gauges()
     pairs = dict(pair.split(":", 1) for pair in text.split(","))
@@ -115,13 +116,13 @@
     """Decode an outcome code.
 
     Raises:
-        KeyError: There is no such code.
+        KeyError: The code is unknown.
     """
     return OUTCOMES[text]
 
 
 def encode_decisions(instance: str, decisions: Decisions) -> list[str]:
-    """Return the lines that carry decisions out, in the order in which `Decisions` states them."""
+    """Return the lines for the decisions, in the order that `Decisions` specifies."""
     lines = []
     if decisions.advertised_weight is not None:
         lines.append(f"STAMP {instance} {decisions.advertised_weight:.6f}")
