--- a/tests/support/admission_model.py
+++ b/tests/support/admission_model.py
@@ -1,4 +1,4 @@
-"""A plain model of the admission rules: it carries out what the controller decides, and checks each decision."""
+"""A simple model of a server that carries out the decisions of the controller and checks them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 PAY = TrafficClass("pay", 3.0, 500.0, 1500.0, RetrySafety.NON_IDEMPOTENT, makes_calls=True)
 BOOK = TrafficClass("book", 2.0, 800.0, 2000.0, RetrySafety.IDEMPOTENCY_KEY, idempotency_window_ms=4000.0)
 
-ROUNDING = 1e-6
+TOLERANCE = 1e-6
 UNLIMITED_CALL_MS = 1e9
 RELAXED_BOUNDS = ("memory_kb", "core_count", "overload_concurrency_per_core", "dependency_concurrency_share")
 
 
 def build_settings(**changes: object) -> Settings:
-    """Return the settings of a small server with three traffic classes, changed by the keywords."""
+    """Return the settings of a small server with three traffic classes, with the given changes."""
     base: dict[str, object] = dict(
         traffic_classes=(READ, PAY, BOOK),
         core_count=2,
@@ -54,7 +54,7 @@
 
 
 class Stage(Enum):
-    """Where a request is: COALESCED takes another's result, ENDED holds nothing any more."""
+    """The stage of a request: COALESCED waits for another's result, ENDED uses no resources."""
 
     QUEUED = auto()
     RUNNING = auto()
@@ -66,18 +66,18 @@
 
 @dataclass
 class ModelledRequest:
-    """What the model knows of one request.
+    """A request in the model.
 
     Attributes:
         traffic_class: Its class.
-        memory_kb: What it holds while it is queued.
-        deadline_at_ms: When its client gives up.
+        memory_kb: Its memory use while it is queued.
+        deadline_at_ms: When its client times out.
         arrived_at_ms: When it reached the server.
-        stage: Where it is.
+        stage: Its current stage.
         run_count: How often it was started.
         answer_count: How often it was answered.
-        is_abandoned: Whether its client has gone.
-        has_unconfirmed_call: Whether a call of it failed and may have run.
+        is_abandoned: Whether its client has disconnected.
+        has_unconfirmed_call: Whether one of its calls failed and may have run.
     """
 
     traffic_class: TrafficClass
@@ -91,31 +91,31 @@
     has_unconfirmed_call: bool = False
 
     @property
-    def is_over(self) -> bool:
-        """Whether nobody waits for its answer any more."""
+    def needs_no_answer(self) -> bool:
+        """Whether it was answered or its client has disconnected."""
         return bool(self.answer_count) or self.is_abandoned
 
     @property
     def may_not_run_again(self) -> bool:
-        """Whether it has run and a second run could do harm."""
+        """Whether it has run and is not safe to run again."""
         return bool(self.run_count) and self.traffic_class.retry_safety is not RetrySafety.IDEMPOTENT
 
 
 class AdmissionModel:
-    """Carries out what the controller decides, and fails the test where a rule does not allow it.
+    """Carries out the decisions of the controller, and fails the test if one violates a rule.
 
     Args:
-        settings: The settings; those of `build_settings` if there are none.
+        settings: The settings, by default those of `build_settings`.
         seed: The seed of the controller.
 
     Attributes:
         settings: The settings in force.
         now_ms: The model's clock.
         requests: All requests by id.
-        advertised_weights: All weights that were advertised, in order.
-        last_decisions: What the last call decided.
-        kill_at_ms: When the drain must have ended, or None.
-        record_expires_at_ms: Until when each idempotency record stays, by request id.
+        advertised_weights: All advertised weights, in order.
+        last_decisions: The decisions of the last call.
+        kill_at_ms: When the server is killed after a drain, or None.
+        record_expires_at_ms: When each idempotency record expires, by request id.
     """
 
     def __init__(self, settings: Settings | None = None, seed: int = 1) -> None:
@@ -135,7 +135,7 @@
         self.last_decisions = self.apply(self.controller.start(0.0))
 
     def apply(self, decisions: Decisions) -> Decisions:
-        """Carry out the decisions and check the rules; return the decisions."""
+        """Carry out the decisions, check the rules, and return the decisions."""
         self.last_decisions = decisions
         if decisions.advertised_weight is not None:
             self.advertised_weights.append(decisions.advertised_weight)
@@ -158,7 +158,7 @@
         elif state is RequestState.CALL_IN_FLIGHT:
             self._start_call(request_id, duration_ms)
         elif state is RequestState.DEGRADED:
-            self._go_on_without_call(request_id)
+            self._continue_without_call(request_id)
         elif state is RequestState.COALESCED:
             self.requests[request_id].stage = Stage.COALESCED
         else:
@@ -167,20 +167,22 @@
     def _answer_without_result(self, request_id: int, state: RequestState) -> None:
         request = self.requests[request_id]
         request.answer_count += 1
-        assert request.answer_count == 1 and not request.is_abandoned, "a second answer"
-        assert not (state is RequestState.REJECTED and request.may_not_run_again), "rejected after it ran"
+        assert request.answer_count == 1 and not request.is_abandoned, "answered twice, or after a disconnect"
+        assert not (state is RequestState.REJECTED and request.may_not_run_again), "rejected although it has run"
         if request.stage is not Stage.RUNNING:
-            self._leave(request_id)
+            self._end(request_id)
 
     def _start_run(self, request_id: int) -> None:
         request = self.requests[request_id]
-        assert request.stage is Stage.QUEUED and not request.answer_count and not request.may_not_run_again, "run twice"
+        assert request.stage is Stage.QUEUED and not request.answer_count and not request.may_not_run_again, (
+            "started twice, or after its answer"
+        )
         assert (
             self._drained_at_ms is None or request.arrived_at_ms <= self._drained_at_ms + self._bounds.drain_grace_ms
-        ), "run past the grace"
+        ), "started although it arrived after the grace"
         if request.traffic_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
             window_ends_at_ms = request.arrived_at_ms + request.traffic_class.idempotency_window_ms
-            assert self.record_expires_at_ms[request_id] >= window_ends_at_ms, "run without its idempotency record"
+            assert self.record_expires_at_ms[request_id] >= window_ends_at_ms, "started without its idempotency record"
         request.stage = Stage.RUNNING
         request.run_count += 1
 
@@ -188,12 +190,12 @@
         request = self.requests[request_id]
         is_idempotent = request.traffic_class.retry_safety is RetrySafety.IDEMPOTENT
         assert request.stage is Stage.AWAITING_CALL and not request.answer_count
-        assert is_idempotent or not request.has_unconfirmed_call, "a call repeated"
+        assert is_idempotent or not request.has_unconfirmed_call, "repeated a call that may have run"
         request.stage = Stage.CALL_IN_FLIGHT
         self._call_started_at_ms[request_id] = self.now_ms
         self._call_times_out_at_ms[request_id] = self.now_ms + (timeout_ms or UNLIMITED_CALL_MS)
 
-    def _go_on_without_call(self, request_id: int) -> None:
+    def _continue_without_call(self, request_id: int) -> None:
         request = self.requests[request_id]
         assert request.stage is Stage.AWAITING_CALL and request.traffic_class.degraded_value_fraction > 0
         request.stage = Stage.RUNNING
@@ -205,10 +207,10 @@
             and self._bounds.preemption is not Preemption.NEVER
             and request.stage in (Stage.RUNNING, Stage.ENDED)
         )
-        assert request.is_over
-        self._leave(request_id)
+        assert request.needs_no_answer
+        self._end(request_id)
 
-    def _leave(self, request_id: int) -> None:
+    def _end(self, request_id: int) -> None:
         request = self.requests[request_id]
         if request.stage is Stage.CALL_IN_FLIGHT:
             lingers_until_ms = self.now_ms + self._bounds.abandoned_call_linger_ms
@@ -216,7 +218,7 @@
         request.stage = Stage.ENDED
 
     def check(self) -> None:
-        """Check the bounds on concurrency, memory, answers and calls."""
+        """Check the limits on concurrency, memory, answers and calls."""
         self._check_concurrency()
         self._check_memory_and_answers()
         if self._bounds.dependency_concurrency_share:
@@ -224,12 +226,12 @@
 
     def _check_concurrency(self) -> None:
         bounds = self._bounds
-        warmth = 1.0
+        warm_fraction = 1.0
         if bounds.starts_cold:
             cold = bounds.cold_speed_fraction
-            warmth = min(1.0, cold + (1 - cold) * self.now_ms / bounds.warm_up_ms)
-        max_running = bounds.core_count * (1 + (bounds.overload_concurrency_per_core - 1) * warmth)
-        assert len(self.ids_in(Stage.RUNNING)) <= max_running + ROUNDING
+            warm_fraction = min(1.0, cold + (1 - cold) * self.now_ms / bounds.warm_up_ms)
+        max_running = bounds.core_count * (1 + (bounds.overload_concurrency_per_core - 1) * warm_fraction)
+        assert len(self.ids_in(Stage.RUNNING)) <= max_running + TOLERANCE
 
     def _check_memory_and_answers(self) -> None:
         bounds = self._bounds
@@ -239,18 +241,18 @@
         memory_factors = {Stage.ENDED: 0, Stage.QUEUED: 1, Stage.COALESCED: 1}
         for request in self.requests.values():
             used_kb += request.memory_kb * memory_factors.get(request.stage, bounds.running_memory_factor)
-            assert request.is_over or self.now_ms <= request.deadline_at_ms + bounds.answer_slack_ms, (
-                "an answer overdue"
+            assert request.needs_no_answer or self.now_ms <= request.deadline_at_ms + bounds.answer_slack_ms, (
+                "answer is overdue"
             )
-            assert request.is_over or self.kill_at_ms is None or self.now_ms < self.kill_at_ms
-        assert used_kb <= bounds.memory_kb + ROUNDING
+            assert request.needs_no_answer or self.kill_at_ms is None or self.now_ms < self.kill_at_ms
+        assert used_kb <= bounds.memory_kb + TOLERANCE
 
     def _check_dependency_concurrency(self) -> None:
         window_ms = self._bounds.dependency_window_ms
         begin_ms = self.now_ms - window_ms
         spans = self._call_spans + [(since, self.now_ms) for since in self._call_started_at_ms.values()]
         mean = sum(max(0.0, min(end, self.now_ms) - max(since, begin_ms)) for since, end in spans) / window_ms
-        assert mean <= self._bounds.dependency_concurrency_share + ROUNDING
+        assert mean <= self._bounds.dependency_concurrency_share + TOLERANCE
 
     def receive_request(
         self,
@@ -261,7 +263,7 @@
         read_delay_ms: float = 0.0,
         **fields: object,
     ) -> Decisions:
-        """Have the controller receive a request that arrived read_delay_ms ago."""
+        """Pass a request that arrived read_delay_ms ago to the controller."""
         arrived_at_ms = self.now_ms - read_delay_ms
         deadline_at_ms = None if timeout_ms is None else max(self.now_ms, arrived_at_ms + timeout_ms)
         self.requests[request_id] = ModelledRequest(
@@ -281,22 +283,22 @@
         return self.apply(self.controller.request_received(self.now_ms, arrival))
 
     def end_run(self, request_id: int, outcome: Outcome = Outcome.OK, duration_ms: float = 100.0) -> Decisions:
-        """Have a run end after so long."""
+        """End a run that took duration_ms."""
         request = self.requests[request_id]
         has_result = outcome in (Outcome.OK, Outcome.ERROR)
         if request.stage in (Stage.RUNNING, Stage.COALESCED) and has_result and not request.is_abandoned:
             request.answer_count = 1
-        self._leave(request_id)
+        self._end(request_id)
         return self.apply(self.controller.run_ended(self.now_ms, request_id, outcome, duration_ms))
 
     def request_call(self, request_id: int) -> Decisions:
-        """Have a run reach its call."""
+        """Let a run reach its call."""
         request = self.requests[request_id]
-        request.stage = Stage.ENDED if request.is_over else Stage.AWAITING_CALL
+        request.stage = Stage.ENDED if request.needs_no_answer else Stage.AWAITING_CALL
         return self.apply(self.controller.call_requested(self.now_ms, request_id))
 
     def return_call(self, request_id: int, outcome: Outcome) -> Decisions:
-        """Have a call end with this outcome."""
+        """End a call with this outcome."""
         request = self.requests[request_id]
         started_at_ms = self._call_started_at_ms.pop(request_id)
         linger_ms = self._bounds.abandoned_call_linger_ms if outcome is Outcome.TIMEOUT else 0.0
@@ -307,15 +309,15 @@
         return self.apply(self.controller.call_returned(self.now_ms, request_id, outcome, duration_ms))
 
     def disconnect_client(self, request_id: int) -> Decisions:
-        """Have a request's client go."""
+        """Disconnect the client of a request."""
         request = self.requests[request_id]
         request.is_abandoned = True
         if request.stage is not Stage.RUNNING:
-            self._leave(request_id)
+            self._end(request_id)
         return self.apply(self.controller.client_disconnected(self.now_ms, request_id))
 
     def change_settings(self, **changes: object) -> Decisions:
-        """Change the settings; what was within a bound that is lowered now may stay until it ends."""
+        """Change the settings. Checks use the highest value of each limit, since open requests may exceed a new one."""
         self.settings = replace(self.settings, **changes)  # type: ignore[arg-type]
         relaxed = {name: max(getattr(self._bounds, name), getattr(self.settings, name)) for name in RELAXED_BOUNDS}
         self._bounds = replace(self.settings, **relaxed)
@@ -328,7 +330,7 @@
         return self.apply(self.controller.drain(self.now_ms, self.kill_at_ms))
 
     def advance(self, duration_ms: float, cpu_utilization: float = 1.0) -> None:
-        """Let time pass, a tick at a time, with the timers and call timeouts that are due."""
+        """Advance the clock tick by tick, and handle due timers and call timeouts."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += self._bounds.tick_ms
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""Small cases, one for each failure found or rule that is easy to get wrong."""
+"""Tests of the admission controller: earlier failures, and rules that are easy to get wrong."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 def busy_model(**changes):
-    """Both cores taken by runs that take their guessed mean."""
+    """Return a model whose two cores are busy with runs of the initially assumed duration."""
     model = AdmissionModel(build_settings(**changes))
     for request_id in (1, 2):
         model.receive_request(request_id, READ)
@@ -31,7 +31,7 @@
     model.request_call(1)
     model.advance(20)
     if model.ids_in(Stage.CALL_IN_FLIGHT):
-        model.return_call(1, Outcome.OK)  # and now a long rest would follow
+        model.return_call(1, Outcome.OK)  # at this low share, a long pause follows the call
     model.change_settings(dependency_concurrency_share=4.0)
     for request_id in (2, 3):
         model.receive_request(request_id, READ)
@@ -62,7 +62,7 @@
     assert states(model.end_run(1)) == [(3, RequestState.RUNNING)]
 
 
-def test_a_request_predicted_late_is_rejected_at_once_and_lowers_the_weight_before_the_next():
+def test_a_request_predicted_late_is_rejected_at_once_and_lowers_the_weight():
     model = busy_model()
     request_id = 3
     while not model.receive_request(request_id, READ).state_changes:
@@ -74,13 +74,13 @@
     )
     model.advance(100)
     assert model.advertised_weights[0] == 0.8
-    for held in model.ids_in(Stage.RUNNING):
-        model.end_run(held)
+    for running_id in model.ids_in(Stage.RUNNING):
+        model.end_run(running_id)
     model.advance(400, cpu_utilization=0.1)
     assert model.advertised_weights[-1] > 0.8
 
 
-def test_queued_requests_start_by_priority_weight_over_work_and_first_attempts_first():
+def test_queued_requests_start_by_priority_weight_per_work_and_first_attempts_before_retries():
     model = AdmissionModel()
     for request_id, traffic_class, is_retry in (
         (1, PAY, False),
@@ -115,7 +115,7 @@
     assert states(model.end_run(30)) == [(33, RequestState.RUNNING)]
 
 
-def test_a_tenant_over_its_quota_is_not_queued_and_others_go_first():
+def test_a_tenant_over_its_quota_is_not_queued_and_others_start_first():
     model = AdmissionModel(build_settings(tenants=(Tenant("a", 1.0), Tenant("b", 50.0)), over_quota_value_fraction=0.1))
     for request_id in range(1, 31):
         model.receive_request(request_id, READ, tenant="a")
@@ -126,7 +126,7 @@
     assert states(model.end_run(40)) == [(43, RequestState.RUNNING)]
 
 
-def test_a_quota_grows_with_what_a_fast_server_starts():
+def test_a_quota_grows_with_the_starts_of_a_fast_server():
     model = AdmissionModel(
         build_settings(tenants=(Tenant("a", 1.0), Tenant("b", 1.0)), dependency_concurrency_share=0.0)
     )
@@ -149,7 +149,7 @@
         model.receive_request(request_id, READ)
         model.end_run(request_id, duration_ms=1500.0)  # longer than the latency objective
     assert states(model.receive_request(10, READ)) == [(10, RequestState.REJECTED)]
-    model.advance(2100)  # nothing ran for as long as what is learned looks back
+    model.advance(2100)  # longer than the statistics window, without a run
     assert states(model.receive_request(11, READ)) == [(11, RequestState.RUNNING)]
 
 
@@ -163,7 +163,7 @@
     assert model.last_decisions.state_changes[0].duration_ms > 450 / 80
     model.advance(100)
     assert model.advertised_weights == [0.8]
-    model.advance(500, cpu_utilization=1.0)  # nothing is read and the cores are busy: not calm
+    model.advance(500, cpu_utilization=1.0)  # nothing is read and the cores are busy, so the weight must not rise
     assert model.advertised_weights == [0.8]
 
 
@@ -181,7 +181,7 @@
     assert states(model.end_run(1)) == []
 
 
-def test_a_cancelled_run_is_stopped_where_preemption_allows():
+def test_a_cancelled_run_is_stopped_if_preemption_allows():
     model = busy_model(preemption=Preemption.DISCARD_PROGRESS)
     assert states(model.disconnect_client(1)) == [(1, RequestState.ORPHANED)]
 
@@ -211,7 +211,7 @@
     assert model.requests[1].answer_count == 0 and model.ids_in(Stage.RUNNING) == [1]
 
 
-def test_optional_calls_yield_for_a_while_after_a_required_call_was_slow():
+def test_optional_calls_are_suspended_for_a_while_after_a_slow_required_call():
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
     model.receive_request(1, PAY)
     assert states(model.request_call(1)) == [(1, RequestState.CALL_IN_FLIGHT)]
@@ -220,15 +220,17 @@
     model.receive_request(2, READ)
     assert states(model.request_call(2)) == [(2, RequestState.DEGRADED)]
     model.receive_request(3, PAY)
-    assert states(model.request_call(3)) == [(3, RequestState.CALL_IN_FLIGHT)], "what needs its call still makes it"
+    assert states(model.request_call(3)) == [(3, RequestState.CALL_IN_FLIGHT)], "required calls are still made"
     model.advance(100)
     model.return_call(3, Outcome.OK)
     model.advance(600)
     model.receive_request(4, READ)
-    assert states(model.request_call(4)) == [(4, RequestState.CALL_IN_FLIGHT)], "once that is over, all call again"
+    assert states(model.request_call(4)) == [(4, RequestState.CALL_IN_FLIGHT)], (
+        "optional calls resume after the suspension"
+    )
 
 
-def test_a_late_awaiting_call_yields_to_one_that_can_still_be_in_time():
+def test_a_late_request_awaiting_its_call_yields_to_one_that_can_be_in_time():
     model = AdmissionModel(build_settings(dependency_concurrency_share=1.3, core_count=4))
     for request_id, timeout_ms in ((1, 500.0), (2, 150.0), (3, 450.0)):
         model.receive_request(request_id, PAY, timeout_ms=timeout_ms)
@@ -263,28 +265,28 @@
 
 
 def make_calls_in_turn(model, request_ids, duration_ms):
-    """Receive, call and end one request after the other; return how long each awaited its call."""
-    waited = []
+    """Receive, call and end one request after the other. Return how long each waited for its call."""
+    waits_ms = []
     for request_id in request_ids:
         model.receive_request(request_id, READ)
-        begin = model.now_ms
+        requested_at_ms = model.now_ms
         model.request_call(request_id)
         while (
             request_id not in model.ids_in(Stage.CALL_IN_FLIGHT)
             and model.requests[request_id].stage is Stage.AWAITING_CALL
         ):
             model.advance(5)
-        waited.append(model.now_ms - begin)
+        waits_ms.append(model.now_ms - requested_at_ms)
         if request_id in model.ids_in(Stage.CALL_IN_FLIGHT):
             model.advance(duration_ms)
             model.return_call(request_id, Outcome.OK)
         model.end_run(request_id)
-    return waited
+    return waits_ms
 
 
 def test_slow_calls_lower_the_number_in_flight():
     model = AdmissionModel(build_settings(dependency_concurrency_share=8.0, core_count=8))
-    make_calls_in_turn(model, range(1, 21), 20)  # quick calls show what is usual
+    make_calls_in_turn(model, range(1, 21), 20)  # fast calls set the baseline
     for request_id in range(31, 39):
         model.receive_request(request_id, READ)
         model.request_call(request_id)
@@ -326,32 +328,36 @@
     assert model.requests[3].answer_count == 1 and model.requests[4].answer_count == 0
 
 
-@pytest.mark.parametrize("marks", (True, False))
-def test_a_starved_class_has_its_minimum_admission_fraction_where_retries_are_marked(marks):
+@pytest.mark.parametrize("marks_retries", (True, False))
+def test_a_starved_class_has_its_minimum_admission_fraction_if_retries_are_marked(marks_retries):
     low, high = (
         replace(READ, makes_calls=False, degraded_value_fraction=0.0),
         replace(PAY, makes_calls=False, priority_weight=30.0),
     )
-    model = AdmissionModel(build_settings(traffic_classes=(low, high, BOOK), clients_mark_retries=marks))
-    ran, request_id = {low: 0, high: 0}, 0
-    for step in range(400):  # of one class as much as the cores can do, and half as much of the other
+    model = AdmissionModel(build_settings(traffic_classes=(low, high, BOOK), clients_mark_retries=marks_retries))
+    run_counts, request_id = {low: 0, high: 0}, 0
+    for step in range(400):  # the high class alone fills the cores; the low class has half as many
         for traffic_class in (low, high, high):
             request_id += 1
             model.receive_request(request_id, traffic_class)
         for each in model.ids_in(Stage.RUNNING):
-            ran[model.requests[each].traffic_class] += step >= 100
+            run_counts[model.requests[each].traffic_class] += step >= 100
             model.end_run(each)
         model.advance(100.0)
-    assert (0.3 < ran[low] / 300 < 1.0 and ran[high] / 600 > 0.4) if marks else ran[low] / 300 < 0.2
+    assert (
+        (0.3 < run_counts[low] / 300 < 1.0 and run_counts[high] / 600 > 0.4)
+        if marks_retries
+        else run_counts[low] / 300 < 0.2
+    )
 
 
-def test_a_drain_is_reported_and_runs_nothing_that_came_after_the_grace():
+def test_a_drain_is_reported_and_requests_after_the_grace_do_not_run():
     model = AdmissionModel()
     model.receive_request(1, READ)
     result = model.drain(3000.0)
     assert result.advertised_weight is None and result.health is not None and not result.health.is_healthy
     model.advance(900)
-    assert model.advertised_weights == []  # until the grace is over its cores are worth having
+    assert model.advertised_weights == []  # clients should use its cores until the grace ends
     model.advance(105)
     assert model.advertised_weights == [0.0]
     assert states(model.receive_request(2, READ)) == [(2, RequestState.REJECTED)]
@@ -375,61 +381,61 @@
     }
 
 
-def idle_timeouts_ms(model, cpu_utilization, connections, windows):
-    """The idle connection timeouts decided in so many windows."""
+def idle_timeouts_ms(model, cpu_utilization, connection_count, interval_count):
+    """Return the idle connection timeouts that are decided in `interval_count` adjustment intervals."""
     timeouts_ms = []
-    for _ in range(windows):
+    for _ in range(interval_count):
         model.now_ms += 100.0
         timeouts_ms.append(
             model.apply(
                 model.controller.timer_fired(
-                    model.now_ms, Gauges(cpu_utilization=cpu_utilization, connection_count=connections)
+                    model.now_ms, Gauges(cpu_utilization=cpu_utilization, connection_count=connection_count)
                 )
             ).idle_connection_timeout_ms
         )
     return [each for each in timeouts_ms if each is not None]
 
 
-def test_the_idle_timeout_shrinks_while_cores_idle_and_grows_while_they_are_busy():
+def test_the_idle_timeout_falls_while_cores_are_idle_and_rises_while_they_are_busy():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=100))
-    assert idle_timeouts_ms(model, cpu_utilization=1.0, connections=50.0, windows=3) == []  # the clients' own timeout
-    sooner = idle_timeouts_ms(model, cpu_utilization=0.5, connections=50.0, windows=30)
-    assert sooner == sorted(sooner, reverse=True) and sooner[0] < 8000.0 and 80.0 <= sooner[-1] <= 90.0
-    assert (
-        idle_timeouts_ms(model, cpu_utilization=0.5, connections=5.0, windows=5) == []
-    )  # few are open: nobody is turned back
-    longer = idle_timeouts_ms(model, cpu_utilization=1.0, connections=50.0, windows=60)
-    assert longer == sorted(longer) and longer[-1] > 7000.0
+    # It stays at the clients' own timeout.
+    assert idle_timeouts_ms(model, cpu_utilization=1.0, connection_count=50.0, interval_count=3) == []
+    falling_ms = idle_timeouts_ms(model, cpu_utilization=0.5, connection_count=50.0, interval_count=30)
+    assert falling_ms == sorted(falling_ms, reverse=True) and falling_ms[0] < 8000.0 and 80.0 <= falling_ms[-1] <= 90.0
+    # With few open connections, no client is refused.
+    assert idle_timeouts_ms(model, cpu_utilization=0.5, connection_count=5.0, interval_count=5) == []
+    rising_ms = idle_timeouts_ms(model, cpu_utilization=1.0, connection_count=50.0, interval_count=60)
+    assert rising_ms == sorted(rising_ms) and rising_ms[-1] > 7000.0
 
 
-def test_the_idle_timeout_stays_where_all_clients_find_a_connection():
+def test_the_idle_timeout_is_unchanged_if_all_clients_have_a_connection():
     model = AdmissionModel(build_settings(idle_connection_timeout_ms=8000.0, client_count=12))
-    assert idle_timeouts_ms(model, cpu_utilization=0.1, connections=50.0, windows=10) == []
+    assert idle_timeouts_ms(model, cpu_utilization=0.1, connection_count=50.0, interval_count=10) == []
 
 
 def test_events_of_requests_that_have_ended_are_ignored():
-    control = AdmissionModel().controller
+    controller = AdmissionModel().controller
     for result in (
-        control.call_requested(1.0, 99),
-        control.client_disconnected(1.0, 99),
-        control.run_ended(1.0, 99, Outcome.NOT_STARTED, 0.0),
-        control.call_returned(1.0, 99, Outcome.OK, 0.0),
+        controller.call_requested(1.0, 99),
+        controller.client_disconnected(1.0, 99),
+        controller.run_ended(1.0, 99, Outcome.NOT_STARTED, 0.0),
+        controller.call_returned(1.0, 99, Outcome.OK, 0.0),
     ):
         assert states(result) == []
 
 
-def test_classes_that_keep_most_value_late_are_judged_by_their_timeout():
+def test_classes_that_keep_most_value_when_late_are_limited_by_their_timeout():
     late = READ.__class__("late", 1.0, 100.0, 5000.0, RetrySafety.IDEMPOTENT, late_value_fraction=0.8)
     model = AdmissionModel(build_settings(traffic_classes=(late,)))
     assert states(model.receive_request(1, late, read_delay_ms=500.0)) == [(1, RequestState.RUNNING)]
 
 
-def test_many_awaiting_calls_cost_one_look_at_the_calls_in_flight(monkeypatch):
-    looks, room = [], DependencyUsage.max_call_duration_ms
+def test_many_requests_awaiting_calls_cause_one_scan_of_the_calls_in_flight(monkeypatch):
+    scan_times_ms, original = [], DependencyUsage.max_call_duration_ms
     monkeypatch.setattr(
         DependencyUsage,
         "max_call_duration_ms",
-        lambda self, now, *values: looks.append(now) or room(self, now, *values),
+        lambda self, now_ms, *args: scan_times_ms.append(now_ms) or original(self, now_ms, *args),
     )
     model = AdmissionModel(
         build_settings(core_count=40, memory_kb=1e6, dependency_concurrency_share=2.0, abandoned_call_linger_ms=1900.0)
@@ -439,16 +445,16 @@
     for request_id in model.ids_in(Stage.RUNNING):
         model.request_call(request_id)
     model.return_call(model.ids_in(Stage.CALL_IN_FLIGHT)[0], Outcome.TIMEOUT)
-    looks.clear()
-    waiting = len(model.ids_in(Stage.AWAITING_CALL))
+    scan_times_ms.clear()
+    waiting_count = len(model.ids_in(Stage.AWAITING_CALL))
     model.now_ms += 1
     model.request_call(model.ids_in(Stage.RUNNING)[0]) if model.ids_in(Stage.RUNNING) else model.apply(
         model.controller.timer_fired(model.now_ms, Gauges())
     )
-    assert waiting > 10 and len(looks) <= 1
+    assert waiting_count > 10 and len(scan_times_ms) <= 1
 
 
-def test_a_server_short_of_cpu_does_not_take_its_lag_for_a_slow_dependency():
+def test_the_read_delay_of_a_busy_server_does_not_count_as_a_slow_dependency():
     model = AdmissionModel(build_settings(core_count=8, memory_kb=1e6, dependency_concurrency_share=6.0))
 
     def call(request_id, duration_ms, read_delay_ms=0.0):
@@ -460,53 +466,52 @@
         return model.controller._dependency_limit.limit
 
     assert all(call(request_id, 1.0) == 5.1 for request_id in range(1, 40))
-    assert call(40, 9.0) == 5.1  # under a tick or two times tell nothing
-    assert call(41, 90.0, read_delay_ms=80.0) == 5.1  # what lay unread for so long is read late, replies too
+    assert call(40, 9.0) == 5.1  # a duration of a tick or two is not significant
+    assert call(41, 90.0, read_delay_ms=80.0) == 5.1  # the reply may have been read as late as the request
     assert call(42, 90.0) < 5.1
 
 
-def end_requests_with_timeout(model, usual, many):
-    """Receive and end so many requests, all with the usual timeout."""
-    for request_id in range(100, 100 + many):
-        model.receive_request(request_id, READ, timeout_ms=usual)
+def end_requests_with_timeout(model, timeout_ms, count):
+    """Receive and end `count` requests, all with the same timeout."""
+    for request_id in range(100, 100 + count):
+        model.receive_request(request_id, READ, timeout_ms=timeout_ms)
         model.end_run(request_id)
 
 
 def test_a_timeout_shorter_than_usual_marks_an_attempt_too_old_to_queue():
     model = AdmissionModel()
-    end_requests_with_timeout(model, usual=1500.0, many=30)
+    end_requests_with_timeout(model, timeout_ms=1500.0, count=30)
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=1500.0)
     assert model.ids_in(Stage.RUNNING) == [1, 2] and model.ids_in(Stage.QUEUED) == [3]
-    (change,) = model.receive_request(
-        4, READ, timeout_ms=1400.0
-    ).state_changes  # its first attempt came 1600 ms ago, the objective is 1000
+    # The first attempt of 4 was 1600 ms ago, and the objective is 1000 ms.
+    (change,) = model.receive_request(4, READ, timeout_ms=1400.0).state_changes
     assert change == (4, RequestState.REJECTED, change.duration_ms, True)
-    assert not model.receive_request(5, READ, timeout_ms=1500.0).state_changes  # a usual timeout tells nothing
-    assert not model.receive_request(6, READ, timeout_ms=2900.0).state_changes  # the first attempt came 100 ms ago
+    assert not model.receive_request(5, READ, timeout_ms=1500.0).state_changes  # a usual timeout does not show the age
+    assert not model.receive_request(6, READ, timeout_ms=2900.0).state_changes  # its first attempt was 100 ms ago
 
 
-def test_an_old_attempt_is_run_where_a_core_is_free():
+def test_an_old_attempt_runs_if_a_core_is_free():
     model = AdmissionModel()
-    end_requests_with_timeout(model, usual=1500.0, many=30)
+    end_requests_with_timeout(model, timeout_ms=1500.0, count=30)
     assert states(model.receive_request(1, READ, timeout_ms=1400.0)) == [(1, RequestState.RUNNING)]
 
 
-@pytest.mark.parametrize("usual", ([1500.0], [600.0, 1500.0, 2900.0]))
-def test_timeouts_are_usual_while_few_are_known_and_where_several_are_common(usual):
+@pytest.mark.parametrize("timeouts_ms", ([1500.0], [600.0, 1500.0, 2900.0]))
+def test_no_timeout_is_unusual_with_few_samples_or_several_common_timeouts(timeouts_ms):
     model = AdmissionModel()
     for request_id in (1, 2):
         model.receive_request(request_id, READ, timeout_ms=3000.0)
-    for request_id, timeout_ms in enumerate(usual * 40, start=100):
+    for request_id, timeout_ms in enumerate(timeouts_ms * 40, start=100):
         result = model.receive_request(request_id, READ, timeout_ms=timeout_ms)
         assert not any(change.retry_elsewhere_useless for change in result.state_changes)
         model.disconnect_client(request_id)
 
 
-def test_the_timeout_histogram_follows_a_new_usual_timeout():
+def test_the_timeout_histogram_adapts_to_a_new_usual_timeout():
     model = AdmissionModel()
-    end_requests_with_timeout(model, usual=1500.0, many=1000)
-    end_requests_with_timeout(model, usual=900.0, many=200)
+    end_requests_with_timeout(model, timeout_ms=1500.0, count=1000)
+    end_requests_with_timeout(model, timeout_ms=900.0, count=200)
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=1500.0)
     assert not model.receive_request(4, READ, timeout_ms=900.0).state_changes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The controller and the plain model of the rules agree on what is allowed, on generated events."""
+"""Property tests: on generated events, the controller never violates the rules that the model checks."""
 
 from dataclasses import replace
 
@@ -99,9 +99,9 @@
     assert all(request.answer_count or request.is_abandoned for request in model.requests.values())
 
 
-def receive_request(model, request_id, named, memory_kb, timeout_ms, is_retry):
-    """Receive a request of a class as it is defined now, or nothing where a change has removed the class."""
-    traffic_class = next((each for each in model.settings.traffic_classes if each.name == named.name), None)
+def receive_request(model, request_id, event_class, memory_kb, timeout_ms, is_retry):
+    """Receive a request of the class with its current settings, unless a change has removed the class."""
+    traffic_class = next((each for each in model.settings.traffic_classes if each.name == event_class.name), None)
     if traffic_class is None:
         return
     recorded = [
@@ -122,8 +122,8 @@
 }
 
 
-def change_one_request(model, event, pick, outcome):
-    """Have the event happen to one of the requests that it can happen to, if there is one."""
+def change_one_request(model, event, index, outcome):
+    """Apply the event to one of the requests that it is possible for, if there is one."""
     candidates = [
         request_id
         for request_id, request in model.requests.items()
@@ -133,7 +133,7 @@
     ]
     if not candidates:
         return
-    request_id = candidates[pick % len(candidates)]
+    request_id = candidates[index % len(candidates)]
     if event == "end_run":
         model.end_run(request_id, Outcome.OK if outcome is not Outcome.ERROR else outcome)
     elif event == "return_call":
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The codec and the adapter, over text as the bench sends it."""
+"""Tests of the adapter and its codec, with the text protocol that the bench uses."""
 
 import io
 import json
@@ -9,7 +9,7 @@
 from nickelslip.settings import decode_settings_text
 from nickelslip.simulator_adapter.adapter import main
 
-INFO = {
+SETTINGS = {
     "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
     "unknown": 1,
     "classes": [{"aim-ms": 500.0, "deadline-ms": 1000.0, "gain": 1.0, "idempotency": "non_idempotent", "name": "p"}],
@@ -34,17 +34,17 @@
     },
     "tick-ms": 5.0,
 }
-START = f"START server/1 7 {json.dumps(INFO)}"
+START = f"START server/1 7 {json.dumps(SETTINGS)}"
 
 
-def play(*lines):
-    sink, complaints = io.StringIO(), io.StringIO()
-    code = main(io.StringIO("".join(line + "\n" for line in lines)), sink, complaints)
-    return code, sink.getvalue().splitlines(), complaints.getvalue()
+def run_adapter(*lines):
+    output, errors = io.StringIO(), io.StringIO()
+    code = main(io.StringIO("".join(line + "\n" for line in lines)), output, errors)
+    return code, output.getvalue().splitlines(), errors.getvalue()
 
 
-def test_a_day_over_text():
-    code, out, _ = play(
+def test_the_events_of_a_server_over_text():
+    code, out, _ = run_adapter(
         "TICK 0",
         START,
         "OVER_TO_YOU",
@@ -87,37 +87,41 @@
         "DRAIN server/1 soon",
     ),
 )
-def test_a_malformed_line_is_named_and_ends_the_adapter(line):
-    code, _, complaints = play("TICK 0", START, line, "OVER_TO_YOU")
-    assert code == 2 and line.split(" ")[0] in complaints + " START" and complaints.startswith("nickelslip: ")
+def test_a_malformed_line_is_reported_and_ends_the_adapter(line):
+    code, _, errors = run_adapter("TICK 0", START, line, "OVER_TO_YOU")
+    assert code == 2 and line.split(" ")[0] in errors + " START" and errors.startswith("nickelslip: ")
 
 
-def test_input_outside_or_cut_inside_a_batch_is_an_error():
-    assert play("OVER_TO_YOU")[0] == 2 and play("TICK 1")[0] == 2 and play("TICK x", "OVER_TO_YOU")[0] == 2
+def test_input_outside_a_batch_or_truncated_inside_one_is_an_error():
+    assert (
+        run_adapter("OVER_TO_YOU")[0] == 2
+        and run_adapter("TICK 1")[0] == 2
+        and run_adapter("TICK x", "OVER_TO_YOU")[0] == 2
+    )
 
 
-def test_an_exception_in_the_module_is_reported_for_its_instance(monkeypatch):
-    def broken(self, now, arrival):
+def test_an_exception_in_a_controller_is_reported_for_its_instance(monkeypatch):
+    def raise_error(self, now_ms, arrival):
         raise RuntimeError("lost count")
 
-    monkeypatch.setattr(AdmissionController, "request_received", broken)
-    code, out, _ = play("TICK 0", START, "ASK server/1 1 p", "OVER_TO_YOU")
+    monkeypatch.setattr(AdmissionController, "request_received", raise_error)
+    code, out, _ = run_adapter("TICK 0", START, "ASK server/1 1 p", "OVER_TO_YOU")
     assert code == 0 and out[-2].startswith("BROKEN server/1 RuntimeError: lost count at test_simulator_adapter.py:")
 
 
-def test_instances_act_alike_however_they_are_dealt_out():
-    ask = "ASK server/{} 4 p - - - - 24.5 0.6 0 0 1 900 -"
+def test_an_instance_behaves_the_same_alone_and_beside_another():
+    request_line = "ASK server/{} 4 p - - - - 24.5 0.6 0 0 1 900 -"
     other = START.replace("/1", "/2")
-    both = play("TICK 0", START, other, ask.format(1), ask.format(2), "OVER_TO_YOU")[1]
-    alone = play("TICK 0", other, ask.format(2), "OVER_TO_YOU")[1]
+    both = run_adapter("TICK 0", START, other, request_line.format(1), request_line.format(2), "OVER_TO_YOU")[1]
+    alone = run_adapter("TICK 0", other, request_line.format(2), "OVER_TO_YOU")[1]
     assert [line for line in both if "server/1" not in line] == alone
 
 
-def test_settings_keep_their_meaning():
-    told = decode_settings_text(json.dumps(INFO))
+def test_settings_are_mapped_to_the_terms_of_the_controller():
+    settings = decode_settings_text(json.dumps(SETTINGS))
     assert (
-        told.dependency_concurrency_share,
-        told.traffic_classes[0].makes_calls,
-        told.retry_after_max_ms,
-        told.tenants,
+        settings.dependency_concurrency_share,
+        settings.traffic_classes[0].makes_calls,
+        settings.retry_after_max_ms,
+        settings.tenants,
     ) == (2.0, True, 1000.0, ())
