--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -132,7 +132,7 @@
         statistics.record_arrival(now_ms, arrival.is_retry)
         has_to_queue = self._has_to_queue()
         age_ms = attempt_age_ms(request, received_at_ms) if arrival.deadline_at_ms is not None else 0.0
-        if has_to_queue:  # not if a core is free: it then runs if it may still be in time
+        if has_to_queue:  # on a free core an old request runs anyway, because it may still be in time
             request.useful_until_ms -= age_ms
         self._priority.set_priority(now_ms, request, arrival)
         if received_at_ms > self._drain.grace_ends_at_ms:
@@ -169,7 +169,7 @@
         request = self._requests.by_id.get(request_id)
         if request is None:
             return self._apply_rules(now_ms)
-        if request.state is RequestState.ORPHANED:  # already answered or cancelled, so its run ends here
+        if request.state is RequestState.ORPHANED:  # its result is no longer needed, so the run ends here
             self._transition(now_ms, request, RequestState.CANCELLED, notify=False, has_run_ended=True)
         elif request.state in (RequestState.RUNNING, RequestState.DEGRADED):
             self._transition(now_ms, request, RequestState.AWAITING_CALL, notify=False)
@@ -193,7 +193,7 @@
         return self._apply_rules(now_ms)
 
     def client_disconnected(self, now_ms: float, request_id: int) -> Decisions:
-        """Handle a client disconnect: its request no longer needs an answer."""
+        """Handle the disconnect of a client, whose request no longer needs an answer."""
         request = self._requests.by_id.get(request_id)
         if request is not None and request.state is not RequestState.ORPHANED:
             self._transition(now_ms, request, RequestState.CANCELLED, notify=False)
@@ -267,7 +267,7 @@
         self._idempotency_records.drop_expired(now_ms)
 
     def _stop_orphaned_runs(self, now_ms: float) -> None:
-        """Ask the server to stop orphaned runs if it can stop runs, and repeat the request once per interval."""
+        """Tell the server to stop orphaned runs, if it can stop runs. The instruction is repeated once per interval."""
         if not self._can_stop_runs:
             return
         for request in self._requests.orphaned.values():
@@ -315,7 +315,7 @@
                 self._transition(now_ms, request, RequestState.FAILED)
 
     def _schedule_wake(self, now_ms: float) -> float | None:
-        """Return the time until the next wake-up, or None if one is already scheduled at or before it."""
+        """Return the time until the next wake-up, or None if an earlier or equal one is already scheduled."""
         margin_ms = self._deadlines.margin_ms
         wake_at_ms = min(self._interval.ends_at_ms, self._deadlines.next_due_at_ms - margin_ms)
         next_call_at_ms = self._dependency_limit.next_call_at_ms
@@ -445,7 +445,7 @@
         Args:
             now_ms: The current time.
             request: The request.
-            state: The new state. If it is final while the run is still on a core, the request becomes ORPHANED instead.
+            state: The new state. If it is final but the run has not ended, the request becomes ORPHANED instead.
             duration_ms: REJECTED: the Retry-After delay; CALL_IN_FLIGHT: the timeout of the call.
             retry_elsewhere_useless: REJECTED: whether a retry on another server would not help.
             notify: Whether the server has to act on the change; False if the server reported the change itself.
--- a/nickelslip/admission/idle_connections.py
+++ b/nickelslip/admission/idle_connections.py
@@ -9,7 +9,7 @@
 from nickelslip.admission.interface import Settings
 from nickelslip.admission.interval_measurements import IntervalMeasurements
 
-CROWDED_TABLE_FACTOR = 2.0  # times the extra overload concurrency: above this, the table is crowded
+CROWDED_TABLE_FACTOR = 2.0  # the table is crowded above this many times the extra overload concurrency
 MIN_TIMEOUT_FRACTION = 0.01
 TIMEOUT_DECREASE_FACTOR = 0.8
 TIMEOUT_INCREASE_FACTOR = 1 + 0.1
