--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -1,9 +1,11 @@
-"""Which commands have arrived at the worker pool, and which may be sent again after the link was lost.
+"""Tracks which commands have reached the worker pool, and selects those to send again after a link is lost.
 
-A command is unconfirmed from its writing until the worker pool answers a query that was written after it. What is
-unconfirmed when a link breaks may or may not have arrived. Once the next link has brought all missed notifications,
-`resend_decision` says for each such command whether it is sent again. A start that it leaves alone is sent again in
-one case only: by `take_runs_to_start_again`, when nobody waits for the answer and the worker pool cannot stop runs.
+A command is unconfirmed until the worker pool answers a query that was written after it. If the link breaks first, the
+command may or may not have arrived. Once the next link has delivered all missed notifications, `resend_decision`
+decides for each such command whether it is sent again.
+
+A start that is not sent again then is only ever repeated by `take_runs_to_start_again`, when its client no longer
+waits for the answer and the worker pool cannot stop runs.
 """
 
 from __future__ import annotations
@@ -23,26 +25,26 @@
     StopRun,
 )
 
-MAX_UNCONFIRMED_COMMANDS = 4096  # beyond that the oldest are forgotten
-STOPS_PROVING_NO_RUN = 3  # stops without a notification, each written after the answer to a query
+MAX_UNCONFIRMED_COMMANDS = 4096  # when there are more, the oldest are discarded
+STOPS_PROVING_NO_RUN = 3  # stops without a notification of the run, each after the answer to a further query
 
 
 class ResendDecision(Enum):
-    """What becomes of a command that may have been lost with a link."""
+    """How to handle a command that may have been lost with a link."""
 
-    SEND_AGAIN = "arriving twice does no harm"
-    START_OVER = "it cannot be sent again; its run is stopped, and admission control starts it anew"
-    DO_NOT_SEND = "it may have arrived, and must not arrive twice"
+    SEND_AGAIN = "the command is safe to repeat"
+    START_OVER = "the command is unsafe to repeat: its run is stopped, and admission control starts it again"
+    DO_NOT_SEND = "the command may have arrived and is unsafe to repeat, or is no longer needed"
 
 
 def resend_decision(command: RunCommand, can_stop_runs: bool) -> ResendDecision:
-    """Decide, once all missed notifications were read, whether a command that may be lost is sent again."""
+    """Decide whether a possibly lost command is sent again; call it once all missed notifications are read."""
     request = command.request
     if not request.has_unfinished_run or request.state in FINAL_STATES:
         return ResendDecision.DO_NOT_SEND
     if isinstance(command, StartRun) and _is_start_repeatable(request):
         return ResendDecision.SEND_AGAIN
-    if isinstance(command, ResumeWithoutCall) and _stands_at_call(request, command.call_seq):
+    if isinstance(command, ResumeWithoutCall) and _is_blocked_at_call(request, command.call_seq):
         return ResendDecision.SEND_AGAIN
     if isinstance(command, ResumeWithReply) and can_stop_runs and _is_run_repeatable(request):
         return ResendDecision.START_OVER
@@ -50,20 +52,25 @@
 
 
 def _is_start_repeatable(request: Request) -> bool:
-    """A start may come twice where nothing was heard of the run and a second run does no harm."""
+    """Whether a start may be repeated: no notification of the run has arrived, and a second run does no harm."""
     return not request.heard_since_last_command and _is_idempotent(request)
 
 
-def _stands_at_call(request: Request, call_seq: int) -> bool:
-    """Permission to continue without a call names that call's notification, and has no effect at any other call."""
+def _is_blocked_at_call(request: Request, call_seq: int) -> bool:
+    """Whether the run may still be blocked at this call.
+
+    The command to continue without a call contains the number of the call's notification and has no effect on any
+    other call, so it is safe to repeat.
+    """
     return request.state is RequestState.DEGRADED and call_seq == request.call.seq
 
 
 def _is_run_repeatable(request: Request) -> bool:
-    """A reply must not come twice, since the run may stand at its next call by then.
+    """Whether a run whose reply may be lost can be started again.
 
-    An idempotent run of which nothing was heard since is run again instead. Left alone it would stand at its call, and
-    keep its slot, until its deadline.
+    The reply itself must not be repeated, since the run may be blocked at its next call by the time it arrives. An
+    idempotent run without a notification since then is run again instead. Otherwise it would stay blocked at its call
+    and occupy its slot until its deadline.
     """
     return request.state is RequestState.RUNNING and not request.heard_since_last_command and _is_idempotent(request)
 
@@ -74,53 +81,53 @@
 
 
 class UnconfirmedRun(NamedTuple):
-    """A run that may never have started, or may be over: its last command was lost with a link.
+    """A run whose last command may have been lost with a link, so that it may not have started or may have ended.
 
     Attributes:
-        stop_count: Stops that were asked for since without a notification of the run.
-        answers_before_count: Answers to queries that had come when the last of these stops was counted.
+        stop_count: Stops counted since the link was lost, without a notification of the run.
+        query_answer_count: Number of answered queries when the last of these stops was counted.
     """
 
     stop_count: int
-    answers_before_count: int
+    query_answer_count: int
 
 
 class CommandDelivery:
-    """Keeps the unconfirmed commands and runs.
+    """Keeps track of the unconfirmed commands and runs.
 
     Args:
-        can_stop_runs: Whether the worker pool stops runs when told to.
+        can_stop_runs: Whether the worker pool can stop runs.
     """
 
     def __init__(self, can_stop_runs: bool) -> None:
         self._can_stop_runs = can_stop_runs
         self._unconfirmed = deque[RunCommand | QueryGauges](
             maxlen=MAX_UNCONFIRMED_COMMANDS
-        )  # written on the present link
-        self._possibly_lost: list[RunCommand] = []  # written on earlier links: the last command of each run
+        )  # written on the current link
+        self._possibly_lost: list[RunCommand] = []  # the last command of each run, written on earlier links
         self._unconfirmed_runs: dict[Request, UnconfirmedRun] = {}
-        self._answer_count = 0
-        self._catch_up_tag = ""  # of the query behind the missed notifications; empty once they were read
+        self._query_answer_count = 0
+        self._catch_up_tag = ""  # of the query sent after the missed notifications; empty once they are read
 
     def command_written(self, command: RunCommand | QueryGauges) -> None:
-        """Take note that a command was written on the present link."""
+        """Record that a command was written on the current link."""
         self._unconfirmed.append(command)
 
     @property
     def is_all_confirmed(self) -> bool:
-        """Whether all that was written on the present link has arrived."""
+        """Whether everything written on the current link is confirmed to have arrived."""
         return not self._unconfirmed
 
     @property
     def is_catching_up(self) -> bool:
-        """Whether notifications that were missed while there was no link are still being read."""
+        """Whether the notifications missed while there was no link are still being read."""
         return bool(self._catch_up_tag)
 
     def link_bound(self) -> None:
-        """Take note that a new link stands: what was unconfirmed on the old one may be lost.
+        """Record that a new link is bound; commands unconfirmed on the old link may be lost.
 
-        Of each run only the last command counts, since the ones before it are not to be sent again in any case. A
-        stop is passed over: admission control asks for it again.
+        Only the last command of each run is kept, since earlier ones are never sent again. Stops are not kept either,
+        because admission control requests them again.
         """
         last_by_request = {
             command.request: command
@@ -130,27 +137,27 @@
         self._possibly_lost = [command for request, command in last_by_request.items() if request.has_unfinished_run]
         self._unconfirmed_runs = dict.fromkeys(
             (*self._unconfirmed_runs, *(command.request for command in self._possibly_lost)),
-            UnconfirmedRun(0, self._answer_count),
+            UnconfirmedRun(0, self._query_answer_count),
         )
         self._unconfirmed.clear()
 
     def await_catch_up(self, tag: str) -> None:
-        """Take the answer to the query with this tag as the sign that all missed notifications were read."""
+        """Treat the answer to the query with this tag as proof that all missed notifications are read."""
         self._catch_up_tag = tag
 
     def query_answered(self, tag: str) -> None:
-        """Confirm the query with this tag and all that was written before it."""
-        self._answer_count += 1
+        """Confirm the query with this tag and everything written before it."""
+        self._query_answer_count += 1
         if not any(_is_query(command, tag) for command in self._unconfirmed):
             return
         while not _is_query(self._unconfirmed.popleft(), tag):
             pass
 
     def commands_to_resend(self, tag: str) -> list[RunCommand]:
-        """Return what is to be sent in place of possibly lost commands, once the query to wait for was answered.
+        """Return the commands to send in place of possibly lost ones, once all missed notifications are read.
 
         Args:
-            tag: Of the query that was answered just now.
+            tag: Tag of the query that has just been answered.
         """
         if tag != self._catch_up_tag:
             return []
@@ -167,41 +174,43 @@
         return commands
 
     def run_observed(self, request: Request) -> None:
-        """Take note that something was told of this run, so that it is confirmed."""
+        """Record that a notification of this run has arrived, which confirms the run."""
         self._unconfirmed_runs.pop(request, None)
 
     def is_absent_after_stop(self, request: Request) -> bool:
-        """Count a stop of this run, and return whether it is proven by now that there is no such run.
+        """Count a stop of this run, and return whether the stops so far prove that the run does not exist.
 
-        A run whose start was lost ends without a notification; it would keep its slot and its memory for good.
+        No notification ever arrives for a run whose start was lost. Without this check it would occupy its slot and
+        its memory forever.
         """
         run = self._unconfirmed_runs.get(request)
-        if run is None or not _is_nobody_waiting(request):
+        if run is None or not _has_no_waiting_client(request):
             return False
-        if self._answer_count > run.answers_before_count:
-            self._unconfirmed_runs[request] = UnconfirmedRun(run.stop_count + 1, self._answer_count)
+        if self._query_answer_count > run.query_answer_count:
+            self._unconfirmed_runs[request] = UnconfirmedRun(run.stop_count + 1, self._query_answer_count)
         if run.stop_count < STOPS_PROVING_NO_RUN:
             return False
         del self._unconfirmed_runs[request]
         return True
 
     def take_runs_to_start_again(self) -> list[Request]:
-        """Return, once each, the unconfirmed runs to be started again because nobody waits for them any more.
+        """Return the unconfirmed runs to start again because no client waits for them; each is returned only once.
 
-        This is for worker pools that cannot stop runs. By the protocol nothing is started then: the run goes on
-        already, or the worker pool answers that it is too late for it, and so the run is confirmed or over.
+        This is for worker pools that cannot stop runs. By the protocol, such a start never begins a run: either the
+        run is already in progress, or the worker pool replies that it is too late to start it. Both notifications
+        settle whether the run exists.
         """
         requests = [
             request
             for request in self._unconfirmed_runs
-            if _is_nobody_waiting(request) and not request.heard_since_last_command
+            if _has_no_waiting_client(request) and not request.heard_since_last_command
         ]
         for request in requests:
             del self._unconfirmed_runs[request]
         return requests
 
 
-def _is_nobody_waiting(request: Request) -> bool:
+def _has_no_waiting_client(request: Request) -> bool:
     return request.answered or request.client_gone
 
 
--- a/nickelslip/server/decision_executor.py
+++ b/nickelslip/server/decision_executor.py
@@ -1,7 +1,7 @@
-"""Calls of the admission controller, and the execution of what it decides.
+"""Calls of the admission controller and execution of its decisions.
 
-Nothing is awaited between a decision and the write that carries it out: every decision is executed before the call
-that brought it returns.
+Nothing is awaited between a decision and the write that executes it. Every decision is executed before
+`DecisionExecutor.decide` returns.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 
 
 class DecisionExecutor:
-    """The one caller of the admission controller.
+    """Calls the admission controller; no other component does.
 
     Args:
-        context: The server around it.
-        advertised: Where decisions for clients are stored.
+        context: The server, with its open requests and the components that execute decisions.
+        advertised: The state advertised to clients; updated by decisions.
         wake_schedule: When the controller's timer is due.
-        lifecycle: Is notified when the state of a request changes.
+        lifecycle: Notified when the state of a request changes.
 
     Attributes:
-        context: The server around it.
+        context: The server, with its open requests and the components that execute decisions.
         controller: The admission controller; None before the worker pool is up and after a failure.
-        gauges: The measurements that the controller's timer was last called with.
+        gauges: The measurements passed to the latest call of the controller's timer.
     """
 
     def __init__(
@@ -61,35 +61,35 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether there is a controller, and no call of it is in progress."""
+        """Whether there is a controller and none of its methods is being called."""
         return self.controller is not None and not self._is_deciding
 
     def create_controller(self, settings: Settings, seed: int, started_at_ms: float) -> None:
-        """Create the controller; whatever its constructor raises is passed on."""
+        """Create the controller; errors of its constructor propagate."""
         self.controller = AdmissionController(settings, seed, started_at_ms)
 
     def discard_controller(self) -> None:
-        """Decide nothing more, after a failure."""
+        """Stop making decisions, after a failure."""
         self.controller = None
 
     def decide(self, method: Callable[..., Decisions], *arguments: object) -> None:
-        """Call a method of the controller and execute all that it decides.
+        """Call a method of the controller and execute its decisions.
 
-        A timer that is due is called first, as if it had been called in time. An error that is raised fails the
-        server. After a failure all open requests are answered with a failure instead.
+        An overdue timer is fired first, as if it had fired on time. An error raised by the controller fails the
+        server. Without a controller, all open requests are answered with a failure instead.
 
         Args:
             method: The method, as an attribute of `AdmissionController`.
             *arguments: Its arguments after the current time.
 
         Raises:
-            RuntimeError: If another call is in progress.
+            RuntimeError: If a call of the controller is already in progress.
         """
         if self.controller is None:
             fail_requests(list(self.context.requests.values()), self._advertised.advertised_weight)
             return
         if self._is_deciding:
-            raise RuntimeError("the admission controller was called while a call of it was in progress")
+            raise RuntimeError("the admission controller was called again before its previous call returned")
         if self._wake_schedule.is_due:
             self.fire_timer()
         self._is_deciding = True
@@ -101,16 +101,16 @@
             self._is_deciding = False
 
     def fire_timer(self) -> None:
-        """Call the controller's timer, with the gauges that have arrived since the last time."""
+        """Call the controller's timer with the gauges that have arrived since the previous call."""
         self._wake_schedule.clear()
         self.gauges = self.context.worker_pool.take_gauges() or Gauges()
         self.decide(AdmissionController.timer_fired, self.gauges)
 
     def _execute(self, decisions: Decisions) -> None:
-        """Execute what one call decided, in a fixed order.
+        """Execute the decisions of one call in a fixed order.
 
-        What clients are told comes first, so that the answers of the same call carry it; then the idempotency updates,
-        the state changes in their order, and the next wake.
+        The advertised state comes first, so that the answers written by the same call contain it. Then come the
+        idempotency updates, the state changes in their given order, and the next wake-up.
         """
         self._advertise(decisions)
         for update in decisions.idempotency_updates:
--- a/nickelslip/server/open_requests.py
+++ b/nickelslip/server/open_requests.py
@@ -1,4 +1,4 @@
-"""The open requests of a server: from their acceptance to the end of their lifecycle."""
+"""The open requests of a server, from their acceptance to the end of their lifecycle."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class OpenRequests:
-    """Accepts requests and runs each one's lifecycle in a task of its own.
+    """Accepts requests and runs the lifecycle of each one in its own task.
 
     Args:
         context: Clock, log and tasks of the server, and the configuration in force.
-        actions: What can be done for a request.
-        sink: Where the events of requests are reported.
-        executor: Whether a controller is there to decide.
-        idempotency_table: Knows conflicts of idempotency keys.
-        counter: Counts what becomes of requests.
-        lifecycle: Is notified when a request is over.
-        requests: The open requests by number, which this class alone changes.
+        actions: Starts and stops runs, makes calls and updates idempotency records.
+        sink: Reports the events of requests to the admission controller.
+        executor: Holds the admission controller; without a controller no request is accepted.
+        idempotency_table: Detects conflicts of idempotency keys.
+        counter: Counts requests for the request metrics.
+        lifecycle: Notified when a request has ended.
+        requests: The open requests by number; only this class changes it.
     """
 
     def __init__(
@@ -53,10 +53,10 @@
         self._key_conflict_count = 0
 
     def accept(self, request: Request) -> bool:
-        """Report the arrival of a request, and run its lifecycle in a task unless it is over already.
+        """Report the arrival of a request, and run its lifecycle in a task unless it has ended already.
 
-        Returns False if its connection has to answer it with a failure: there is no controller to decide, its number
-        is in use, its configuration is no longer in force, or its idempotency key is another request's.
+        Returns False if its connection has to answer it with a failure: there is no admission controller, its number
+        is in use, its configuration is no longer in force, or its idempotency key belongs to another request.
         """
         if request.number in self._requests or self._executor.controller is None:
             return False
@@ -81,13 +81,13 @@
             self._close(request)
 
     def _close(self, request: Request) -> None:
-        """Remove a request that is over; those that joined it fail if it left them no result."""
+        """Remove a request that has ended; requests coalesced with it fail if it has no result."""
         self._idempotency_table.finish(request, Outcome.CANCELLED)
         del self._requests[request.number]
         self._lifecycle.notify_change()
 
     def _log_key_conflict(self) -> None:
-        """Log the 1st, 2nd, 4th and so on conflict of idempotency keys."""
+        """Log the 1st, 2nd, 4th, 8th ... conflict of idempotency keys."""
         self._key_conflict_count += 1
         if is_power_of_two(self._key_conflict_count):
             self._context.log.warning("idempotency_key_conflict", count=self._key_conflict_count)
--- a/nickelslip/server/request_lifecycle.py
+++ b/nickelslip/server/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""The lifecycle of one request, from its arrival to the end of all that is done for it.
+"""The lifecycle of one request, from its arrival to a final state.
 
-Each event updates the request and is reported to the admission controller, whose decisions are executed before the
-report returns.
+Each event updates the request and is reported to the admission controller. The controller's decisions are executed
+before the report returns.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     """Handle the events of a request until it has reached a final state.
 
     Args:
-        actions: Where runs, calls and idempotency records of the request are changed.
-        sink: Where its events are reported to the admission controller.
-        request: The request, whose arrival has been reported already.
+        actions: Starts and stops runs, makes calls and updates idempotency records.
+        sink: Reports the events to the admission controller.
+        request: The request, whose arrival has already been reported.
     """
     while request.state not in FINAL_STATES:
         event = await _next_event(actions, request)
@@ -39,9 +39,9 @@
 
 
 async def _next_event(actions: RequestActions, request: Request) -> RequestEvent | None:
-    """Wait for the next event, no longer than to the deadline of the call in flight.
+    """Wait for the next event, at most until the deadline of the call in flight.
 
-    A call that is past its deadline is given up and reported as returned. None means that the state may have changed.
+    A call past its deadline is abandoned and reported as returned. None means that the state may have changed.
     """
     wait_ms = inf
     if request.state is RequestState.CALL_IN_FLIGHT:
@@ -68,7 +68,7 @@
 
 
 def _handle_call_requested(sink: DecisionSink, request: Request, event: CallRequested) -> None:
-    """Record the call at which the run stands, and ask for permission to make it."""
+    """Record the call that the run requests, and ask the admission controller for permission to make it."""
     request.heard_since_last_command = True
     request.call = event
     if request.state in (RequestState.RUNNING, RequestState.DEGRADED):
@@ -77,9 +77,9 @@
 
 
 def _handle_call_returned(actions: RequestActions, sink: DecisionSink, request: Request, event: CallReturned) -> None:
-    """Resume the run with the reply; after any other outcome it goes on waiting at the call.
+    """Resume the run with the reply; after any other outcome the run keeps waiting for the call.
 
-    The return of a call that is no longer in flight is ignored.
+    The end of a call that is no longer in flight is ignored.
     """
     if request.state is not RequestState.CALL_IN_FLIGHT:
         return
@@ -92,7 +92,7 @@
 
 
 def _handle_run_finished(actions: RequestActions, sink: DecisionSink, request: Request, event: RunFinished) -> None:
-    """Report the end of the run and answer with its result; a run that was stopped is queued again."""
+    """Report the end of the run and answer with its result; the request of a stopped run is queued again."""
     if request.state is RequestState.CALL_IN_FLIGHT:
         actions.dependency_client.give_up(request)
     request.has_unfinished_run = False
@@ -110,7 +110,7 @@
 
 
 def _handle_client_disconnected(actions: RequestActions, sink: DecisionSink, request: Request) -> None:
-    """Cancel a request that is still to be answered."""
+    """Cancel the request, unless it is orphaned or in a final state."""
     if request.state is RequestState.ORPHANED or request.state in FINAL_STATES:
         return
     if request.state is RequestState.CALL_IN_FLIGHT:
--- a/nickelslip/server/requests.py
+++ b/nickelslip/server/requests.py
@@ -1,7 +1,7 @@
-"""One request: the fields that were received, its state, its mailbox and its answer.
+"""One request: its received fields, its state, its mailbox and its answer.
 
-The load balancers' side creates a `Request` and supplies the function that writes its answer. `request_lifecycle` runs
-it, `state_changes` executes on it what the admission controller decided.
+The connection to a load balancer creates a `Request` and supplies the function that writes the answer.
+`request_lifecycle` handles its events, and `state_changes` applies the admission controller's decisions to it.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from nickelslip.configuration.generations import Generation
 from nickelslip.server.request_events import CallRequested, ClientDisconnected, RequestEvent, RunFinished
 
-MAILBOX_CAPACITY = 64  # events that may wait; the two events that end a request are accepted beyond it
+MAILBOX_CAPACITY = 64  # in events; the two events that end a request are accepted even when it is full
 
 
 @dataclass(slots=True, eq=False)
 class ReceivedRequest:
-    """The fields of a request as they were received, all validated.
+    """The validated fields of a received request.
 
     Attributes:
         id_hex: Identifier of the request, in hexadecimal digits.
         traffic_class: Name of its traffic class.
         body: Body for the worker pool.
         received_at_ms: When it reached this machine, in Unix milliseconds.
-        memory_kb: Memory that it takes while it is queued.
-        tenant: Name of its tenant, if it names one.
-        timeout_ms: How long its client waits for the answer, if it says so.
-        cost_hint_ms: Expected time on a core, if the client says so.
+        memory_kb: Memory that it occupies while it is queued.
+        tenant: Name of its tenant, if the request contains one.
+        timeout_ms: How long its client waits for the answer, if the client states it.
+        cost_hint_ms: Expected time on a core, if the client states it.
         is_retry: Whether it is marked as a retry.
-        load_balancer: Number of the load balancer, if it names itself.
-        key: Idempotency key, or the subject of a read whose answer may serve others.
+        load_balancer: Number of the load balancer, if the request contains it.
+        key: Idempotency key, or the subject of a read whose answer may be shared with other requests.
     """
 
     id_hex: str
@@ -52,12 +52,12 @@
     key: str | None = None
 
     def arrival(self, number: int, now_ms: float, original_request_id: int | None) -> Arrival:
-        """Return the request as the admission controller takes it.
+        """Convert the request to the admission controller's format.
 
         Args:
             number: Identifier of the request as a number.
-            now_ms: Current time, from which the read delay follows.
-            original_request_id: Number of the request that this one repeats, if one is on record.
+            now_ms: Current time, used to compute the read delay.
+            original_request_id: Number of the original request, if this one is a duplicate.
         """
         return Arrival(
             id=number,
@@ -79,10 +79,10 @@
 
     Attributes:
         state: COMPLETED, REJECTED or FAILED.
-        advertised_weight: Weight of this server, which every answer carries.
+        advertised_weight: Advertised weight of this server, sent with every answer; None if there is none.
         body: Result of a completed request.
-        retry_after_ms: How long the client should wait before a retry of a rejected request; 0 for no advice.
-        retry_elsewhere_useless: Whether another server would reject the request as well.
+        retry_after_ms: How long the client should wait before it retries a rejected request; 0 for no advice.
+        retry_elsewhere_useless: Whether other servers would reject the request as well.
     """
 
     state: RequestState
@@ -96,27 +96,26 @@
     """One request of a client.
 
     Args:
-        received: The fields that were received.
-        generation: The configuration that was in force when it was received; it applies to the end of the request.
-        write_answer: Writes the answer to the client; called once at most.
+        received: The received fields.
+        generation: The configuration that was in force when it was received. Later generations do not affect it.
+        write_answer: Writes the answer to the client; called at most once.
 
     Attributes:
-        received: The fields that were received.
+        received: The received fields.
         number: Identifier as a number.
         generation: The configuration that applies to the request.
         state: Current state.
-        answered: Whether an answer was written.
+        answered: Whether an answer has been written.
         client_gone: Whether the client cancelled the request or closed its connection.
-        has_unfinished_run: Whether the worker pool has a run of it that has not ended.
-        heard_since_last_command: Whether the worker pool has sent anything about that run since it was last started
-            or resumed.
+        has_unfinished_run: Whether the worker pool has an unfinished run of it.
+        heard_since_last_command: Whether a notification of that run has arrived since it was last started or resumed.
         call_transports: The connections on which its calls were sent.
-        call: The call at which its run stands, or last stood.
+        call: The latest call that its run requested.
         call_started_at_ms: When the latest call was sent.
-        call_deadline_at_ms: When the latest call is given up.
-        coalesced_at_ms: When the request began to wait for the result of its original.
-        coalesced_requests: Requests that wait for the result of this one.
-        run_ms: Time that its run took.
+        call_deadline_at_ms: When the latest call times out.
+        coalesced_at_ms: When it began to wait for the result of its original request.
+        coalesced_requests: Duplicates that wait for the result of this request.
+        run_ms: Core time that its run took.
         on_finished: Called with the request and its final state when it is answered or cancelled.
     """
 
@@ -144,9 +143,9 @@
         self._mailbox_changed: anyio.Event | None = None
 
     def enter(self, state: RequestState) -> None:
-        """Change the state; a final state is never left.
+        """Change the state, unless the current state is final.
 
-        A final state is replaced by ORPHANED while a run is out.
+        While the run is unfinished, the request enters ORPHANED instead of a final state.
         """
         if self.state in FINAL_STATES:
             return
@@ -156,7 +155,7 @@
             self.state = state
 
     def answer(self, answer: Answer) -> None:
-        """Write the answer, unless one was written or the client has gone."""
+        """Write the answer, unless one has been written or the client has disconnected."""
         if self.answered or self.client_gone:
             return
         self.answered = True
@@ -167,20 +166,20 @@
     def deliver(self, event: RequestEvent) -> None:
         """Put an event into the mailbox.
 
-        An event that would exceed the capacity is dropped, unless it ends the request. Those come once each, and the
-        running slot would never be freed without them.
+        A full mailbox drops every event that does not end the request. The two that do arrive once each, and without
+        them the running slot would never be freed.
         """
         if len(self._mailbox) < MAILBOX_CAPACITY or isinstance(event, RunFinished | ClientDisconnected):
             self._mailbox.append(event)
         self.wake()
 
     def wake(self) -> None:
-        """Have `next_event` return, for an event or for a state that was changed from elsewhere."""
+        """Make `next_event` return, because of a new event or a state change outside the lifecycle task."""
         if self._mailbox_changed is not None:
             self._mailbox_changed.set()
 
     async def next_event(self, wait_ms: float) -> RequestEvent | None:
-        """Return the next event, or None after `wait_ms` or a call of `wake` without one."""
+        """Return the next event, or None after `wait_ms` or if `wake` is called without an event."""
         if not self._mailbox:
             changed = self._mailbox_changed = anyio.Event()
             if wait_ms == inf:
@@ -192,7 +191,7 @@
 
 
 def fail_requests(requests: Iterable[Request], advertised_weight: float | None) -> None:
-    """Answer these requests with a failure and end them, whether or not their runs are out."""
+    """Answer these requests with a failure and end them, even if their runs are unfinished."""
     for request in requests:
         request.answer(Answer(RequestState.FAILED, advertised_weight))
         request.has_unfinished_run = False
--- a/nickelslip/server/state_changes.py
+++ b/nickelslip/server/state_changes.py
@@ -1,6 +1,6 @@
-"""Execution of the state changes that the admission controller decides for a request.
+"""Execution of the admission controller's state changes.
 
-Everything that a change asks for is written before the function returns.
+All commands and answers that a change requires are written before `execute_state_change` returns.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def execute_state_change(actions: RequestActions, request: Request, change: StateChange) -> None:
-    """Execute one decided change, and wake the lifecycle of the request."""
+    """Execute one state change, and wake the lifecycle task of the request."""
     match change.state:
         case RequestState.RUNNING:
             _start_run(actions, request)
@@ -28,7 +28,7 @@
         case RequestState.COALESCED:
             _coalesce(actions, request)
         case RequestState.REJECTED | RequestState.FAILED:
-            _refuse(actions, request, change)
+            _reject_or_fail(actions, request, change)
     request.wake()
 
 
@@ -40,7 +40,7 @@
 
 
 def _stop_run(actions: RequestActions, request: Request) -> None:
-    """Ask the worker pool to stop the run; the state changes when the end of the run is reported."""
+    """Ask the worker pool to stop the run; the state changes once the worker pool reports the end of the run."""
     if request.has_unfinished_run:
         actions.worker_pool.stop(request)
 
@@ -63,8 +63,8 @@
     actions.idempotency_table.coalesce(request)
 
 
-def _refuse(actions: RequestActions, request: Request, change: StateChange) -> None:
-    """Answer a request that is rejected or has failed, and give up its call."""
+def _reject_or_fail(actions: RequestActions, request: Request, change: StateChange) -> None:
+    """Answer a rejected or failed request, and abandon its call in flight."""
     if request.state is RequestState.CALL_IN_FLIGHT:
         actions.dependency_client.give_up(request)
     request.answer(
