--- a/nickelslip/server/advertised_state.py
+++ b/nickelslip/server/advertised_state.py
@@ -1,4 +1,4 @@
-"""What a server tells its clients about itself."""
+"""The state of a server that it advertises to its clients."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True, eq=False)
 class AdvertisedState:
-    """What the admission controller last decided to tell clients.
+    """The state that the admission controller last decided to advertise to clients.
 
     Attributes:
-        advertised_weight: Weight that every answer carries; None where there is none.
-        is_healthy: Whether health checks are answered with "healthy".
-        idle_connection_timeout_ms: After what time unused connections are closed; None for never.
+        advertised_weight: Weight sent with every answer; None if there is none.
+        is_healthy: Whether health checks are answered as healthy.
+        idle_connection_timeout_ms: Idle time after which connections are closed; None for never.
     """
 
     advertised_weight: float | None = None
--- a/nickelslip/server/call_limit.py
+++ b/nickelslip/server/call_limit.py
@@ -1,4 +1,4 @@
-"""The limit of dependency calls during the slow start, as the admission controller is told it."""
+"""The limit of concurrent dependency calls during the slow start."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from nickelslip.server.log_sampling import is_power_of_two
 from nickelslip.startup.slow_start import SlowStartPhase
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.admission.interface import Settings
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.startup.slow_start import SlowStart
 
-MIN_DEPENDENCY_SHARE = 1.0  # a share that is not configured must not forbid all calls
+MIN_DEPENDENCY_SHARE = 1.0  # without this, an unconfigured share would forbid all calls
 
 
 def dependency_share_of(settings: Settings) -> float:
-    """Return the mean number of concurrent calls that is this server's share; 0 if no class makes calls."""
+    """Return this server's share of concurrent dependency calls, as a mean; 0 if no traffic class makes calls."""
     if not any(traffic_class.makes_calls for traffic_class in settings.traffic_classes):
         return 0.0
     return max(settings.dependency_concurrency_share, MIN_DEPENDENCY_SHARE)
 
 
 class CallLimit:
-    """Tells the controller how many calls the slow start allows, and logs the phases of the slow start.
+    """Sets the controller's limit of concurrent calls during the slow start, and logs the slow start's phases.
 
     Args:
         log: Log of the server.
@@ -41,12 +41,12 @@
         self._clock = clock
         self._slow_start = slow_start
         self._executor = executor
-        self._max_concurrent_calls = inf  # as the controller was told last
+        self._max_concurrent_calls = inf  # last value set in the controller
         self._phase = SlowStartPhase.PROCESS_STARTED
         self._phase_counts = Counter[SlowStartPhase]()
 
     def update(self) -> None:
-        """Tell the controller the limit if it has changed, or if no call may be made for some time."""
+        """Update the controller if the limit has changed or if calls are to be paused."""
         now_ms = self._clock()
         self._slow_start.time_passed(now_ms)
         self._log_phase()
@@ -60,7 +60,7 @@
         self._executor.decide(AdmissionController.limit_calls, max_concurrent_calls, pause_ms)
 
     def _log_phase(self) -> None:
-        """Log a change of phase, of each phase the 1st, 2nd, 4th and so on."""
+        """Log a change of phase; of each phase only the 1st, 2nd, 4th, 8th ... is logged."""
         phase = self._slow_start.phase
         if phase is self._phase:
             return
--- a/nickelslip/server/control_timer.py
+++ b/nickelslip/server/control_timer.py
@@ -1,4 +1,4 @@
-"""The timer of the admission controller, and what is done regularly beside it."""
+"""The timer of the admission controller, and periodic clean-up."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import anyio
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.advertised_state import AdvertisedState
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.server.idempotency_table import IdempotencyTable
     from nickelslip.server.interfaces import RequestListener, WorkerPool
 
-GAUGES_REQUEST_LEAD_MS = 5.0  # the worker pool answers within this time
+GAUGES_REQUEST_LEAD_MS = 5.0  # time for the worker pool to answer before the timer is due
 
 
 class WakeSchedule:
-    """When the controller's timer is due next.
+    """Holds the time at which the controller's timer is due next.
 
     Args:
         clock: Returns the current time in milliseconds.
@@ -34,24 +34,24 @@
 
     @property
     def is_due(self) -> bool:
-        """Whether the timer should have been called."""
+        """Whether the timer is due or overdue."""
         return self._clock() >= self.wake_at_ms
 
     def wake_after(self, wait_ms: float) -> None:
-        """Have the timer called after `wait_ms`, unless it is due earlier."""
+        """Schedule the timer to be called after `wait_ms`, unless it is due earlier."""
         wake_at_ms = self._clock() + wait_ms
         if wake_at_ms < self.wake_at_ms:
             self.wake_at_ms = wake_at_ms
             self._wake_changed.set()
 
     def clear(self) -> None:
-        """Forget the wake, which is being carried out."""
+        """Clear the scheduled time; called when the timer fires."""
         self.wake_at_ms = inf
         self._wake_changed.set()
 
-    async def wait_until(self, moment_at_ms: float) -> None:
-        """Wait for a moment, or until the wake is moved or cleared."""
-        remaining_ms = moment_at_ms - self._clock()
+    async def wait_until(self, until_ms: float) -> None:
+        """Wait until this time, or until the scheduled time is changed or cleared."""
+        remaining_ms = until_ms - self._clock()
         if remaining_ms <= 0:
             return
         self._wake_changed = anyio.Event()
@@ -60,16 +60,16 @@
 
 
 class ControlTimer:
-    """Calls the controller when it asked for it, with gauges that were requested a little before.
+    """Calls the controller at the times it requested, with gauges queried shortly before.
 
     Args:
         clock: Returns the current time in milliseconds.
         wake_schedule: When the timer is due.
         executor: Calls the controller.
         worker_pool: Supplies the gauges.
-        idempotency_table: Is purged after every call.
-        listeners: Close their idle connections after every call.
-        advertised: Says after what time connections are idle.
+        idempotency_table: Purged after every call.
+        listeners: Their idle connections are closed after every call.
+        advertised: Contains the time after which connections count as idle.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
 
     async def run(self) -> None:
         """Run until cancelled."""
-        requested_for_ms = -inf  # the wake for which gauges were requested
+        requested_for_ms = -inf  # the due time for which gauges were last requested
         while True:
             wake_at_ms = self._wake_schedule.wake_at_ms
             if self._clock() < wake_at_ms - GAUGES_REQUEST_LEAD_MS:
@@ -107,7 +107,7 @@
                 self._clean_up()
 
     def _clean_up(self) -> None:
-        """Drop expired idempotency records and close idle connections."""
+        """Remove expired idempotency records and close idle connections."""
         self._idempotency_table.purge_expired()
         idle_ms = self._advertised.idle_connection_timeout_ms
         if idle_ms is None:
--- a/nickelslip/server/decision_executor.py
+++ b/nickelslip/server/decision_executor.py
@@ -25,7 +25,7 @@
 from nickelslip.server.requests import fail_requests
 from nickelslip.server.state_changes import execute_state_change
 
-if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.interfaces import DecisionContext
 
 
--- a/nickelslip/server/graceful_shutdown.py
+++ b/nickelslip/server/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown: draining requests, then closing connections."""
+"""The graceful shutdown, which drains requests and then closes connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.server.lifecycle import Lifecycle, Phase
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.advertised_state import AdvertisedState
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.server.interfaces import HealthReporter, RequestListener, ServerContext
@@ -25,9 +25,9 @@
         context: Clock and log of the server, and the configuration in force.
         lifecycle: The phase of the server.
         executor: Calls the controller.
-        advertised: What clients are told.
-        directory_reporter: Reports that a server that never served is not healthy.
-        listeners: Where requests come in.
+        advertised: The state advertised to clients.
+        directory_reporter: Reports the server as unhealthy if it shuts down before it has served.
+        listeners: The listeners that receive requests.
         requests: The open requests by number.
     """
 
@@ -51,7 +51,7 @@
         self._deadline_at_ms = inf  # when the process may be killed
 
     def begin(self) -> None:
-        """Begin to drain; a server that never served has nothing to drain. Repeated calls have no effect."""
+        """Begin to drain, or to shut down if the server has not served yet. Repeated calls have no effect."""
         if self._lifecycle.phase is Phase.SERVING:
             self._deadline_at_ms = self._context.clock() + self._context.generation.config.stop_ms
             self._lifecycle.enter(Phase.DRAINING)
@@ -62,11 +62,11 @@
             self._lifecycle.enter(Phase.SHUTTING_DOWN)
 
     async def run(self) -> None:
-        """Wait for the shutdown or a failure; then drain, close all connections, and return."""
+        """Wait until a shutdown begins or the server fails, then drain, close all connections, and return."""
         while self._lifecycle.phase in (Phase.WAITING, Phase.SERVING):
             await self._lifecycle.wait_for_change()
         if self._lifecycle.phase is Phase.DRAINING:
-            await self._wait_out_grace_period()
+            await self._wait_for_end_of_grace_period()
             self._stop_accepting()
         while self._lifecycle.phase is Phase.DRAINING and self._has_unanswered_requests():
             await self._lifecycle.wait_for_change()
@@ -74,8 +74,8 @@
         await self._close_connections()
         self._context.log.info("server_stopped", open_requests=len(self._requests))
 
-    async def _wait_out_grace_period(self) -> None:
-        """Wait until new requests are no longer accepted, or until the server fails."""
+    async def _wait_for_end_of_grace_period(self) -> None:
+        """Wait until the grace period for new requests ends or the server fails."""
         settings = self._context.generation.settings
         slack_ms = settings.answer_slack_ms
         grace_ms = min(
@@ -87,7 +87,7 @@
                 await self._lifecycle.wait_for_change()
 
     def _stop_accepting(self) -> None:
-        """Refuse new connections: a request that came now would not be run, and another server can take it."""
+        """Refuse new connections: requests received from now on are not run, and other servers can take them."""
         for listener in self._listeners:
             listener.stop_accepting()
 
@@ -95,11 +95,11 @@
         return any(not request.answered and not request.client_gone for request in self._requests.values())
 
     async def _close_connections(self) -> None:
-        """Close all connections in the time that is left."""
+        """Close all connections in the remaining time."""
         generation = self._context.generation
-        left_ms = min(self._deadline_at_ms - self._context.clock(), generation.config.stop_ms)
-        left_ms -= generation.settings.answer_slack_ms
-        with anyio.move_on_after(max(left_ms, 0.0) / 1000):
+        remaining_ms = min(self._deadline_at_ms - self._context.clock(), generation.config.stop_ms)
+        remaining_ms -= generation.settings.answer_slack_ms
+        with anyio.move_on_after(max(remaining_ms, 0.0) / 1000):
             async with anyio.create_task_group() as closing:
                 for listener in self._listeners:
-                    closing.start_soon(listener.shut_down, left_ms)
+                    closing.start_soon(listener.shut_down, remaining_ms)
--- a/nickelslip/server/idempotency_record.py
+++ b/nickelslip/server/idempotency_record.py
@@ -1,4 +1,4 @@
-"""One idempotency record: which request is the original one, what became of it and until when duplicates are served."""
+"""An idempotency record: its original request, the state of that request, and how long it answers duplicates."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from nickelslip.admission.interface import RetrySafety
 from nickelslip.server.requests import Request
 
-LIMIT_TOLERANCE_MS = 50.0  # the protocol extends every time limit by this on sockets, that of duplicates included
+LIMIT_TOLERANCE_MS = 50.0  # on sockets, the protocol extends every time limit by this, including that of duplicates
 
 
 class RecordState(Enum):
-    """What can be done for a duplicate."""
+    """How duplicates of the original request are handled."""
 
-    IN_PROGRESS = "the original request is not finished: duplicates wait for its result"
+    IN_PROGRESS = "the original request is unfinished: duplicates wait for its result"
     SUCCEEDED = "the result is cached: duplicates get it"
     FAILED = "the original request failed: duplicates fail"
-    RESULT_EVICTED = "the result was evicted from the cache: duplicates fail, as running again would not be safe"
+    RESULT_EVICTED = "the result was evicted from the cache: duplicates fail, since running them is not safe"
 
 
 class RecordEvent(Enum):
-    """What changes the state of a record."""
+    """Events that change the state of a record."""
 
     ORIGINAL_SUCCEEDED = auto()
     ORIGINAL_FAILED = auto()
@@ -35,19 +35,26 @@
 
 
 class IdempotencyRecord:
-    """The record of one original request, under its key.
+    """The record of one original request, stored under its key.
 
-    There are two kinds. With an idempotency key, a retry must never run a second time: the record serves every
-    request that was received before `expires_at_ms`, however late it is read, and waits for the run itself. Without
-    one, the record only saves work for requests with the same subject: it serves until `expires_at_ms` by this
-    server's clock, and whatever comes later runs.
+    There are two kinds of records:
+
+    - With an idempotency key, a retry must never run a second time. The record answers every duplicate that was
+      received before `expires_at_ms`, however late it is read. It does not expire while the original run is unfinished.
+    - Without an idempotency key, the record only saves work for requests with the same subject. It answers requests
+      until `expires_at_ms` by this server's clock; later ones are run.
 
     Args:
-        original_request: The first request under the key.
+        original_request: The first request with the key.
 
     Attributes:
+        state: How duplicates are handled.
+        number: Number of the original request.
+        fingerprint: Hash of the original request, which identifies true duplicates.
+        has_idempotency_key: Whether the key is an idempotency key; otherwise it is a subject.
         original_request: The original request while the record is in progress, otherwise None.
-        expires_at_ms: Set by the table whenever the admission control says how long to keep the record.
+        expires_at_ms: Set by the table each time admission control decides how long to keep the record.
+        max_read_delay_ms: The longest time for which a duplicate may have been received but not yet read.
     """
 
     __slots__ = (
@@ -67,16 +74,16 @@
         self.has_idempotency_key = uses_idempotency_key(original_request)
         self.original_request: Request | None = original_request
         self.expires_at_ms = 0.0
-        # A duplicate that was received in time may stay unread for as long as any client waits.
+        # A duplicate received before the expiry may remain unread for as long as its client waits.
         self.max_read_delay_ms = original_request.generation.longest_timeout_ms
 
     def apply(self, event: RecordEvent) -> None:
-        """Change the state; a record that leaves IN_PROGRESS lets the original request go."""
+        """Change the state, and release the reference to the original request."""
         self.state = TRANSITIONS[self.state, event]
         self.original_request = None
 
     def serves(self, request: Request, now_ms: float) -> bool:
-        """Whether the request is a duplicate that this record answers."""
+        """Whether this record answers the request, as a duplicate of its original request."""
         if not self.has_idempotency_key:
             return now_ms < self.expires_at_ms
         if self.state is RecordState.IN_PROGRESS:
@@ -85,7 +92,7 @@
         return received_at_ms <= self.expires_at_ms + LIMIT_TOLERANCE_MS
 
     def is_expired(self, now_ms: float) -> bool:
-        """Whether no request that may still be read can be a duplicate."""
+        """Whether the record can be removed, since no request that is still to be read can be a duplicate."""
         if not self.has_idempotency_key:
             return self.expires_at_ms <= now_ms
         if self.state is RecordState.IN_PROGRESS:
@@ -100,9 +107,9 @@
 
 
 def fingerprint_of(request: Request) -> int:
-    """Return a hash that tells a true duplicate from another request under the same idempotency key.
+    """Return a hash that distinguishes true duplicates from other requests with the same idempotency key.
 
-    Python draws the seed of its hash function when the process starts, so that nobody outside can construct another
-    body with the same fingerprint.
+    Python chooses the seed of its hash function at random when the process starts, so a client cannot construct a
+    different body with the same fingerprint.
     """
     return hash((request.received.body, request.received.tenant))
--- a/nickelslip/server/idempotency_table.py
+++ b/nickelslip/server/idempotency_table.py
@@ -1,9 +1,9 @@
-"""The idempotency table: it recognises duplicates of a request and gives them the result of the original one.
+"""The idempotency table, which detects duplicate requests and answers them with the result of the original request.
 
-A request is a duplicate if a record is kept under its key that still serves it; see `IdempotencyRecord.serves`. The
-admission control says which requests are recorded and for how long. The results are bounded by this process's memory.
-When a result was evicted, duplicates with an idempotency key fail until the record expires; without such a key the
-record goes with its result, and the next request runs.
+A request is a duplicate if there is a record under its key that still serves it; see `IdempotencyRecord.serves`.
+Admission control decides which requests are recorded and for how long. The total size of the cached results is limited
+to a fraction of this process's memory. After a result is evicted, duplicates with an idempotency key fail until the
+record expires. Without an idempotency key, the record is removed together with its result, and the next request runs.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class IdempotencyTable:
-    """Records by their keys, and the cache of results.
+    """The idempotency records by key, and the cache of their results.
 
     Args:
         clock: Returns the Unix time in milliseconds.
-        max_result_bytes: Upper bound of the sum of the cached results' sizes.
+        max_result_bytes: Maximum total size of the cached results.
     """
 
     def __init__(self, clock: Callable[[], float], max_result_bytes: float) -> None:
@@ -33,27 +33,27 @@
         self.results = ResultCache(max_result_bytes)
         self._next_purge_at_ms = 0.0
 
-    def original_of(self, request: Request) -> IdempotencyRecord | None:
-        """Return the record of which the request is a duplicate, or None."""
-        record = self._record_of(request)
+    def find_original(self, request: Request) -> IdempotencyRecord | None:
+        """Return the record of the original request if the request is a duplicate, otherwise None."""
+        record = self._find_record(request)
         if record is None or not record.serves(request, self._clock()):
             return None
         return record
 
     def has_key_conflict(self, request: Request) -> bool:
-        """Whether its idempotency key belongs to another request, with another body or tenant.
+        """Whether its idempotency key belongs to another request with a different body or tenant.
 
-        Such a request must not be coalesced: whoever has seen a key would get an answer made for somebody else.
+        Such a request must not be coalesced: any client that knows the key would get the answer of another client.
         """
-        record = self.original_of(request)
+        record = self.find_original(request)
         if record is None or not record.has_idempotency_key:
             return False
         return record.fingerprint != fingerprint_of(request)
 
     def remember(self, request: Request, retention_ms: float) -> None:
-        """Keep a record of the request for so long from now on; a time of 0 or less forgets it.
+        """Keep a record of the request for `retention_ms` from now; 0 or less removes the record.
 
-        A record under the same key that belongs to another request is replaced.
+        A record of another request under the same key is replaced.
         """
         key = _key_of(request)
         if key is None:
@@ -71,18 +71,18 @@
         record.expires_at_ms = self._clock() + retention_ms
 
     def forget(self, request: Request) -> None:
-        """Remove the record of a request that never ran or must not serve others: the next one under its key runs."""
+        """Remove the record of a request that never ran or must not be shared; the next request with its key runs."""
         key = _key_of(request)
-        record = self._record_of(request)
+        record = self._find_record(request)
         if key is not None and record is not None and record.number == request.number:
             self._remove(key)
 
     def coalesce(self, request: Request) -> None:
-        """Give a duplicate the result of its original request, now or as soon as there is one.
+        """Deliver the result of its original request to a duplicate, now or when the original request finishes.
 
-        Without a result to come, or where it was evicted, the duplicate fails.
+        The duplicate fails if the original request has failed or its result was evicted.
         """
-        record = self._record_of(request)
+        record = self._find_record(request)
         if record is not None and record.original_request is not None:
             record.original_request.coalesced_requests.append(request)
             return
@@ -94,11 +94,11 @@
             request.deliver(RunFinished(Outcome.OK, 0.0, result))
 
     def finish(self, request: Request, outcome: Outcome, body: bytes = b"") -> None:
-        """Note the end of a request: requests coalesced with it get the outcome, and a success is cached."""
+        """Deliver the outcome of a request to its coalesced requests, and cache the result of a successful run."""
         now_ms = self._clock()
         _deliver_to_coalesced(request, outcome, body, now_ms)
         key = _key_of(request)
-        record = self._record_of(request)
+        record = self._find_record(request)
         if key is None or record is None or record.original_request is not request:
             return
         if outcome is Outcome.OK:
@@ -113,7 +113,7 @@
             self._remove(key)
 
     def purge_expired(self) -> None:
-        """Remove the records that can serve nobody any more, looking through all at most every PURGE_INTERVAL_MS."""
+        """Remove the records that can serve no further request; runs at most once every PURGE_INTERVAL_MS."""
         now_ms = self._clock()
         if now_ms < self._next_purge_at_ms:
             return
@@ -122,7 +122,7 @@
         for key in expired:
             self._remove(key)
 
-    def _record_of(self, request: Request) -> IdempotencyRecord | None:
+    def _find_record(self, request: Request) -> IdempotencyRecord | None:
         key = _key_of(request)
         return None if key is None else self.records.get(key)
 
@@ -149,7 +149,7 @@
 
 
 def _deliver_to_coalesced(request: Request, outcome: Outcome, body: bytes, now_ms: float) -> None:
-    """Give every request that was coalesced with this one its outcome; anything but a success is a failure."""
+    """Deliver the outcome of this request to its coalesced requests; any outcome other than success is a failure."""
     duplicates = request.coalesced_requests
     request.coalesced_requests = []
     shared_outcome = Outcome.OK if outcome is Outcome.OK else Outcome.ERROR
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -1,6 +1,7 @@
-"""The narrow views that the components of a server have of each other, as types only.
+"""The protocols through which the components of a server use each other.
 
-A component imports its views from here and never `server`, so that it can be built and tested without a whole server.
+A component imports these protocols and never `server`, so that it can be created and tested without a whole server.
+They are imported for type checking only.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class ServerContext(Protocol):
-    """What every component may use: clock, log, buffers, tasks and the configuration in force."""
+    """The shared facilities of all components: clock, log, buffers, tasks and the configuration in force."""
 
     log: Any
     task_group: TaskGroup
@@ -29,51 +30,51 @@
         """The configuration in force."""
 
     def clock(self) -> float:
-        """Return Unix milliseconds that never go back."""
+        """Return the Unix time in milliseconds, which never goes backwards."""
 
     async def supervise(self, task: Callable[..., Any], *arguments: Any) -> None:
         """Run a task; an error that it raises fails the server."""
 
 
 class ReportSource(ServerContext, Protocol):
-    """The server as the directory reporter sees it."""
+    """The part of the server that the directory reporter uses."""
 
     slow_start: SlowStart
 
     @property
     def is_healthy(self) -> bool:
-        """Whether health checks are answered with "healthy"."""
+        """Whether health checks are answered as healthy."""
 
     def update_slow_start(self) -> None:
-        """Apply what follows from the slow start after a report was sent."""
+        """Apply the call limit of the current phase of the slow start, after a report was sent."""
 
 
 class RequestHandler(ServerContext, Protocol):
-    """The server as the connections of load balancers see it."""
+    """The part of the server that connections to load balancers use."""
 
     @property
     def is_healthy(self) -> bool:
-        """Whether health checks are answered with "healthy"."""
+        """Whether health checks are answered as healthy."""
 
     @property
     def advertised_weight(self) -> float | None:
-        """The weight that every answer carries; None where there is none."""
+        """The weight sent with every answer; None if there is none."""
 
     def accept_request(self, request: Request) -> bool:
-        """Take over a request that was received; False if its connection has to refuse it."""
+        """Accept a received request; return False if its connection has to answer it with a failure."""
 
 
 class RunOwner(ServerContext, Protocol):
-    """The server as the link to the worker pool sees it."""
+    """The part of the server that the link to the worker pool uses."""
 
     requests: dict[int, Request]
 
-    def worker_pool_started(self, ago_ms: float) -> None:
-        """Begin to serve; the worker pool has been up for `ago_ms`."""
+    def worker_pool_started(self, started_ago_ms: float) -> None:
+        """Begin to serve; the worker pool started `started_ago_ms` milliseconds ago."""
 
 
 class RequestListener(Protocol):
-    """A place where clients connect and requests come in."""
+    """Accepts connections from clients and receives their requests."""
 
     async def serve(self) -> None:
         """Accept connections and read requests until cancelled."""
@@ -89,14 +90,14 @@
 
 
 class ReloadHandler(Protocol):
-    """Handles a signal to read the configuration again."""
+    """Reloads the configuration when a signal requests it."""
 
     def reload(self) -> None:
-        """Read the configuration again, and apply what may change while the server runs."""
+        """Read the configuration again, and apply the changes that need no restart."""
 
 
 class ProcessCommands(Protocol):
-    """What signals ask of a server."""
+    """The commands that signals trigger."""
 
     def reload_configuration(self) -> None:
         """Read the configuration again."""
@@ -105,99 +106,99 @@
         """Begin a graceful shutdown; repeated calls have no effect."""
 
     def stop_immediately(self) -> None:
-        """Cancel everything."""
+        """Cancel all tasks of the server."""
 
 
 class RunStarter(Protocol):
     """Starts, stops and resumes the runs of requests in the worker pool."""
 
     def start(self, request: Request) -> None:
-        """Start a run."""
+        """Start a run of the request."""
 
     def stop(self, request: Request) -> None:
-        """Stop the run."""
+        """Stop the run of the request."""
 
     def resume_with_reply(self, request: Request, body: bytes) -> None:
         """Resume the run with the reply to its call."""
 
     def resume_without_call(self, request: Request) -> None:
-        """Resume the run without the call at which it stands."""
+        """Resume the run without the call that it requested."""
 
 
 class WorkerPool(RunStarter, Protocol):
-    """The worker pool with its gauges."""
+    """Executes runs and supplies gauges."""
 
     def take_gauges(self) -> Gauges | None:
-        """Return the gauges that arrived since the last call, if any did."""
+        """Return the gauges that have arrived since the previous call, or None."""
 
     def request_gauges(self) -> None:
-        """Ask for the gauges."""
+        """Query the gauges; the reply is returned by `take_gauges`."""
 
 
 class DependencyClient(Protocol):
     """Makes the dependency calls of requests."""
 
     def call(self, request: Request, wait_ms: float) -> None:
-        """Send the call at which the run stands; it times out after `wait_ms`."""
+        """Send the call that the run requested; it times out after `wait_ms`."""
 
     def give_up(self, request: Request) -> None:
-        """Give up the call in flight."""
+        """Abandon the call in flight."""
 
 
 class IdempotencyStore(Protocol):
-    """Keeps results for the requests that repeat or join an earlier one."""
+    """Keeps the records and results of requests for later duplicates."""
 
     def coalesce(self, request: Request) -> None:
-        """Let a request have the result of its original, now or when there is one."""
+        """Deliver the result of its original request to a duplicate, now or when the original finishes."""
 
     def finish(self, request: Request, outcome: Outcome, body: bytes = b"") -> None:
-        """Store the result and deliver it to the requests that joined this one."""
+        """Store the result and deliver it to the coalesced requests."""
 
     def forget(self, request: Request) -> None:
-        """Drop the record of a request that never ran."""
+        """Remove the record of a request that never ran."""
 
-    def remember(self, request: Request, span_ms: float) -> None:
-        """Keep the record of a request for `span_ms`; 0 drops it."""
+    def remember(self, request: Request, retention_ms: float) -> None:
+        """Keep the record of a request for `retention_ms`; 0 removes it."""
 
 
 class HealthReporter(Protocol):
     """Reports the health of this server to the directory."""
 
     def report_health_change(self) -> None:
-        """Report at once."""
+        """Send a report immediately."""
 
 
 class RequestActions(Protocol):
-    """What can be done for a request."""
+    """The components that execute actions for a request."""
 
     @property
     def worker_pool(self) -> RunStarter:
-        """Where it runs."""
+        """Executes its runs."""
 
     @property
     def dependency_client(self) -> DependencyClient:
-        """Where its calls are made."""
+        """Makes its dependency calls."""
 
     @property
     def idempotency_table(self) -> IdempotencyStore:
-        """Where its result is kept."""
+        """Keeps its idempotency record and result."""
 
     @property
     def advertised_weight(self) -> float | None:
         """The weight that its answer carries; None where there is none."""
 
     def clock(self) -> float:
-        """Return Unix milliseconds that never go back."""
+        """Return the Unix time in milliseconds, which never goes backwards."""
 
 
 class DecisionSink(Protocol):
-    """Reports the events of requests to the admission controller and executes what it decides."""
+    """Reports the events of requests to the admission controller and executes its decisions."""
 
     def request_received(self, request: Request) -> None:
         """Report the arrival of a request."""
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which took `took_ms` on a core."""
+        """Report the end of its run, which used `took_ms` of core time."""
 
     def call_requested(self, request: Request) -> None:
         """Report that its run has stopped at a call."""
@@ -206,11 +207,11 @@
         """Report the end of its call, which took `took_ms`."""
 
     def client_disconnected(self, request: Request) -> None:
-        """Report that its client has gone."""
+        """Report that its client has disconnected."""
 
 
 class DecisionContext(RequestActions, Protocol):
-    """The server as the decision executor sees it."""
+    """The part of the server that the decision executor uses."""
 
     @property
     def log(self) -> Any:
@@ -222,7 +223,7 @@
 
     @property
     def worker_pool(self) -> WorkerPool:
-        """Where requests run, with its gauges."""
+        """The worker pool, which also supplies gauges."""
 
     @property
     def requests(self) -> Mapping[int, Request]:
@@ -230,11 +231,11 @@
 
     @property
     def slow_start(self) -> SlowStart:
-        """The slow start, which counts calls."""
+        """The slow start, which is notified of started calls."""
 
     @property
     def directory_reporter(self) -> HealthReporter:
-        """Where a change of health is reported."""
+        """Reports changes of health."""
 
     def fail(self, error: Exception) -> None:
-        """Fail the server, after an error of the admission controller."""
+        """Fail the server after an error of the admission controller."""
--- a/nickelslip/server/lifecycle.py
+++ b/nickelslip/server/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases of a server, and which may follow which."""
+"""The phases of a server and the transitions between them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import anyio
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.requests import Request
 
 
@@ -16,10 +16,10 @@
     """The phases of a server."""
 
     WAITING = "the worker pool is not up yet"
-    SERVING = "requests are read and decided"
-    DRAINING = "shutting down: requests received in time are run, the rest is answered"
+    SERVING = "requests are read and decided on"
+    DRAINING = "shutting down: requests received within the grace period are run, all others are answered without a run"
     SHUTTING_DOWN = "connections are being closed"
-    FAILED = "the admission controller or a task raised: all requests are answered with a failure, and the server ends"
+    FAILED = "the admission controller or a task raised an error: all requests fail, and the server ends"
 
 
 TRANSITIONS = {
@@ -32,11 +32,11 @@
 
 
 class Lifecycle:
-    """The current phase, and the notification of those who wait for a change.
+    """Holds the current phase, and wakes the tasks that wait for a change.
 
     Args:
         log: Log of the server.
-        open_requests: The open requests, whose number is logged with a change of phase.
+        open_requests: The open requests; their count is logged with each change of phase.
 
     Attributes:
         phase: The current phase.
@@ -49,7 +49,7 @@
         self._changed = anyio.Event()
 
     def enter(self, phase: Phase) -> None:
-        """Change the phase; a phase that may not follow the current one is ignored."""
+        """Change the phase; a transition that is not allowed is ignored."""
         if phase not in TRANSITIONS[self.phase]:
             return
         self._log.info("phase_changed", phase=phase.name, meaning=phase.value, open_requests=len(self._open_requests))
@@ -57,9 +57,9 @@
         self.notify_change()
 
     def notify_change(self) -> None:
-        """Wake those who wait: the phase or the state of a request has changed.
+        """Wake the waiting tasks, after a change of the phase or of a request's state.
 
-        Nobody waits for changes of requests while the server serves.
+        While the phase is SERVING, this does nothing: no task waits for changes of requests then.
         """
         if self.phase is Phase.SERVING:
             return
--- a/nickelslip/server/open_requests.py
+++ b/nickelslip/server/open_requests.py
@@ -9,7 +9,7 @@
 from nickelslip.server.request_lifecycle import run_request_lifecycle
 from nickelslip.server.requests import Request
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.server.idempotency_table import IdempotencyTable
     from nickelslip.server.interfaces import DecisionSink, RequestActions, ServerContext
--- a/nickelslip/server/request_decoder.py
+++ b/nickelslip/server/request_decoder.py
@@ -1,7 +1,7 @@
-"""Decoding of load balancers' messages: the tag of any message, and the request that an ASK describes.
+"""Decoding of load balancers' messages: the tag of any message, and the request in an ASK message.
 
-An ASK has, behind its tag, the traffic class, a list of fields and an optional body. The fields have names of the wire;
-the code uses the standard terms and maps them here.
+An ASK contains, after its tag, the traffic class, a list of fields and an optional body. The constants below map the
+field names on the wire to the terms used in the code.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from nickelslip.admission.interface import RetrySafety
 from nickelslip.server.requests import ReceivedRequest
 
-# Fields on the wire.
+# Field names on the wire.
 ID_FIELD = "req"
 TENANT_FIELD = "owner"
 RECEIVED_AT_FIELD = "ts"
@@ -26,16 +26,16 @@
 TIMEOUT_FIELD = "timeout"
 COST_HINT_FIELD = "ms"
 
-# What an InvalidFieldError names where one check covers several parts of the message.
+# Texts of InvalidFieldError for checks that are not about a single field.
 PARTS = "parts"
 TEXT = "text"
-CLASS_OR_BODY = "grade or body"
+CLASS_OR_BODY = "traffic class or body"
 MEMORY_OR_RETRY = f"{MEMORY_FIELD} or {IS_RETRY_FIELD}"
 LEVEL_OR_LOAD_BALANCER = f"{LEVEL_FIELD} or {LOAD_BALANCER_FIELD}"
 KEY_OR_SUBJECT = f"{IDEMPOTENCY_KEY_FIELD} or {SUBJECT_FIELD}"
 
 MIN_PARTS = 2  # traffic class and fields
-MAX_PARTS = 3  # and the body
+MAX_PARTS = 3  # traffic class, fields and body
 MAX_BODY_BYTES = 2 * 1024
 MAX_MEMORY_KB = 2000.0  # exclusive
 MAX_KEY_CHARACTERS = 256
@@ -43,18 +43,18 @@
 ID_DIGIT_COUNT = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 MAX_TIMESTAMP_MS = 1e15
-MAX_SPAN_MS = 86_400_000.0  # a day
-MAX_CLOCK_AHEAD_MS = 1000.0  # by which a client's clock may be ahead of this server's
+MAX_DURATION_MS = 86_400_000.0  # one day
+MAX_CLOCK_SKEW_MS = 1000.0  # a client's clock may be ahead of this server's by this much
 MAX_LEVEL = 1.0  # exclusive
-BELOW_ZERO_LEVEL = -1e-9  # the lower end of a range is exclusive, and a level of 0 is allowed
+MIN_LEVEL = -1e-9  # exclusive, so that a level of 0 is allowed
 
 
 class InvalidFieldError(Exception):
-    """A field is missing, repeated or out of range; the text names it as the wire does."""
+    """A field is missing, repeated or out of range; the text contains its name on the wire."""
 
 
 class RequestHead(NamedTuple):
-    """The parts of an ASK behind its tag."""
+    """The parts of an ASK after its tag."""
 
     traffic_class: str
     field_list: str
@@ -62,21 +62,21 @@
 
 
 class Identity(NamedTuple):
-    """Which request it is, and whose."""
+    """The identifier and the tenant of a request."""
 
     id_hex: str
     tenant: str | None
 
 
 class TimeLimits(NamedTuple):
-    """How long the client waits, and how long the run is expected to take."""
+    """How long the client waits for the answer, and how long the run is expected to take."""
 
     timeout_ms: float | None
     cost_hint_ms: float | None
 
 
-def tag_in(parts: list[bytes]) -> int:
-    """Return the tag of a message, or 0 where it has none that could be answered."""
+def decode_tag(parts: list[bytes]) -> int:
+    """Return the tag of a message, or 0 if it is missing or invalid."""
     digits = parts[1] if len(parts) > 1 else b""
     if not digits.isdigit() or len(digits) > MAX_TAG_DIGITS:
         return 0
@@ -90,17 +90,17 @@
     now_ms: float,
     max_timeout_ms: float,
 ) -> ReceivedRequest:
-    """Return the request in an ASK.
+    """Decode the request in an ASK.
 
-    Where several fields are wrong, the order of the steps decides which one is named: the arrival time and the memory
-    are both read as numbers before either is checked further.
+    If several fields are invalid, the order of the steps determines which one is reported: the arrival time and the
+    memory are both parsed as numbers before either is validated further.
 
     Args:
-        parts: The parts behind the tag.
-        retry_safety_by_class: The known traffic classes; the retry safety says which field holds the key.
+        parts: The parts after the tag.
+        retry_safety_by_class: The known traffic classes; the retry safety determines which field contains the key.
         tenants: The known tenants; if there are none, every tenant is accepted.
-        now_ms: Unix time in milliseconds.
-        max_timeout_ms: The longest that any client waits.
+        now_ms: Current Unix time in milliseconds.
+        max_timeout_ms: The longest time that any client waits for an answer.
 
     Raises:
         InvalidFieldError: A field is missing, repeated or out of range.
@@ -110,8 +110,8 @@
     identity = _decode_identity(head, fields, retry_safety_by_class, tenants)
     timestamp_ms = _decode_number(fields, RECEIVED_AT_FIELD, 0.0, MAX_TIMESTAMP_MS)
     memory_kb = _decode_number(fields, MEMORY_FIELD, 0.0, MAX_MEMORY_KB)
-    received_at_ms = _checked_arrival_time(timestamp_ms, now_ms, max_timeout_ms)
-    checked_memory_kb = _checked_memory(memory_kb)
+    received_at_ms = _validate_arrival_time(timestamp_ms, now_ms, max_timeout_ms)
+    valid_memory_kb = _validate_memory(memory_kb)
     is_retry = _decode_is_retry(fields)
     _check_level(fields)
     load_balancer = _decode_load_balancer(fields)
@@ -122,7 +122,7 @@
         traffic_class=head.traffic_class,
         body=head.body,
         received_at_ms=received_at_ms,
-        memory_kb=checked_memory_kb,
+        memory_kb=valid_memory_kb,
         tenant=identity.tenant,
         timeout_ms=limits.timeout_ms,
         cost_hint_ms=limits.cost_hint_ms,
@@ -156,9 +156,9 @@
 
 
 def _decode_number(fields: Mapping[str, str], name: str, exclusive_min: float, max_value: float) -> float | None:
-    """Return the number in a field, above `exclusive_min` and at most `max_value`; None where the field is absent.
+    """Return the number in a field, above `exclusive_min` and at most `max_value`; None if the field is absent.
 
-    Underscores between digits, which Python allows, are refused.
+    Underscores between digits are rejected, although Python accepts them.
     """
     text = fields.get(name)
     if text is None:
@@ -178,7 +178,7 @@
     retry_safety_by_class: Mapping[str, RetrySafety],
     tenants: frozenset[str],
 ) -> Identity:
-    """Return the request's id and its tenant; check the traffic class and the size of the body, too."""
+    """Return the request's id and tenant; also check the traffic class and the size of the body."""
     id_hex = fields.get(ID_FIELD, "")
     if len(id_hex) != ID_DIGIT_COUNT or not HEX_DIGITS.issuperset(id_hex):
         raise InvalidFieldError(ID_FIELD)
@@ -190,18 +190,18 @@
     return Identity(id_hex, tenant)
 
 
-def _checked_arrival_time(timestamp_ms: float | None, now_ms: float, max_timeout_ms: float) -> float:
-    """Return when the request came to the machine.
+def _validate_arrival_time(timestamp_ms: float | None, now_ms: float, max_timeout_ms: float) -> float:
+    """Return when the request reached the machine.
 
-    A time longer ago than any client waits, or in the future, is refused: the read delay would be taken for this
-    server's slowness.
+    A time longer ago than any client waits, or too far in the future, is rejected. Otherwise a wrong clock would make
+    this server appear slow, since the read delay is computed from this time.
     """
-    if timestamp_ms is None or not -max_timeout_ms <= timestamp_ms - now_ms <= MAX_CLOCK_AHEAD_MS:
+    if timestamp_ms is None or not -max_timeout_ms <= timestamp_ms - now_ms <= MAX_CLOCK_SKEW_MS:
         raise InvalidFieldError(RECEIVED_AT_FIELD)
     return timestamp_ms
 
 
-def _checked_memory(memory_kb: float | None) -> float:
+def _validate_memory(memory_kb: float | None) -> float:
     if memory_kb is None or memory_kb == MAX_MEMORY_KB:
         raise InvalidFieldError(MEMORY_OR_RETRY)
     return memory_kb
@@ -215,8 +215,8 @@
 
 
 def _check_level(fields: Mapping[str, str]) -> None:
-    """Check the level, which may be absent and is not used."""
-    if _decode_number(fields, LEVEL_FIELD, BELOW_ZERO_LEVEL, MAX_LEVEL) == MAX_LEVEL:
+    """Validate the level, which is optional and not used otherwise."""
+    if _decode_number(fields, LEVEL_FIELD, MIN_LEVEL, MAX_LEVEL) == MAX_LEVEL:
         raise InvalidFieldError(LEVEL_OR_LOAD_BALANCER)
 
 
@@ -238,6 +238,6 @@
 
 
 def _decode_time_limits(fields: Mapping[str, str]) -> TimeLimits:
-    timeout_ms = _decode_number(fields, TIMEOUT_FIELD, 0.0, MAX_SPAN_MS)
-    cost_hint_ms = _decode_number(fields, COST_HINT_FIELD, 0.0, MAX_SPAN_MS)
+    timeout_ms = _decode_number(fields, TIMEOUT_FIELD, 0.0, MAX_DURATION_MS)
+    cost_hint_ms = _decode_number(fields, COST_HINT_FIELD, 0.0, MAX_DURATION_MS)
     return TimeLimits(timeout_ms, cost_hint_ms)
--- a/nickelslip/server/request_events.py
+++ b/nickelslip/server/request_events.py
@@ -1,4 +1,4 @@
-"""The events of one request, as the peers of this server deliver them to its mailbox."""
+"""The events that connections to peers put into the mailbox of a request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """The run of the request has stopped at a dependency call.
 
     Attributes:
-        seq: Number of the worker pool's notification, which names the call.
+        seq: Sequence number of the worker pool's notification, which identifies the call.
         body: Body of the call; None if it could not be decoded.
     """
 
@@ -24,7 +24,7 @@
 
     Attributes:
         outcome: How it ended.
-        body: Reply of the dependency, if there is one.
+        body: Reply of the dependency; empty if there is none.
     """
 
     outcome: Outcome
@@ -32,13 +32,13 @@
 
 
 class RunFinished(NamedTuple):
-    """The run of the request has ended, or the original request whose result it waits for.
+    """The run of the request has ended, or the run of the original request that it is coalesced with.
 
     Attributes:
         outcome: How it ended.
-        took_ms: Time that the run spent on a core, or that the request waited for the original.
+        took_ms: Core time of the run, or how long a coalesced request waited for its original.
         body: Result of the run.
-        ran: False if the worker pool reports that the run never began.
+        ran: False if the worker pool reports that the run never started.
     """
 
     outcome: Outcome
--- a/nickelslip/server/request_lifecycle.py
+++ b/nickelslip/server/request_lifecycle.py
@@ -20,7 +20,7 @@
 )
 from nickelslip.server.requests import Answer, Request
 
-if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.interfaces import DecisionSink, RequestActions
 
 
--- a/nickelslip/server/request_reports.py
+++ b/nickelslip/server/request_reports.py
@@ -1,4 +1,4 @@
-"""Reports of what happens to requests to the admission controller."""
+"""Reports of request events to the admission controller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.interface import Outcome
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.call_limit import CallLimit
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.server.idempotency_table import IdempotencyTable
@@ -17,19 +17,19 @@
     from nickelslip.server.requests import Request
     from nickelslip.startup.slow_start import SlowStart
 
-ANSWERED_CALL_OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # they show that the dependency is reached
+ANSWERED_CALL_OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # they prove that the dependency is reachable
 
 
 class RequestReports:
-    """Reports each event of a request; the decisions that follow are executed before a report returns.
+    """Reports each event of a request; the resulting decisions are executed before the report returns.
 
     Args:
         clock: Returns the current time in milliseconds.
         executor: Calls the controller.
-        idempotency_table: Knows the request that another one repeats.
-        counter: Counts the ends of calls.
-        slow_start: Learns from the ends of calls.
-        call_limit: Is updated after the end of a call.
+        idempotency_table: Finds the original request of a duplicate.
+        counter: Counts finished calls.
+        slow_start: Adapts to the outcomes of calls.
+        call_limit: Updated after the end of a call.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
 
     def request_received(self, request: Request) -> None:
         """Report the arrival of a request."""
-        original = self._idempotency_table.original_of(request)
+        original = self._idempotency_table.find_original(request)
         original_number = original.number if original else None
         arrival = request.received.arrival(request.number, self._clock(), original_number)
         self._executor.decide(AdmissionController.request_received, arrival)
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which took `took_ms` on a core."""
+        """Report the end of its run, which used `took_ms` of core time."""
         request.run_ms = took_ms
         self._executor.decide(AdmissionController.run_ended, request.number, outcome, took_ms)
 
@@ -75,5 +75,5 @@
         self._call_limit.update()
 
     def client_disconnected(self, request: Request) -> None:
-        """Report that its client has gone."""
+        """Report that its client has disconnected."""
         self._executor.decide(AdmissionController.client_disconnected, request.number)
--- a/nickelslip/server/result_cache.py
+++ b/nickelslip/server/result_cache.py
@@ -1,4 +1,4 @@
-"""Results of finished requests, kept within a bound of bytes for duplicates that are still to come."""
+"""A size-limited cache with the results of finished requests, used to answer later duplicates."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class IdempotencyKey(NamedTuple):
-    """What requests have in common that may share one result: keys of different traffic classes are unrelated.
+    """Identifies requests that may share one result; equal keys in different traffic classes are unrelated.
 
-    `key` is the idempotency key of a request that has one, and the subject of any other.
+    `key` is the idempotency key if the traffic class uses one, otherwise the subject.
     """
 
     traffic_class: str
@@ -17,10 +17,14 @@
 
 
 class ResultCache:
-    """Results by their idempotency keys; the oldest is evicted first.
+    """Results by idempotency key; the oldest result is evicted first.
 
     Args:
-        max_bytes: Upper bound of the sum of the results' sizes, not counting keys.
+        max_bytes: Maximum total size of the results, not counting keys.
+
+    Attributes:
+        max_bytes: Maximum total size of the results, not counting keys.
+        size_bytes: Current total size of the results.
     """
 
     def __init__(self, max_bytes: float) -> None:
@@ -29,13 +33,13 @@
         self._results: OrderedDict[IdempotencyKey, bytes] = OrderedDict()
 
     def get(self, key: IdempotencyKey) -> bytes | None:
-        """Return the result, or None where there is none or it was evicted."""
+        """Return the result, or None if there is none or it was evicted."""
         return self._results.get(key)
 
     def store(self, key: IdempotencyKey, result: bytes) -> list[IdempotencyKey]:
-        """Store a result and return the keys of those evicted for it, the oldest first.
+        """Store a result, and return the keys of the results evicted to make room, oldest first.
 
-        A result larger than the whole cache evicts every other one and then itself.
+        A result that exceeds the maximum size evicts all others and then itself.
         """
         self._results[key] = result
         self.size_bytes += len(result)
@@ -47,6 +51,6 @@
         return evicted
 
     def discard(self, key: IdempotencyKey) -> None:
-        """Remove the result, if there is one."""
+        """Remove a result, if there is one."""
         result = self._results.pop(key, b"")
         self.size_bytes -= len(result)
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -1,4 +1,4 @@
-"""One server: its components, and how they are connected."""
+"""The server, which creates its components and connects them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from nickelslip.server.worker_pool_link import WorkerPoolLink
 from nickelslip.startup.slow_start import SlowStart
 
-if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.interfaces import ReloadHandler, RequestListener
 
 BYTES_PER_MB = 1024 * 1024
@@ -45,12 +45,12 @@
 
 
 class Server:
-    """One server.
+    """One server with all its components.
 
     Listeners and background tasks are added before `run`.
 
     Args:
-        config: The configuration with which it starts.
+        config: The initial configuration.
         read_config: Reads the configuration again; raises MalformedSettingsError.
 
     Attributes:
@@ -58,17 +58,17 @@
         generation: The configuration in force.
         requests: The open requests by number.
         buffers: The buffers of all connections.
-        listeners: Where requests come in.
-        background_tasks: What else runs as long as the server.
+        listeners: The listeners that receive requests.
+        background_tasks: Further tasks to run until the server ends.
         task_group: The task group of the server, while it runs.
-        reload_handler: Handles a reload instead of this server, where configuration changes are managed.
+        reload_handler: Handles reloads in place of this server, where configuration changes are managed.
         lifecycle: The phase of the server.
-        advertised: What clients are told.
+        advertised: The state advertised to clients.
         slow_start: The slow start.
-        idempotency_table: The idempotency records.
+        idempotency_table: The idempotency records and cached results.
         worker_pool: The link to the worker pool.
         dependency_client: The client of the records service.
-        directory_reporter: The reports to the directory.
+        directory_reporter: Sends the load reports to the directory.
         wake_schedule: When the controller's timer is due.
         decision_executor: Calls the controller and executes its decisions.
         request_reports: Reports the events of requests to the controller.
@@ -90,7 +90,7 @@
         self._create_control_components(read_config)
 
     def _create_resources(self, config: Config) -> None:
-        """Create what requests use: memory, peers and the slow start."""
+        """Create the resources that requests use: buffers, the idempotency table, peers and the slow start."""
         memory_bytes = config.memory_mb * BYTES_PER_MB
         settings = config.settings
         self.slow_start = SlowStart(
@@ -108,7 +108,7 @@
         self.directory_reporter = DirectoryReporter(self)
 
     def _create_decision_components(self) -> None:
-        """Create what decides about requests and executes the decisions."""
+        """Create the components that make decisions about requests and execute them."""
         self.wake_schedule = WakeSchedule(self.clock)
         self.decision_executor = DecisionExecutor(self, self.advertised, self.wake_schedule, self.lifecycle)
         self._call_limit = CallLimit(self.log, self.clock, self.slow_start, self.decision_executor)
@@ -133,7 +133,7 @@
         )
 
     def _create_control_components(self, read_config: Callable[[], Config]) -> None:
-        """Create what reacts to time, signals and configurations."""
+        """Create the components that react to timers, signals and configuration changes."""
         self._control_timer = ControlTimer(
             clock=self.clock,
             wake_schedule=self.wake_schedule,
@@ -161,10 +161,8 @@
         self._peer_address_reloader = PeerAddressReloader(self, read_config, self._generation_adopter)
         self._signal_handler = SignalHandler(self.log, self.lifecycle, self)
 
-    # What the components share
-
     def clock(self) -> float:
-        """Return Unix milliseconds that never go back."""
+        """Return the Unix time in milliseconds, which never goes backwards."""
         return self._clock_offset_ms + time.monotonic() * 1000
 
     @property
@@ -174,32 +172,30 @@
 
     @property
     def advertised_weight(self) -> float | None:
-        """The weight that every answer carries; None where there is none."""
+        """The weight sent with every answer; None if there is none."""
         return self.advertised.advertised_weight
 
     @property
     def is_healthy(self) -> bool:
-        """Whether health checks are answered with "healthy"."""
+        """Whether health checks are answered as healthy."""
         return self.advertised.is_healthy
 
     @property
     def gauges(self) -> Gauges:
-        """The measurements that the controller's timer was last called with."""
+        """The measurements passed to the latest call of the controller's timer."""
         return self.decision_executor.gauges
 
     @property
     def request_metrics(self) -> RequestMetrics | None:
-        """Where the events of requests are counted; None where nothing is."""
+        """The metrics that count the events of requests; None if they are not counted."""
         return self._request_counter.metrics
 
     @request_metrics.setter
     def request_metrics(self, metrics: RequestMetrics | None) -> None:
         self._request_counter.metrics = metrics
 
-    # Running
-
     async def run(self) -> bool:
-        """Serve until a shutdown or a failure; return whether it was a shutdown that ended in order."""
+        """Serve until a shutdown or a failure, and return whether the server shut down without a failure."""
         async with anyio.create_task_group() as self.task_group:
             tasks = (
                 self._signal_handler.run,
@@ -219,11 +215,11 @@
         """Run a task; an error that it raises fails the server."""
         try:
             await task(*arguments)
-        except Exception as error:  # of any kind: all open requests are still answered
+        except Exception as error:  # whatever the error, all open requests are still answered
             self.fail(error)
 
     def fail(self, error: Exception) -> None:
-        """Answer all open requests with a failure, and end the server. Only the first error counts."""
+        """Answer all open requests with a failure, and end the server. Errors after the first are ignored."""
         if self.phase is Phase.FAILED:
             return
         self.log.error("server_failed", error=repr(error), exc_info=error)
@@ -233,12 +229,16 @@
         self.directory_reporter.report_health_change()
         fail_requests(list(self.requests.values()), self.advertised_weight)
 
-    def worker_pool_started(self, ago_ms: float) -> None:
-        """Create the controller and begin to serve, once; the worker pool has been up for `ago_ms`."""
+    def worker_pool_started(self, started_ago_ms: float) -> None:
+        """Create the controller and begin to serve; repeated calls have no effect.
+
+        Args:
+            started_ago_ms: How long ago the worker pool started.
+        """
         if self.phase is not Phase.WAITING:
             return
         now_ms = self.clock()
-        worker_pool_age_ms = max(0.0, ago_ms)
+        worker_pool_age_ms = max(0.0, started_ago_ms)
         try:
             self.decision_executor.create_controller(
                 self.generation.settings, self.generation.config.seed, now_ms - worker_pool_age_ms
@@ -253,25 +253,23 @@
         self.update_slow_start()
 
     def accept_request(self, request: Request) -> bool:
-        """Take over a request that was received; False if its connection has to refuse it."""
+        """Accept a received request; return False if its connection has to answer it with a failure."""
         return self._open_requests.accept(request)
 
     def update_slow_start(self) -> None:
-        """Apply what follows from the current phase of the slow start."""
+        """Apply the call limit of the current phase of the slow start."""
         self._call_limit.update()
 
-    # Commands of signals and operators
-
     def reload(self) -> None:
-        """Read the configuration again and apply the addresses of the peers."""
+        """Read the configuration again and apply changed addresses of the peers."""
         self._peer_address_reloader.reload()
 
     def reload_configuration(self) -> None:
-        """Have the configuration read again by whoever handles it."""
+        """Reload the configuration with the reload handler, or with this server if there is none."""
         (self.reload_handler or self).reload()
 
     def apply_generation(self, generation: Generation) -> None:
-        """Put a whole generation in force."""
+        """Put a generation in force."""
         self._generation_adopter.adopt(generation)
 
     def begin_shutdown(self) -> None:
--- a/nickelslip/server/state_changes.py
+++ b/nickelslip/server/state_changes.py
@@ -10,7 +10,7 @@
 from nickelslip.admission.interface import RequestState, StateChange
 from nickelslip.server.requests import Answer, Request
 
-if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.interfaces import RequestActions
 
 
--- a/nickelslip/server/tagged_requests.py
+++ b/nickelslip/server/tagged_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open on one connection, told apart by the tags that the load balancer gave them."""
+"""The open requests of one connection, identified by the tags that the load balancer assigned."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
     encode_health,
 )
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
-from nickelslip.server.request_decoder import InvalidFieldError, decode_request, tag_in
+from nickelslip.server.request_decoder import InvalidFieldError, decode_request, decode_tag
 from nickelslip.server.request_events import ClientDisconnected
 from nickelslip.server.requests import Answer, Request
 from nickelslip.server.streams import Stream
 
-if TYPE_CHECKING:  # keeps imports at startup few
+if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.connection_log import ConnectionLog
     from nickelslip.server.interfaces import RequestHandler
 
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # per connection
 
 
 class TaggedRequests:
     """Handles the messages of one connection and writes the answers to it.
 
-    Each request lives in a task of its own and is answered on the connection that it came on.
+    Each request runs in its own task and is answered on the connection that it was received on.
 
     Args:
-        server: Where decoded requests go.
+        server: Accepts decoded requests.
         stream: The connection's stream, to which answers are written.
-        log: Where malformed requests are reported.
-        on_valid_message: Called for each request that was accepted and each health check.
-        on_answered: Called when an answer to a request was written.
+        log: Logs malformed requests.
+        on_valid_message: Called for each accepted request and each health check.
+        on_answered: Called after an answer to a request is written.
 
     Attributes:
-        consecutive_refusal_count: Requests refused since the last one that was accepted.
+        consecutive_refusal_count: Number of requests refused since the last accepted one.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._on_valid_message = on_valid_message
         self._on_answered = on_answered
         self._requests: dict[int, Request] = {}
-        self._drained = anyio.Event()  # set when no request is open any more
+        self._drained = anyio.Event()  # set when the last open request is answered or cancelled
         self.consecutive_refusal_count = 0
 
     def __len__(self) -> int:
@@ -68,11 +68,11 @@
         """Handle one complete message.
 
         Raises:
-            ConnectionClosedError: The message has no tag, or that of an open request, so that no answer could be
-                assigned to it.
+            ConnectionClosedError: The message has no tag or reuses that of an open request, so the client could not
+                match an answer to it.
         """
         verb = parts[0]
-        tag = tag_in(parts)
+        tag = decode_tag(parts)
         if not tag:
             raise ConnectionClosedError(CloseReason.MALFORMED, "no tag")
         if verb == CANCEL_VERB:
@@ -88,25 +88,25 @@
             self._refuse(tag)
 
     def refuse_malformed_message(self, parts: list[bytes]) -> None:
-        """Answer a message that cannot be parsed to its end, if its first parts hold a tag that can be answered."""
-        tag = tag_in(parts)
+        """Answer a malformed message with a failure, if its first parts contain a tag that no open request uses."""
+        tag = decode_tag(parts)
         if tag and parts[0] != CANCEL_VERB and tag not in self._requests:
             self._refuse(tag)
 
     def abandon_all(self) -> None:
-        """Cancel every open request, as the connection has ended."""
+        """Cancel every open request, after the end of the connection."""
         for request in self._requests.values():
             request.deliver(ClientDisconnected())
         self._requests.clear()
 
     async def wait_until_answered(self) -> None:
-        """Wait until no request is open, or the stream has ended."""
+        """Wait until no request is open or the stream is closed."""
         while self._requests and not self._stream.close_reason:
             self._drained = anyio.Event()
             await self._drained.wait()
 
     def _cancel(self, tag: int) -> None:
-        """Cancel a request of which the client has disconnected; it is not answered any more."""
+        """Cancel a request that the client has cancelled; it is no longer answered."""
         request = self._requests.pop(tag, None)
         if request is not None:
             request.deliver(ClientDisconnected())
@@ -117,7 +117,7 @@
         self._stream.write(encode_health(tag, self._server.is_healthy, self._server.advertised_weight))
 
     def _handle_request(self, tag: int, parts: list[bytes]) -> None:
-        """Open a request or refuse it; it is refused also where an unexpected error is raised."""
+        """Accept or refuse a request; it is also refused if an unexpected error is raised."""
         is_accepted = False
         try:
             is_accepted = self._open(tag, parts)
@@ -131,14 +131,14 @@
                 self._refuse(tag)
 
     def _open(self, tag: int, parts: list[bytes]) -> bool:
-        """Decode a request and hand it to the server; return whether the server accepted it.
+        """Decode a request and pass it to the server; return whether the server accepted it.
 
         Raises:
-            InvalidFieldError: The request is malformed, or too many are open.
+            InvalidFieldError: The request is malformed, or too many requests are open.
         """
         if len(self._requests) >= MAX_OPEN_REQUESTS:
-            raise InvalidFieldError("more than may be open")
-        generation = self._server.generation  # the request keeps the one under which it was read
+            raise InvalidFieldError("too many open requests")
+        generation = self._server.generation  # applies to the request until its end
         received = decode_request(
             parts,
             generation.retry_safety_by_class,
