--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -15,15 +15,15 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.mark.parametrize(("word", "body"), (("DONE", b"\r\nreply\x00"), ("DONE", b"")))
-async def test_a_call_carries_its_body_and_returns_the_reply_unchanged(word, body):
+@pytest.mark.parametrize(("status", "body"), (("DONE", b"\r\nreply\x00"), ("DONE", b"")))
+async def test_a_call_sends_its_body_and_returns_the_reply_unchanged(status, body):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
         await rig.calling(client, B)
-        await rig.records.reply(B, word, body + b"b")
-        await rig.records.reply("00000000000000ff", "DONE", b"of nobody", to=A)
-        await rig.records.reply(A, word, body)
+        await rig.records.reply(B, status, body + b"b")
+        await rig.records.reply("00000000000000ff", "DONE", b"unknown request", to=A)
+        await rig.records.reply(A, status, body)
         await wait_until(lambda: rig.pool.told("supply", A) and rig.pool.told("supply", B))
         assert b64decode(rig.pool.told("supply", A)[0]["body"]) == body
         assert b64decode(rig.pool.told("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
@@ -31,12 +31,12 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-@pytest.mark.parametrize(("word", "is_retried"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
-async def test_a_non_idempotent_call_is_retried_only_if_it_never_ran(word, is_retried):
+@pytest.mark.parametrize(("status", "is_retried"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
+async def test_a_non_idempotent_call_is_retried_only_if_it_never_ran(status, is_retried):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
-        await rig.records.reply(A, word)
+        await rig.records.reply(A, status)
         if is_retried:
             await wait_until(lambda: rig.records.seen.count(("OP", A, CALL_BODY)) == 2)
         else:
@@ -44,7 +44,7 @@
             assert rig.records.seen.count(("OP", A, CALL_BODY)) == 1
 
 
-async def test_a_broken_connection_proves_nothing_and_a_refused_one_proves_that_nothing_ran():
+async def test_a_non_idempotent_call_is_retried_after_a_refused_connection_but_not_after_a_broken_one():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
@@ -55,37 +55,37 @@
         await rig.running(client, B, "pay")
         await rig.pool.block(B)
         await anyio.sleep(0.05)
-        assert rig.node.requests  # refused, and retried in its time
+        assert rig.node.requests  # the connection is refused, and the call is retried later
         await rig.records.listen(rig._tasks, rig.records.port)
         await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
 
 
-async def test_a_call_issued_after_its_connection_closed_is_sent_on_the_next_one():
+async def test_a_call_on_a_closed_pooled_connection_is_sent_on_a_new_one():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         await rig.records.reply(A, "DONE", b"")
         await wait_until(lambda: rig.pool.told("supply", A))
         await rig.running(client, B, "pay")
-        rig.node.dependency_client._idle_connections[0]._stream.abort(
-            CloseReason.RESET
-        )  # of which its reader has not heard
+        # The task that reads from the connection does not notice this yet.
+        rig.node.dependency_client._idle_connections[0]._stream.abort(CloseReason.RESET)
         await rig.pool.block(B)
         await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
         assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].answered
 
 
-async def test_a_timed_out_call_is_cancelled_and_its_late_reply_skipped():
+async def test_a_timed_out_call_is_cancelled_so_that_no_late_reply_can_arrive():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay", timeout=300)
         assert (await client.answer())[:2] == (1, "error")
-        await wait_until(lambda: not rig.records.lines[A])  # which tells the service, and nothing can come late
+        # Closing the connection cancels the call, so no late reply can arrive.
+        await wait_until(lambda: not rig.records.lines[A])
         await rig.running(client, B)
         assert not rig.pool.told("supply", A)
 
 
-async def test_a_client_that_disconnects_during_a_call_cancels_it():
+async def test_cancelling_a_request_during_its_call_cancels_the_call():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
@@ -107,7 +107,7 @@
         "x" * (BUFFER_BYTES + 1),
     ),
 )
-async def test_a_malformed_reply_fails_its_own_call_and_no_other(text):
+async def test_a_malformed_reply_fails_only_its_own_call(text):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, B, "pay")
@@ -132,7 +132,7 @@
         await rig.calling(client, C)
         assert rig.records.links == 2
         await rig.records.reply(C, "DONE", b"")
-        await rig.records.reply(C, "DONE", b"")  # a second copy, which the next call is not to meet
+        await rig.records.reply(C, "DONE", b"")  # a duplicate reply, which the next call must not receive
         await wait_until(lambda: rig.pool.told("supply", C))
         await rig.pool.block(C)
         await wait_until(lambda: rig.records.seen.count(("OP", C, CALL_BODY)) == 2)
--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -18,7 +18,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_drain_runs_requests_within_the_grace_rejects_later_ones_and_ends_cleanly():
+async def test_a_drain_runs_requests_received_within_the_grace_period_and_rejects_later_ones():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -38,21 +38,21 @@
             await rig.caller()
 
 
-async def test_all_requests_read_are_answered_before_the_kill():
+async def test_a_shutdown_answers_all_requests_before_the_process_is_killed():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
         await rig.running(client, B, "pay")
-        begun = time.monotonic()
+        started_at = time.monotonic()
         rig.node.begin_shutdown()
         answers = sorted([await client.answer(), await client.answer()])
-        assert [word for _, word, _, _ in answers] == ["error", "error"] and time.monotonic() - begun < 0.7
+        assert [status for _, status, _, _ in answers] == ["error", "error"] and time.monotonic() - started_at < 0.7
         await wait_until(lambda: rig.clean is True)
-        assert time.monotonic() - begun < 0.75
+        assert time.monotonic() - started_at < 0.75
 
 
-@pytest.mark.parametrize("notice", (signal.SIGTERM, signal.SIGINT))
-async def test_the_program_serves_shuts_down_on_a_signal_and_writes_nothing(notice, tmp_path):
+@pytest.mark.parametrize("stop_signal", (signal.SIGTERM, signal.SIGINT))
+async def test_the_program_serves_and_shuts_down_on_a_signal_without_writing_files(stop_signal, tmp_path):
     async with ServerRig(in_subprocess=True) as rig:
         rig.pool.up.set()
         port = free_port()
@@ -66,9 +66,9 @@
             stderr=subprocess.STDOUT,
         ) as process:
             try:
-                status = pathlib.Path(f"/proc/{process.pid}/status")
-                await wait_until(lambda: int(status.read_text().split("SigBlk:")[1].split()[0], 16) & 1)
-                process.send_signal(signal.SIGHUP)  # most of the program has not been read yet
+                process_status = pathlib.Path(f"/proc/{process.pid}/status")
+                await wait_until(lambda: int(process_status.read_text().split("SigBlk:")[1].split()[0], 16) & 1)
+                process.send_signal(signal.SIGHUP)  # most modules have not been imported yet
                 rig.port = port
                 client = None
                 with anyio.fail_after(10):
@@ -81,7 +81,7 @@
                 file.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 await rig.running(client, A)
-                process.send_signal(notice)
+                process.send_signal(stop_signal)
                 process.send_signal(signal.SIGHUP)
                 await rig.pool.finish(A)
                 assert [(await client.answer())[1] for _ in range(2)] == ["done", "closing"]
--- a/tests/server/test_failures.py
+++ b/tests/server/test_failures.py
@@ -1,4 +1,4 @@
-"""Errors inside the server: what they end, and what is answered all the same."""
+"""Errors inside the server: which parts of it they stop, and that all received requests are still answered."""
 
 import anyio
 import pytest
@@ -13,26 +13,26 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.mark.parametrize("where", ("request_received", "timer_fired", "run_ended", "drain"))
-async def test_a_controller_error_is_logged_and_all_requests_read_are_answered(where, monkeypatch):
+@pytest.mark.parametrize("method", ("request_received", "timer_fired", "run_ended", "drain"))
+async def test_a_controller_error_fails_the_server_and_all_requests_are_answered(method, monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
 
-        def broken(self, *values):
-            raise RuntimeError("lost count")
+        def raise_error(self, *values):
+            raise RuntimeError("injected error")
 
-        monkeypatch.setattr(AdmissionController, where, broken)
-        if where == "request_received":
+        monkeypatch.setattr(AdmissionController, method, raise_error)
+        if method == "request_received":
             await client.ask(B)
-        elif where == "run_ended":
+        elif method == "run_ended":
             await rig.pool.finish(A)
-        elif where == "drain":
+        elif method == "drain":
             rig.node.begin_shutdown()
-        words = {(await client.answer())[1]}
-        if where == "request_received":
-            words.add((await client.answer())[1])
-        assert words == {"error"} and rig.node.phase is Phase.FAILED
+        statuses = {(await client.answer())[1]}
+        if method == "request_received":
+            statuses.add((await client.answer())[1])
+        assert statuses == {"error"} and rig.node.phase is Phase.FAILED
         await client.send("STATUS", "91", "")
         with anyio.move_on_after(1):
             while (await client.answer())[0] != 0:
@@ -41,7 +41,7 @@
         await wait_until(lambda: rig.clean is False)
 
 
-async def test_an_error_on_a_connection_closes_it_alone_with_its_requests_answered(monkeypatch):
+async def test_an_error_on_a_connection_closes_only_that_connection_after_answering_its_requests(monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
         client, other = await rig.caller(), await rig.caller()
@@ -56,7 +56,7 @@
         assert await client.ended() and rig.node.phase is Phase.SERVING
 
 
-async def test_an_error_in_a_request_lifecycle_stops_the_server_visibly(monkeypatch):
+async def test_an_error_in_a_request_lifecycle_fails_the_server(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
--- a/tests/server/test_idempotency.py
+++ b/tests/server/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The idempotency table: requests that repeat an earlier one, and responses that are kept."""
+"""The idempotency table: duplicate requests and cached responses."""
 
 import anyio
 import pytest
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_repeated_key_is_coalesced_and_later_answered_from_the_kept_result():
+async def test_a_duplicate_is_coalesced_with_its_original_and_later_answered_from_the_cache():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "book", opkey="k1")
@@ -24,7 +24,7 @@
         assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
 
 
-async def test_a_repeat_of_a_failed_original_fails_and_is_not_run():
+async def test_a_duplicate_of_a_failed_request_fails_without_running():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "book", opkey="k1")
@@ -34,7 +34,7 @@
         assert (await client.answer())[:2] == (2, "error") and not rig.pool.told("spawn", B)
 
 
-async def test_a_read_of_the_same_subject_is_answered_from_a_fresh_response_and_run_when_it_is_stale():
+async def test_a_read_of_the_same_subject_is_answered_from_the_cache_until_the_response_expires():
     async with ServerRig(**{"fresh-ms": 200.0}) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, subject="s1")
@@ -45,7 +45,7 @@
         await rig.running(client, C, subject="s1")
 
 
-async def test_the_table_keeps_its_bound_and_an_evicted_result_is_never_run_again():
+async def test_cached_results_are_limited_in_size_and_a_request_whose_result_was_evicted_is_not_run_again():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.node.idempotency_table.results.max_bytes = 10
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -1,4 +1,4 @@
-"""Load balancers' connections: which of them are closed, when, and what is answered before."""
+"""Connections from load balancers: when they are closed, and which requests are answered first."""
 
 import asyncio
 import errno
@@ -28,13 +28,13 @@
         b"*1\r\n$20000\r\n",
     ),
 )
-async def test_a_malformed_stream_closes_its_connection_alone_with_all_answered(text):
+async def test_malformed_input_closes_only_its_connection_after_answering_its_requests(text):
     async with ServerRig() as rig:
         await rig.up()
         client, other = await rig.caller(), await rig.caller()
         await rig.running(client, A)
         await rig.running(other, B)
-        await client.stream.send(text)  # among them a tag in use
+        await client.stream.send(text)  # one of the inputs reuses the tag of an open request
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done") and await client.ended()
         await rig.pool.finish(B)
@@ -45,14 +45,14 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
-        await client.stream.send(b"nonsense\r\n" * 20_000)  # more than is read before the stream is given up
+        await client.stream.send(b"nonsense\r\n" * 20_000)  # more than the server reads before it closes the connection
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
-        with pytest.raises(anyio.EndOfStream):  # and not a broken resource
+        with pytest.raises(anyio.EndOfStream):  # a reset would raise BrokenResourceError
             await client.stream.receive()
 
 
-async def test_idle_connections_are_asked_to_close_and_a_crossing_request_is_answered():
+async def test_idle_connections_are_asked_to_close_and_a_request_sent_meanwhile_is_answered():
     async with ServerRig() as rig:
         await rig.up()
         idle, busy = await rig.caller(), await rig.caller()
@@ -66,7 +66,7 @@
         assert (await busy.answer())[:2] == (1, "done")
 
 
-async def test_the_listener_survives_running_out_of_descriptors():
+async def test_the_listener_survives_running_out_of_file_descriptors():
     async with ServerRig() as rig:
         await rig.up()
         listener = rig.node.listeners[0]._listener = FailingListener(
@@ -77,7 +77,7 @@
         assert (await client.answer())[1] == "healthy" and listener.accepts >= 4
 
 
-async def test_connections_are_shed_silent_first_then_idle_and_never_with_open_requests():
+async def test_silent_connections_are_shed_before_idle_ones_and_those_with_open_requests_never():
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=3)
@@ -86,31 +86,33 @@
         await idle.send("STATUS", "1", "")
         assert (await idle.answer())[1] == "healthy"
         others = []
-        for gone, request_id in ((silent, B), (idle, C)):
+        for shed, request_id in ((silent, B), (idle, C)):
             others.append(await rig.caller())
             await rig.running(others[-1], request_id)
-            assert await gone.ended()
-        with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):  # all are busy
-            late = await rig.caller()
-            await late.send("STATUS", "1", "")
-            await late.answer()
+            assert await shed.ended()
+        with pytest.raises(
+            (anyio.EndOfStream, anyio.BrokenResourceError, OSError)
+        ):  # all connections have open requests
+            rejected = await rig.caller()
+            await rejected.send("STATUS", "1", "")
+            await rejected.answer()
         await rig.pool.finish(A)
         assert (await busy.answer())[:2] == (1, "done")
 
 
-async def test_a_client_that_does_not_read_its_answers_blocks_nobody_and_is_closed(monkeypatch):
+async def test_a_client_that_does_not_read_its_answers_is_closed_without_blocking_other_clients(monkeypatch):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 300.0  # for unread answers, too
-        with socket.socket() as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.connect(("127.0.0.1", rig.port))
-            deaf.setblocking(False)
+        vars(rig.node.generation)["longest_timeout_ms"] = 300.0  # also limits how long answers may remain unread
+        with socket.socket() as non_reading_client:
+            non_reading_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            non_reading_client.connect(("127.0.0.1", rig.port))
+            non_reading_client.setblocking(False)
             flood, sent = resp.message(b"STATUS", b"1") * 200, 0
             with anyio.move_on_after(2):
                 while sent < 60_000_000:
                     try:
-                        sent += deaf.send(flood)
+                        sent += non_reading_client.send(flood)
                     except BlockingIOError:
                         await anyio.sleep(0.005)
                     except OSError:
@@ -122,38 +124,38 @@
         assert rig.node.buffers._unallocated_count > 900
 
 
-async def test_a_flood_of_silent_connections_does_not_displace_one_that_has_just_asked():
+async def test_a_flood_of_silent_connections_does_not_displace_one_that_has_sent_a_message():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=20)
-        with ExitStack() as flood:  # all of it stands at the door before the server can have looked
-            encode_request = flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
-            encode_request.sendall(resp.message(b"STATUS", b"1"))
+        with ExitStack() as flood:  # all connections are in the backlog before the server accepts any
+            client = flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
+            client.sendall(resp.message(b"STATUS", b"1"))
             for _ in range(100):
                 flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
-            encode_request.setblocking(False)
+            client.setblocking(False)
             with anyio.fail_after(3):
-                assert b"healthy" in await asyncio.get_running_loop().sock_recv(encode_request, 100)
+                assert b"healthy" in await asyncio.get_running_loop().sock_recv(client, 100)
 
 
-@pytest.mark.parametrize("begun", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
-async def test_the_first_message_and_the_rest_of_a_partial_one_have_a_timeout(begun, monkeypatch):
+@pytest.mark.parametrize("partial_input", (b"", b"*2\r\n$6\r\nSTA", resp.message(b"STATUS", b"1") + b"*2\r\n"))
+async def test_the_first_message_and_the_rest_of_a_partial_one_have_a_timeout(partial_input, monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
     async with ServerRig() as rig:
         await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest timeout of any client
-        client, held = await rig.caller(), await rig.caller()
-        await held.send("STATUS", "1", "")
-        await client.stream.send(begun)
-        with anyio.move_on_after(0.1):  # a byte now and then is no message
-            while begun:
+        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest time that any client waits
+        client, idle = await rig.caller(), await rig.caller()
+        await idle.send("STATUS", "1", "")
+        await client.stream.send(partial_input)
+        with anyio.move_on_after(0.1):  # single bytes that do not complete a message
+            while partial_input:
                 await anyio.sleep(0.02)
-                await client.stream.send(b"x" if begun.endswith(b"A") else b"")
+                await client.stream.send(b"x" if partial_input.endswith(b"A") else b"")
         with suppress(anyio.EndOfStream):
             await client.answer()
             assert await client.ended()
         await anyio.sleep(0.1)
-        assert (await held.answer())[1] == "healthy"  # one that asked once may hold its connection
-        await held.send("STATUS", "2", "")
-        assert (await held.answer())[1] == "healthy"
+        assert (await idle.answer())[1] == "healthy"  # a connection that has sent a message may stay open
+        await idle.send("STATUS", "2", "")
+        assert (await idle.answer())[1] == "healthy"
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -27,11 +27,11 @@
         assert rig.pool.told("spawn", A)[0]["class"] == "read"
         assert b64decode(rig.pool.told("spawn", A)[0]["body"]) == body
         await rig.pool.finish(A, body=body * 2)
-        tag, word, fields, result = await client.answer()
-        assert (tag, word, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
+        tag, status, fields, result = await client.answer()
+        assert (tag, status, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
 
 
-async def test_messages_are_decoded_when_split_at_any_byte_and_when_many_come_in_one_read():
+async def test_messages_are_decoded_when_split_at_any_byte_and_when_many_arrive_in_one_read():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for byte in resp.message(b"STATUS", b"7", b""):
@@ -41,76 +41,80 @@
         assert [(await client.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
 
 
-async def test_32_requests_are_open_at_once_and_answered_in_any_order_and_one_more_fails():
+async def test_32_requests_can_be_open_and_are_answered_in_any_order_and_a_33rd_fails():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
         client = await (await rig.up()).caller()
-        idents = [f"{number:016x}" for number in range(1, 34)]
-        for request_id in idents:
+        request_ids = [f"{number:016x}" for number in range(1, 34)]
+        for request_id in request_ids:
             await client.ask(request_id)
         assert (await client.answer())[:2] == (33, "error")
-        await wait_until(lambda: all(rig.pool.told("spawn", request_id) for request_id in idents[:32]))
-        for request_id in reversed(idents[:32]):
+        await wait_until(lambda: all(rig.pool.told("spawn", request_id) for request_id in request_ids[:32]))
+        for request_id in reversed(request_ids[:32]):
             await rig.pool.finish(request_id, body=request_id.encode())
         answers = [await client.answer() for _ in range(32)]
         assert [(tag, body.decode()) for tag, _, _, body in answers] == [
-            (number, idents[number - 1]) for number in range(32, 0, -1)
+            (number, request_ids[number - 1]) for number in range(32, 0, -1)
         ]
 
 
 async def test_request_fields_reach_the_controller(monkeypatch):
-    seen = []
-    read = AdmissionController.request_received
+    arrivals = []
+    request_received = AdmissionController.request_received
     monkeypatch.setattr(
         AdmissionController,
         "request_received",
-        lambda self, now, arrival: seen.append((now, arrival)) or read(self, now, arrival),
+        lambda self, now, arrival: arrivals.append((now, arrival)) or request_received(self, now, arrival),
     )
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        ts = int(time.time() * 1000) - 40
-        await client.ask(A, ts=ts, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
-        await wait_until(lambda: seen)
-        now, arrival = seen[0]
-        assert abs(arrival.deadline_at_ms - ts - 480) < 1e-6 and abs(arrival.read_delay_ms - (now - ts)) < 0.5
+        received_at_ms = int(time.time() * 1000) - 40
+        await client.ask(A, ts=received_at_ms, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
+        await wait_until(lambda: arrivals)
+        now, arrival = arrivals[0]
+        assert (
+            abs(arrival.deadline_at_ms - received_at_ms - 480) < 1e-6
+            and abs(arrival.read_delay_ms - (now - received_at_ms)) < 0.5
+        )
         assert (arrival.is_retry, arrival.client, arrival.memory_kb, arrival.tenant) == (True, 9, 12.5, "acme")
         assert arrival.has_key
-        await client.ask(B, ts=ts + 540)
-        await wait_until(lambda: len(seen) == 2)
-        assert seen[1][1].read_delay_ms == 0 and not seen[1][1].is_retry and not seen[1][1].has_key
+        await client.ask(B, ts=received_at_ms + 540)
+        await wait_until(lambda: len(arrivals) == 2)
+        assert arrivals[1][1].read_delay_ms == 0 and not arrivals[1][1].is_retry and not arrivals[1][1].has_key
 
 
-async def test_a_rejection_carries_retry_after_and_all_answers_carry_the_advertised_weight():
+async def test_rejections_include_retry_after_and_all_answers_include_the_advertised_weight():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for number in range(1, 31):
             await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
         answers = [await client.answer() for _ in range(30)]
-        rejected = [fields for _, word, fields, _ in answers if word == "later"]
+        rejected = [fields for _, status, fields, _ in answers if status == "later"]
         assert rejected and all(0 < float(fields["holdoff"]) <= 1000 for fields in rejected if "holdoff" in fields)
         assert all(fields.get("nomore", "1") == "1" for fields in rejected)
-        assert not any({"holdoff", "nomore"} & set(fields) for _, word, fields, _ in answers if word != "later")
+        assert not any({"holdoff", "nomore"} & set(fields) for _, status, fields, _ in answers if status != "later")
         await wait_until(lambda: rig.node.advertised_weight is not None)
         await client.send("STATUS", "900", "")
         assert float((await client.answer())[2]["signal"]) < 1
 
 
-async def test_health_checks_are_answered_before_the_worker_pool_is_up_and_load_reports_start_then():
+async def test_health_checks_are_answered_before_the_worker_pool_is_up_and_load_reports_start_afterwards():
     async with ServerRig() as rig:
         client = await rig.caller()
         await client.send("STATUS", "1", "")
         assert (await client.answer())[:2] == (1, "healthy")
         await client.ask(A)
-        assert (await client.answer())[1] == "error"  # none should come yet, but what comes is answered
+        assert (await client.answer())[1] == "error"  # no request is expected yet, but one that arrives is answered
         await anyio.sleep(0.6)
-        assert not rig.reports  # the list would name a server that can do nothing
+        assert not rig.reports  # a report would put a server that cannot serve yet on the endpoint list
         await rig.up()
-        await wait_until(lambda: rig.reports.count("PULSE n1 open") > 3, 2.5)  # since some of them get lost
+        await wait_until(lambda: rig.reports.count("PULSE n1 open") > 3, 2.5)  # repeated, since some reports get lost
         rig.node.begin_shutdown()
-        await wait_until(lambda: rig.reports.count("PULSE n1 closed") > 1, 0.3)  # a change is told at once, and again
+        # A change is reported immediately and repeated.
+        await wait_until(lambda: rig.reports.count("PULSE n1 closed") > 1, 0.3)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "changed_fields",
     (
         {"req": "12"},
         {"req": "z" * 16},
@@ -135,10 +139,10 @@
         {"via": "4,via=5"},
     ),
 )
-async def test_a_malformed_field_fails_its_request_alone(bad):
+async def test_a_malformed_field_fails_only_its_request(changed_fields):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        await client.ask(bad.pop("req", A), **bad)
+        await client.ask(changed_fields.pop("req", A), **changed_fields)
         assert (await client.answer())[:2] == (1, "error")
         await client.ask(B, class_name="read")
         await wait_until(lambda: rig.pool.told("spawn", B))
@@ -146,7 +150,7 @@
         assert (await client.answer())[:2] == (2, "done") and not rig.pool.told("spawn", A)
 
 
-async def test_an_unknown_verb_and_a_duplicate_request_id_get_one_failure_each():
+async def test_an_unknown_verb_and_a_duplicate_request_id_are_each_answered_with_one_failure():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.send("DANCE", "5", "x")
@@ -159,13 +163,13 @@
 
 
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
-async def test_a_client_that_cancels_is_reported_once_and_its_run_still_counts(how, monkeypatch):
-    gone = []
-    tell = AdmissionController.client_disconnected
+async def test_a_cancelled_request_is_reported_once_and_stays_open_until_its_run_ends(how, monkeypatch):
+    reported = []
+    client_disconnected = AdmissionController.client_disconnected
     monkeypatch.setattr(
         AdmissionController,
         "client_disconnected",
-        lambda self, now, request_id: gone.append(request_id) or tell(self, now, request_id),
+        lambda self, now, request_id: reported.append(request_id) or client_disconnected(self, now, request_id),
     )
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
@@ -184,20 +188,20 @@
         assert len(rig.node.requests) == 1
         await rig.pool.finish(A, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
-        assert gone == [int(A, 16)]
+        assert reported == [int(A, 16)]
 
 
-async def test_a_first_message_that_came_while_the_server_stalled_is_not_late(monkeypatch):
+async def test_a_first_message_received_while_the_server_was_stalled_does_not_time_out(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
     async with ServerRig() as rig:
         await rig.up()
-        with socket.create_connection(("127.0.0.1", rig.port)) as there:
-            there.sendall(resp.message(b"STATUS", b"1"))  # before the server can have looked
-            there.setblocking(False)
-            assert b"healthy" in await asyncio.get_running_loop().sock_recv(there, 100)
+        with socket.create_connection(("127.0.0.1", rig.port)) as client:
+            client.sendall(resp.message(b"STATUS", b"1"))  # before the server accepts the connection
+            client.setblocking(False)
+            assert b"healthy" in await asyncio.get_running_loop().sock_recv(client, 100)
 
 
-async def test_an_oversized_message_fails_by_its_first_parts_and_is_not_read_to_its_end():
+async def test_an_oversized_message_is_answered_with_a_failure_without_being_read_to_its_end():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -215,7 +219,7 @@
         assert sent < 30_000_000
 
 
-async def test_a_connection_with_nothing_but_malformed_requests_is_closed():
+async def test_a_connection_with_only_malformed_requests_is_closed():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
@@ -225,7 +229,7 @@
         assert await client.ended()
 
 
-async def test_nothing_is_left_of_requests_that_are_over():
+async def test_finished_requests_leave_no_objects_in_memory():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         client.tag, sizes = 0, []
@@ -236,13 +240,11 @@
             assert (await client.answer())[0] == tag
             rig.pool.seen.clear()
             rig.pool.notices.clear()
-            if number in (
-                200,
-                600,
-            ):  # a command is kept until a query after it is answered: that is none of what is left
+            if number in (200, 600):
+                # Commands are kept until a later query is answered; they must not be counted as left over.
                 await wait_until(lambda: rig.node.worker_pool._delivery.is_all_confirmed)
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
         await wait_until(lambda: not rig.node.requests)
-        assert sizes[1] - sizes[0] < 400  # one object for each request between would be too many
+        assert sizes[1] - sizes[0] < 400  # one object per request would be 400
         assert len(rig.node.buffers._free) < 4
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -1,4 +1,4 @@
-"""The link to the worker pool: broken, moved, late or silent."""
+"""The link to the worker pool when it breaks, moves to a new address, comes up late or does not respond."""
 
 import time
 
@@ -17,7 +17,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_broken_link_resumes_after_the_last_notification_and_each_counts_once():
+async def test_a_new_link_resumes_after_the_last_notification_and_each_is_handled_once():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -41,7 +41,7 @@
 async def test_only_idempotent_starts_are_resent_after_a_broken_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False  # so that nothing proves that a command got there
+        rig.pool.measures = False  # so that no command is confirmed
         await rig.running(client, A, "read")
         await rig.running(client, B, "pay", timeout=600)
         rig.pool.measures = True
@@ -49,17 +49,17 @@
         await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
         await wait_until(lambda: rig.node.worker_pool.is_up)
         assert len(rig.pool.told("spawn", B)) == 1
-        assert (await client.answer())[:2] == (2, "error")  # it may have run: neither rejected nor retried
+        assert (await client.answer())[:2] == (2, "error")  # it may have run, so it is neither rejected nor retried
 
 
-async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_blocks_nothing():
+async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_delays_no_other_run():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.pool.measures = False
         await rig.running(client, A)
         await rig.pool.cut()
         await wait_until(lambda: rig.pool.links == 2 and rig.node.worker_pool.is_up)
-        await rig.running(client, B)  # although no question is answered
+        await rig.running(client, B)  # although no query is answered
         assert len(rig.pool.told("spawn", A)) == 1
         rig.pool.measures = True
         await rig.pool.cut()
@@ -69,17 +69,17 @@
             assert (await client.answer())[:2] == (tag, "done")
 
 
-async def test_a_command_issued_after_its_link_closed_is_sent_on_the_next_one():
+async def test_a_command_issued_after_its_link_closed_is_sent_on_the_next_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        rig.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # of which its reader has not heard
+        rig.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # the reading task does not notice this yet
         rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
         await wait_until(lambda: rig.pool.told("supply", A))
         assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
 
 
-async def test_commands_wait_for_a_link_and_the_server_for_a_late_worker_pool():
+async def test_commands_wait_until_the_worker_pool_is_reachable_again():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         port = rig.pool.port
@@ -100,19 +100,19 @@
         await rig.calling(client, A, "pay")
         await rig.running(client, B, "pay")
         old_pool, old_records = rig.pool, rig.records
-        rig.node.reload()  # nothing new: the link stays
+        rig.node.reload()  # no change, so the link is kept
         config_before = dict(rig.config)
         rig.config["pool"] = "nowhere"
         rig.node.reload()
-        rig.config = {**config_before, "stop_ms": 5}  # which needs a restart
+        rig.config = {**config_before, "stop_ms": 5}  # this change needs a restart
         await rig.move()
-        rig.pool.measures = False  # and at the new address nothing more is proven
+        rig.pool.measures = False  # no command is confirmed at the new address
         await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
         assert rig.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
         assert rig.node.generation.config.stop_ms == 700
         await rig.running(client, C, "pay")
         assert not rig.pool.told("spawn", A) and not rig.pool.told("spawn", B)
-        await old_records.reply(A, "DONE", b"late")  # a call goes on where it went
+        await old_records.reply(A, "DONE", b"late")  # a call in flight continues at the old address
         await wait_until(lambda: rig.pool.told("supply", A))
         await rig.pool.block(C)
         await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.seen)
@@ -127,13 +127,13 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         old, config_before = rig.pool, dict(rig.config)
-        old.measures = False  # so that the move waits for its proof
+        old.measures = False  # so that the move waits for a confirmation
         await rig.move()
         await wait_until(lambda: rig.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
         rig.pool, rig.config = old, config_before
         rig.node.reload()
         await client.ask(A)
-        await wait_until(lambda: old.told("spawn", A), 1.0)  # and not when the link is found to be silent
+        await wait_until(lambda: old.told("spawn", A), 1.0)  # sooner than an unresponsive link is detected
         await old.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -143,27 +143,27 @@
         client = await (await rig.up()).caller()
         await rig.pool.down()
         await client.ask(A)
-        await anyio.sleep(0.3)  # by now there are longer pauses between tries
-        begun = time.monotonic()
+        await anyio.sleep(0.3)  # until the pauses between connection attempts are longer
+        started_at = time.monotonic()
         await rig.move()
         first = rig.pool
         await rig.move()
         await wait_until(lambda: first.told("spawn", A) or rig.pool.told("spawn", A))
         await wait_until(lambda: rig.pool.binds() and rig.node.worker_pool.is_up)
-        assert time.monotonic() - begun < 0.3
-        # both are addresses of one worker pool, whose runs they share: told at either, it is told there once
+        assert time.monotonic() - started_at < 0.3
+        # Both addresses belong to the same worker pool, so the run is started at only one of them.
         assert len(first.told("spawn", A)) + len(rig.pool.told("spawn", A)) == 1
 
 
 async def test_an_address_superseded_just_as_its_connection_opened_is_not_bound(monkeypatch):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        connect, overtaken = worker_pool_connection.connect, []
+        connect, superseded = worker_pool_connection.connect, []
 
-        async def connect_and_be_overtaken(*values):
+        async def connect_and_change_address(*values):
             stream = await connect(*values)
-            if not overtaken:  # what would cancel the attempt comes when there is nothing left to cancel
-                overtaken.append(rig.pool)
+            if not superseded:  # the address changes after the attempt has succeeded, too late to cancel it
+                superseded.append(rig.pool)
                 rig.config["pool"] = f"127.0.0.1:{newest.port}"
                 rig.node.reload()
             return stream
@@ -171,10 +171,10 @@
         await rig.pool.down()
         await client.ask(A)
         newest = await rig.another_pool()
-        monkeypatch.setattr(worker_pool_connection, "connect", connect_and_be_overtaken)
+        monkeypatch.setattr(worker_pool_connection, "connect", connect_and_change_address)
         await rig.move()
         await wait_until(lambda: newest.told("spawn", A) and rig.node.worker_pool.is_up)
-        assert overtaken and not overtaken[0].binds()
+        assert superseded and not superseded[0].binds()
 
 
 async def test_a_non_idempotent_run_whose_start_was_lost_frees_its_slot_once_answered():
@@ -183,13 +183,13 @@
         rig.pool.measures = False
         await rig.running(client, A, "pay", timeout=200)
         rig.pool.measures = True
-        await rig.pool.cut()  # and no run of it there will ever be
+        await rig.pool.cut()  # the start is lost, so the run never exists
         assert (await client.answer())[:2] == (1, "error")
         await wait_until(lambda: not rig.node.requests)
         assert len(rig.pool.told("spawn", A)) == 1
 
 
-async def test_a_reply_lost_with_a_link_restarts_an_idempotent_run_and_no_other():
+async def test_a_reply_lost_with_a_link_restarts_only_an_idempotent_run():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
@@ -206,7 +206,7 @@
         assert not rig.pool.told("suspend", B) and len(rig.pool.told("supply", B)) == 1
 
 
-async def test_an_unknown_start_and_a_run_in_error_fail_their_requests():
+async def test_a_start_that_was_not_executed_and_a_failed_run_fail_their_requests():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
@@ -229,24 +229,24 @@
         assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
 
 
-async def test_gauges_reach_the_control_timer_which_goes_on_without_them(monkeypatch):
-    seen = []
-    timer = AdmissionController.timer_fired
+async def test_gauges_are_passed_to_the_timer_which_also_fires_without_them(monkeypatch):
+    calls = []
+    timer_fired = AdmissionController.timer_fired
     monkeypatch.setattr(
         AdmissionController,
         "timer_fired",
-        lambda self, now, gauges: seen.append((now, gauges)) or timer(self, now, gauges),
+        lambda self, now, gauges: calls.append((now, gauges)) or timer_fired(self, now, gauges),
     )
     async with ServerRig() as rig:
         await rig.up()
         await wait_until(
-            lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in seen)
+            lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in calls)
         )
         rig.pool.measures = False
-        begun = len(seen)
-        await wait_until(lambda: len(seen) > begun + 3)
-        assert seen[-1][1].cpu_utilization is None
-        assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(seen, seen[1:], strict=False))
+        previous_count = len(calls)
+        await wait_until(lambda: len(calls) > previous_count + 3)
+        assert calls[-1][1].cpu_utilization is None
+        assert all(later - earlier < 200 for (earlier, _), (later, _) in zip(calls, calls[1:], strict=False))
 
 
 async def test_a_due_timer_fires_before_later_events(monkeypatch):
@@ -266,7 +266,7 @@
         assert calls == ["timer_fired", "call_requested"]
 
 
-async def test_a_silent_link_is_closed(monkeypatch):
+async def test_an_unresponsive_link_is_replaced(monkeypatch):
     monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
@@ -278,7 +278,7 @@
         assert (await client.answer())[:2] == (1, "done")
 
 
-async def test_load_balancer_connections_cannot_take_the_buffers_of_the_worker_pool():
+async def test_load_balancer_connections_cannot_use_the_buffers_reserved_for_the_worker_pool():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats of a request that runs once within its window: what is taken for one, and when."""
+"""Duplicates of requests with an idempotency key: which requests count as duplicates, and for how long."""
 
 import time
 
@@ -18,40 +18,40 @@
     return "asyncio", {"use_uvloop": True}
 
 
-@pytest.mark.parametrize("over", (False, True))
-@pytest.mark.parametrize("other", ({"body": b"another"}, {"owner": "other"}))
-async def test_a_key_repeated_with_another_body_or_by_another_tenant_returns_no_result(over, other):
+@pytest.mark.parametrize("is_finished", (False, True))
+@pytest.mark.parametrize("changed_fields", ({"body": b"another"}, {"owner": "other"}))
+async def test_a_key_used_with_another_body_or_tenant_returns_no_result(is_finished, changed_fields):
     async with ServerRig() as rig:
         rig.platform_settings["tenants"].append({"name": "other", "quota-rps": 100.0})
         rig.reload_settings()
-        client, stranger = await (await rig.up()).caller(), await rig.caller()
+        client, other_client = await (await rig.up()).caller(), await rig.caller()
         await rig.running(client, A, "book", opkey="k1")
-        if over:
+        if is_finished:
             await rig.pool.finish(A, body=b"once")
             assert (await client.answer())[1::2] == ("done", b"once")
-        await stranger.ask(B, "book", opkey="k1", **other)
-        assert (await stranger.answer())[:2] == (1, "error")  # at once, not when the other one ends
-        if not over:
+        await other_client.ask(B, "book", opkey="k1", **changed_fields)
+        assert (await other_client.answer())[:2] == (1, "error")  # immediately, without waiting for the original
+        if not is_finished:
             await rig.pool.finish(A, body=b"once")
             assert (await client.answer())[1::2] == ("done", b"once")
         await client.ask(C, "book", opkey="k1", resent=1)
-        assert (await client.answer())[1::2] == ("done", b"once")  # and a true repeat has it as before
+        assert (await client.answer())[1::2] == ("done", b"once")  # a true duplicate still gets the result
         assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
 
 
-async def test_the_key_of_a_request_unknown_to_the_worker_pool_is_free_again():
+async def test_a_key_can_be_reused_if_its_request_was_not_executed():
     async with ServerRig() as rig:
-        stranger, client = await (await rig.up()).caller(), await rig.caller()
-        await rig.running(stranger, A, "book", opkey="k1", body=b"made up")
+        other_client, client = await (await rig.up()).caller(), await rig.caller()
+        await rig.running(other_client, A, "book", opkey="k1", body=b"made up")
         await rig.pool.say(op="unknown", end="spawn", id=A)
-        assert (await stranger.answer())[1] == "error"
+        assert (await other_client.answer())[1] == "error"
         await wait_until(lambda: not rig.node.requests)
         await rig.running(client, B, "book", opkey="k1")
         await rig.pool.finish(B, body=b"once")
         assert (await client.answer())[1::2] == ("done", b"once")
 
 
-async def test_an_oversized_key_fails():
+async def test_a_request_with_an_oversized_key_fails():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.ask(A, "book", opkey="k" * 257)
@@ -60,10 +60,10 @@
         assert (await client.answer())[1] == "error"
 
 
-async def test_a_first_attempt_cancelled_before_it_ran_leaves_its_key_free():
+async def test_a_key_can_be_reused_if_its_request_was_cancelled_before_it_ran():
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.up()).caller()
-        await rig.running(client, C, "pay")  # the one core is taken
+        await rig.running(client, C, "pay")  # occupies the only core
         await client.ask(A, "book", opkey="k1")
         await wait_until(lambda: len(rig.node.requests) == 2)
         await client.send("NEVERMIND", "2")
@@ -76,36 +76,34 @@
         assert sorted([(await client.answer())[1::2] for _ in range(2)]) == [("done", b"once"), ("done", b"result")]
 
 
-# When
-
-
 def set_idempotency_window(rig: ServerRig, window_ms: float) -> None:
     rig.platform_settings["classes"][2]["memory-span-ms"] = window_ms
     rig.reload_settings()
 
 
-async def test_a_repeat_within_its_window_that_was_read_after_it_is_still_coalesced(monkeypatch):
+async def test_a_duplicate_received_within_the_window_but_read_later_is_answered_from_the_cache(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         set_idempotency_window(rig, 300.0)
         client = await (await rig.up()).caller()
-        began = int(time.time() * 1000)
-        await rig.running(client, A, "book", opkey="k1", ts=began, timeout=200)
+        started_at_ms = int(time.time() * 1000)
+        await rig.running(client, A, "book", opkey="k1", ts=started_at_ms, timeout=200)
         await rig.pool.finish(A, body=b"once")
         assert (await client.answer())[1::2] == ("done", b"once")
-        await wait_until(lambda: time.time() * 1000 > began + 600)
-        await client.ask(B, "book", opkey="k1", resent=1, ts=began + 290)
+        await wait_until(lambda: time.time() * 1000 > started_at_ms + 600)
+        await client.ask(B, "book", opkey="k1", resent=1, ts=started_at_ms + 290)
         assert (await client.answer())[1::2] == ("done", b"once") and not rig.pool.told("spawn", B)
-        await rig.running(client, C, "book", opkey="k1", ts=began + 500)  # and one that came after it is none
+        # Received after the window, so not a duplicate.
+        await rig.running(client, C, "book", opkey="k1", ts=started_at_ms + 500)
 
 
-async def test_a_repeat_after_the_window_waits_for_a_run_in_progress(monkeypatch):
+async def test_a_duplicate_received_after_the_window_waits_for_an_unfinished_run(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         set_idempotency_window(rig, 100.0)
         client = await (await rig.up()).caller()
         await rig.running(client, A, "book", opkey="k1", timeout=300)
-        assert (await client.answer())[1] == "error"  # it was due, and its run goes on
+        assert (await client.answer())[1] == "error"  # it timed out, but its run continues
         await wait_until(
             lambda: rig.node.clock() > next(iter(rig.node.idempotency_table.records.values())).expires_at_ms + 100
         )
@@ -117,7 +115,7 @@
         await wait_until(lambda: not rig.node.requests)
 
 
-async def test_records_that_can_serve_no_repeat_are_purged(monkeypatch):
+async def test_records_that_can_serve_no_duplicate_are_purged(monkeypatch):
     monkeypatch.setattr(idempotency_table, "PURGE_INTERVAL_MS", 0.0)
     async with ServerRig() as rig:
         set_idempotency_window(rig, 100.0)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what is answered when the drain begins, when the listener closes and when the server ends."""
+"""Graceful shutdown: which requests are answered while the server drains, closes its listener and stops."""
 
 import socket
 import time
@@ -33,19 +33,16 @@
     return peer
 
 
-# The listener
-
-
 class ListenerWithLateClient:
     """A listener to which a client connects between the last accept and the close."""
 
     def __init__(self, real: socket.socket) -> None:
         self._real, self.late = real, socket.socket()
         self.late.setblocking(False)
-        self._shutting = False
+        self._is_shutting_down = False
 
     def setsockopt(self, *values):
-        self._shutting = True
+        self._is_shutting_down = True
         return self._real.setsockopt(*values)
 
     def accept(self):
@@ -63,14 +60,16 @@
 async def test_a_connection_between_the_last_accept_and_the_close_is_refused_and_not_reset():
     async with ServerRig() as rig:
         await rig.up()
-        front = rig.node.listeners[0]
-        knocking = front._listener = ListenerWithLateClient(rig.listener)
-        front.stop_accepting()
+        listener = rig.node.listeners[0]
+        listener_with_late_client = listener._listener = ListenerWithLateClient(rig.listener)
+        listener.stop_accepting()
         with anyio.fail_after(5):
-            await anyio.wait_writable(knocking.late)
-        assert knocking.late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0, "it was let in, to be reset"
+            await anyio.wait_writable(listener_with_late_client.late)
+        assert listener_with_late_client.late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0, (
+            "the connection was accepted and would be reset"
+        )
         assert not rig.pool.told("spawn", A)
-        knocking.late.close()
+        listener_with_late_client.late.close()
 
 
 async def test_a_connection_in_the_backlog_when_the_listener_closes_is_accepted():
@@ -78,7 +77,7 @@
         await rig.up()
         peer = RawClient(rig.port)
         peer.send(encode_request(A))
-        rig.node.listeners[0].stop_accepting()  # before the server can have looked
+        rig.node.listeners[0].stop_accepting()  # before the server accepts the connection
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
@@ -86,7 +85,7 @@
             RawClient(rig.port)
 
 
-async def test_the_listener_stays_open_for_the_grace_and_no_longer():
+async def test_the_listener_stays_open_until_the_grace_period_ends():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
@@ -95,7 +94,7 @@
         late.send(encode_request(B))
         await wait_until(lambda: rig.pool.told("spawn", B))
         await wait_until(lambda: rig.listener.fileno() < 0)
-        assert rig.node.phase is Phase.DRAINING  # both are still owed
+        assert rig.node.phase is Phase.DRAINING  # both answers are outstanding
         with pytest.raises(OSError):
             RawClient(rig.port)
         for request_id in (A, B):
@@ -103,66 +102,64 @@
         assert (await client.answer())[:2] == (1, "done") and b"result" in await late.until(b"result")
 
 
-# Idle connections until the server closes them
-
-
-async def test_idle_connections_do_not_delay_the_shutdown_and_keep_their_answers():
+async def test_idle_connections_do_not_delay_the_shutdown_and_receive_their_answers():
     async with ServerRig() as rig:
         await rig.up()
-        rests, silent = await connect_idle_client(rig), RawClient(rig.port)
+        idle, silent = await connect_idle_client(rig), RawClient(rig.port)
         await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 2)
-        began = time.monotonic()
+        started_at = time.monotonic()
         rig.node.begin_shutdown()
-        got = await rests.to_the_end()  # a close without a reset, after all that was sent
+        got = await idle.to_the_end()  # closed without a reset, after all answers
         assert b"healthy" in got and got.endswith(CLOSING) and await silent.to_the_end() == CLOSING
         await wait_until(lambda: rig.clean is True)
-        assert time.monotonic() - began < 0.6  # the kill comes after 0.7 s
+        assert time.monotonic() - started_at < 0.6  # the process would be killed after 0.7 s
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
-async def test_a_request_that_crosses_the_close_of_its_idle_connection(order, monkeypatch):
+async def test_a_request_sent_while_its_idle_connection_closes_is_answered_only_if_it_was_read(order, monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
-        peer, front = await connect_idle_client(rig), rig.node.listeners[0]
-        (connection,) = front.table.connections
+        peer, listener = await connect_idle_client(rig), rig.node.listeners[0]
+        (connection,) = listener.table.connections
         shut_down = connection.stream.shut_down
 
-        def crossing(ending):
+        def shut_down_while_request_arrives(ending):
             if order == "after":
                 shut_down(ending)
             peer.send(encode_request(A))
             if order == "before":
                 shut_down(ending)
 
-        part = connection.close_if_idle
+        close_if_idle = connection.close_if_idle
 
-        def parting(ending):
-            if order == "before" and not rig.pool.seen_late:
-                rig.pool.seen_late = True
-                peer.send(encode_request(A))  # the last moment before the server looks whether anything is owed
-            return part(ending)
+        def send_request_and_close(ending):
+            if order == "before" and not rig.pool.is_request_sent:
+                rig.pool.is_request_sent = True
+                peer.send(encode_request(A))  # just before the server checks whether the connection is idle
+            return close_if_idle(ending)
 
-        rig.pool.seen_late = False
-        monkeypatch.setattr(connection, "close_if_idle", parting)
+        rig.pool.is_request_sent = False
+        monkeypatch.setattr(connection, "close_if_idle", send_request_and_close)
         if order == "after":
-            monkeypatch.setattr(connection.stream, "shut_down", crossing)
+            monkeypatch.setattr(connection.stream, "shut_down", shut_down_while_request_arrives)
         rig.node.begin_shutdown()
         got = await peer.to_the_end()
         assert b"healthy" in got and not rig.pool.told("spawn", A)
-        assert (b"later" in got) is (order == "before")  # read, it is answered; after the end, it is sent again
+        # The request is answered only if it was read; otherwise the client sends it again.
+        assert (b"later" in got) is (order == "before")
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_a_partial_message_is_waited_for_to_the_end_and_answered_once_complete():
+async def test_a_partial_message_completed_during_the_shutdown_is_answered():
     async with ServerRig() as rig:
         await rig.up()
-        peer, whole = await connect_idle_client(rig), encode_request(A)
-        peer.send(whole[:30])
+        peer, message = await connect_idle_client(rig), encode_request(A)
+        peer.send(message[:30])
         rig.node.begin_shutdown()
         assert b"closing" in await peer.until(b"closing")
-        with anyio.move_on_after(0.15):  # longer than what crosses a close may take
+        with anyio.move_on_after(0.15):  # longer than the server waits for messages that cross a close
             await anyio.sleep(1)
-        peer.send(whole[30:])  # it came to the machine in time, and is run
+        peer.send(message[30:])  # it reached the machine within the grace period, so it is run
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
@@ -170,61 +167,58 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_a_partial_message_that_never_ends_is_closed_before_the_kill_without_a_reset():
+async def test_a_connection_with_an_incomplete_message_is_closed_without_a_reset_before_the_process_is_killed():
     async with ServerRig() as rig:
         await rig.up()
         peer = await connect_idle_client(rig)
         peer.send(encode_request(A)[:30])
-        began = time.monotonic()
+        started_at = time.monotonic()
         rig.node.begin_shutdown()
         assert (await peer.to_the_end()).endswith(CLOSING)
         await wait_until(lambda: rig.clean is True)
-        assert time.monotonic() - began < 0.7
+        assert time.monotonic() - started_at < 0.7
 
 
-async def test_an_answer_to_a_slow_reader_is_not_cut_off_while_there_is_time():
+async def test_an_answer_to_a_slow_reader_is_sent_completely():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
         client = await (await rig.up()).caller()
         (connection,) = rig.node.listeners[0].table.connections
         sock = client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32768)
         connection.stream._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
-        idents = [f"{number:016x}" for number in range(1, 32)]
-        for request_id in idents:
+        request_ids = [f"{number:016x}" for number in range(1, 32)]
+        for request_id in request_ids:
             await rig.running(client, request_id)
-        for request_id in idents:
+        for request_id in request_ids:
             await rig.pool.finish(request_id, body=bytes(4096))
         await wait_until(lambda: not connection.stream.all_sent and not connection.requests)
         rig.node.begin_shutdown()
         await wait_until(lambda: rig.node.phase is Phase.SHUTTING_DOWN)
         with anyio.move_on_after(0.2):
             await anyio.sleep(1)
-        words = [(await client.answer())[1] for _ in range(32)]
-        assert words == ["done"] * 31 + ["closing"]
+        statuses = [(await client.answer())[1] for _ in range(32)]
+        assert statuses == ["done"] * 31 + ["closing"]
 
 
-async def test_orphaned_runs_do_not_delay_the_shutdown_once_all_is_answered():
+async def test_orphaned_runs_do_not_delay_the_shutdown_once_all_requests_are_answered():
     async with ServerRig(**{"stop-mode": "silent"}) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
         await rig.running(client, B, "pay")
-        began = time.monotonic()
+        started_at = time.monotonic()
         rig.node.begin_shutdown()
         assert [(await client.answer())[1] for _ in range(3)] == ["error", "error", "closing"]
         await client.stream.aclose()
         await wait_until(lambda: rig.clean is True)
-        assert time.monotonic() - began < 0.7
-
-
-# Notices
+        assert time.monotonic() - started_at < 0.7
 
 
-async def test_signals_during_the_shutdown_change_nothing():
+async def test_a_reload_and_a_repeated_stop_do_not_disturb_the_shutdown():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A)
         rig.node.begin_shutdown()
-        await rig.move()  # the new worker pool goes on where the old one was
+        await rig.move()  # the new worker pool address takes over the runs of the old one
         rig.node.begin_shutdown()
         await wait_until(lambda: len(rig.pool.binds()) == 1 and rig.node.worker_pool.is_up)
         await rig.pool.finish(A)
@@ -233,20 +227,20 @@
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_a_signal_before_the_worker_pool_is_up_answers_requests_and_ends():
+async def test_a_shutdown_before_the_worker_pool_is_up_answers_requests_and_ends():
     async with ServerRig() as rig:
         client = await rig.caller()
         await client.send("STATUS", "1", "")
         assert (await client.answer())[1] == "healthy"
         rig.node.begin_shutdown()
         await client.ask(A)
-        words = [(await client.answer())[1] for _ in range(2)]
-        assert sorted(words) == ["closing", "error"] and rig.node.phase is Phase.SHUTTING_DOWN
+        statuses = [(await client.answer())[1] for _ in range(2)]
+        assert sorted(statuses) == ["closing", "error"] and rig.node.phase is Phase.SHUTTING_DOWN
         await client.stream.aclose()
         await wait_until(lambda: rig.clean is True)
 
 
-async def test_an_interrupted_shutdown_still_ends(monkeypatch):
+async def test_a_cancelled_shutdown_still_ends(monkeypatch):
     async with ServerRig() as rig:
         await rig.up()
         await connect_idle_client(rig)
