--- a/nickelslip/server/control_timer.py
+++ b/nickelslip/server/control_timer.py
@@ -14,7 +14,7 @@
     from nickelslip.server.idempotency_table import IdempotencyTable
     from nickelslip.server.interfaces import RequestListener, WorkerPool
 
-GAUGES_REQUEST_LEAD_MS = 5.0  # time for the worker pool to answer before the timer is due
+GAUGES_REQUEST_LEAD_MS = 5.0  # the worker pool answers queries within this time
 
 
 class WakeSchedule:
--- a/nickelslip/server/idempotency_table.py
+++ b/nickelslip/server/idempotency_table.py
@@ -80,7 +80,7 @@
     def coalesce(self, request: Request) -> None:
         """Deliver the result of its original request to a duplicate, now or when the original request finishes.
 
-        The duplicate fails if the original request has failed or its result was evicted.
+        The duplicate fails if no result can be delivered any more, for example because it was evicted.
         """
         record = self._find_record(request)
         if record is not None and record.original_request is not None:
