--- a/nickelslip/server/answer_encoder.py
+++ b/nickelslip/server/answer_encoder.py
@@ -1,6 +1,6 @@
-"""The words and fields of load balancers' messages, and the encoding of what this server sends.
+"""Verbs and fields of the load balancer protocol, and the encoding of this server's messages.
 
-The wire has words of its own; the code uses the standard terms and maps them here.
+The protocol's words differ from the terms that the code uses. This module maps the terms to the words.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from nickelslip.server import resp
 from nickelslip.server.requests import Answer
 
-# Verbs of load balancers' messages.
+# Verbs of messages from load balancers.
 REQUEST_VERB = b"ASK"
 HEALTH_CHECK_VERB = b"STATUS"
 CANCEL_VERB = b"NEVERMIND"
 
-# Words of this server's messages.
+# Words in messages from this server.
 HEALTHY_WORD = b"healthy"
 UNHEALTHY_WORD = b"sick"
 CLOSE_REQUEST_WORD = b"closing"
@@ -24,12 +24,12 @@
     RequestState.FAILED: b"error",
 }
 
-# Fields of this server's messages.
+# Fields of messages from this server.
 ADVERTISED_WEIGHT_FIELD = b"signal=%.6f"
 RETRY_AFTER_FIELD = b"holdoff=%.3f"
 RETRY_ELSEWHERE_USELESS_FIELD = b"nomore=1"
 
-CONNECTION_TAG = 0  # of messages that belong to no request
+CONNECTION_TAG = 0  # tag of messages that do not belong to a request
 
 
 def encode_answer(tag: int, answer: Answer) -> bytes:
@@ -44,7 +44,7 @@
 
 
 def encode_close_request() -> bytes:
-    """Return the message that asks the load balancer to close the connection; it has neither fields nor a body."""
+    """Return the message that asks the load balancer to close the connection. It has no fields and no body."""
     return resp.message(b"%d" % CONNECTION_TAG, CLOSE_REQUEST_WORD)
 
 
@@ -53,7 +53,7 @@
 
 
 def _answer_fields(answer: Answer) -> bytes:
-    """Return the advertised weight and, on a rejection, when and whether to retry."""
+    """Return the advertised weight and, for a rejection, when to retry and whether another server may accept it."""
     fields = []
     if answer.advertised_weight is not None:
         fields.append(_weight_field(answer.advertised_weight))
--- a/nickelslip/server/close_reasons.py
+++ b/nickelslip/server/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why connections, runs and calls end, and the outcome that each of these means to the admission controller."""
+"""Reasons for which connections, runs and calls end, and the outcome reported to the admission controller for each."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class CloseReason(Enum):
-    """Why a connection ended."""
-
-    CLOSED = "the other side closed it"
-    RESET = "the connection was reset"
-    MALFORMED = "a message could not be parsed"
-    STALLED = "the other side stopped half way through a message, or did not read"
-    SHED = "no buffer or descriptor was left for it"
-    REFUSED = "it was never established"
-    IDLE = "it was unused for too long, or is no longer needed"
-    UNRESPONSIVE = "no complete message arrived on it"
-    ENDPOINT_CHANGED = "the address of the other side was replaced"
-    SHUTDOWN = "this server shuts down"
-    FAULT = "an error of this program"
+    """The reason for which a connection ended."""
+
+    CLOSED = "closed by the peer"
+    RESET = "connection reset"
+    MALFORMED = "malformed message"
+    STALLED = "the peer stopped in the middle of a message, or stopped reading"
+    SHED = "no free buffer or file descriptor"
+    REFUSED = "the connection was not established"
+    IDLE = "idle for too long, or no longer needed"
+    UNRESPONSIVE = "no message was received in time"
+    ENDPOINT_CHANGED = "the configured address of the peer changed"
+    SHUTDOWN = "server shutdown"
+    FAULT = "internal error"
 
     @property
     def outcome(self) -> Outcome:
         """The outcome of work that was in flight on the connection.
 
-        Only a connection that was never established proves that nothing ran.
+        Work is known not to have run only if the connection was never established.
         """
         return Outcome.CONNECT_FAILED if self is CloseReason.REFUSED else Outcome.RESET
 
@@ -35,12 +35,12 @@
     """A connection has ended.
 
     Args:
-        reason: Why it ended.
-        detail: What exactly happened, if there is more to say.
+        reason: The reason for which it ended.
+        detail: Further information about the cause, if any.
 
     Attributes:
-        reason: Why it ended.
-        detail: What exactly happened; empty if there is nothing more to say.
+        reason: The reason for which it ended.
+        detail: Further information about the cause; may be empty.
     """
 
     def __init__(self, reason: CloseReason, detail: str = "") -> None:
@@ -49,7 +49,7 @@
         self.detail = detail
 
 
-# The words of the worker pool's protocol for the end of a run.
+# The worker pool protocol's words for the outcome of a run.
 RUN_OUTCOMES = {
     "fine": Outcome.OK,
     "fault": Outcome.ERROR,
@@ -57,7 +57,7 @@
     "late": Outcome.NOT_STARTED,
 }
 
-# The words of the records service's protocol for the end of a call.
+# The records service protocol's words for the outcome of a call.
 CALL_OUTCOMES = {
     b"DONE": Outcome.OK,
     b"WAIT": Outcome.REJECTED,
@@ -67,7 +67,7 @@
 }
 
 ABANDONED_CALL_OUTCOME = Outcome.TIMEOUT
-MALFORMED_RESULT_OUTCOME = Outcome.ERROR  # the run is over, and its result cannot be read
-UNREADABLE_CALL_OUTCOME = Outcome.REJECTED  # the call is never made, as its body cannot be read
-NO_DESCRIPTOR_OUTCOME = Outcome.REJECTED  # the call is never made, as no descriptor is left for calls
-UNKNOWN_START_OUTCOME = Outcome.ERROR  # the worker pool does not know the start: there is no run and no result
+MALFORMED_RESULT_OUTCOME = Outcome.ERROR  # the run has ended, but its result cannot be decoded
+UNREADABLE_CALL_OUTCOME = Outcome.REJECTED  # the call is not made because its body cannot be decoded
+NO_DESCRIPTOR_OUTCOME = Outcome.REJECTED  # the call is not made because no file descriptor is left for calls
+UNKNOWN_START_OUTCOME = Outcome.ERROR  # the worker pool has no record of the start: there is no run and no result
--- a/nickelslip/server/connection_log.py
+++ b/nickelslip/server/connection_log.py
@@ -1,6 +1,6 @@
-"""Log lines about load balancers' connections, thinned out so that clients cannot flood the log.
+"""Sampled log lines about connections from load balancers, so that clients cannot flood the log.
 
-Of every kind of line only the 1st, 2nd, 4th, 8th ... is written.
+Of each kind of line, only the 1st, 2nd, 4th, 8th and so on is written.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from nickelslip.server.close_reasons import CloseReason, ConnectionClosedError
 from nickelslip.server.log_sampling import is_power_of_two
 
-if TYPE_CHECKING:  # keeps imports at startup few
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
 
@@ -19,7 +19,7 @@
     """Counts and logs malformed requests and closed connections.
 
     Args:
-        context: The server, whose log is written to.
+        context: The server, which provides the log.
     """
 
     def __init__(self, context: ServerContext) -> None:
@@ -34,7 +34,7 @@
             self._context.log.warning("malformed_request", error=error, count=self._malformed_count)
 
     def report_close(self, closed: ConnectionClosedError) -> None:
-        """Log why a connection was closed, unless the other side plainly closed it; each reason counts by itself."""
+        """Log why a connection was closed, unless the peer closed it normally; each reason has its own count."""
         if closed.reason is CloseReason.CLOSED:
             return
         self._close_counts[closed.reason] += 1
--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -1,6 +1,6 @@
-"""The table of load balancers' connections: how many there may be, and which one makes room for another.
+"""The table of connections from load balancers: enforces the connection limit and chooses connections to shed.
 
-Connections that linger after a close have places of their own, so that they do not keep new ones out.
+Lingering connections have a separate limit, so they do not keep new connections out.
 """
 
 from __future__ import annotations
@@ -12,79 +12,77 @@
 from nickelslip.server.close_reasons import CloseReason
 from nickelslip.server.load_balancer_connection import CLOSE_CROSSING_MS, LoadBalancerConnection
 
-if TYPE_CHECKING:  # keeps imports at startup few
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
-SLOW_WRITER_DIVISOR = 4  # one in so many places, and buffers, may be taken by messages that arrive slowly
-MAX_SILENT_CANDIDATES = 8  # silent connections looked at, the oldest first, for one that can be closed
+SLOW_WRITER_DIVISOR = 4  # slow writers may hold a quarter of the connections, and of the buffers
+MAX_SILENT_CANDIDATES = 8  # number of the oldest silent connections that are examined for shedding
 
 
 class ConnectionTable:
     """All connections of one listener.
 
     Args:
-        context: The server, for the clock, the buffers and the number of descriptors.
+        context: The server, which provides the clock, the buffers and the descriptor limits.
 
     Attributes:
-        connections: All of them, those that linger included.
-        lingering: Those in a lingering close, the first to begin it first.
-        slow_writers: Those whose message may take as long as any client waits.
+        connections: All connections, including lingering ones.
+        lingering: Connections in a lingering close, in the order in which the closes began.
+        slow_writers: Connections whose current message may take as long as the longest client timeout.
     """
 
     def __init__(self, context: ServerContext) -> None:
         self._context = context
         self.connections: set[LoadBalancerConnection] = set()
-        self._silent: dict[LoadBalancerConnection, None] = {}  # without a valid message so far, the oldest first
+        self._silent: dict[LoadBalancerConnection, None] = {}  # no valid message so far; oldest first
         self.lingering: dict[LoadBalancerConnection, None] = {}
         self.slow_writers: set[LoadBalancerConnection] = set()
 
     def add(self, connection: LoadBalancerConnection) -> None:
-        """Add a connection that was just accepted."""
+        """Add a newly accepted connection."""
         self.connections.add(connection)
         self._silent[connection] = None
 
     def remove(self, connection: LoadBalancerConnection) -> None:
-        """Remove a connection, if it is still there."""
+        """Remove a connection if it is still in the table."""
         self.connections.discard(connection)
         self.slow_writers.discard(connection)
         self.lingering.pop(connection, None)
         self._silent.pop(connection, None)
 
     def note_valid_message(self, connection: LoadBalancerConnection) -> None:
-        """A valid message came on it: it is no longer among the first to make room."""
+        """Record that a valid message was received, so the connection is no longer preferred for shedding."""
         self._silent.pop(connection, None)
 
-    def note_lingering(self, connection: LoadBalancerConnection) -> None:
-        """A lingering close has begun: its place is free for another."""
+    def mark_lingering(self, connection: LoadBalancerConnection) -> None:
+        """Record that a lingering close has begun, so the connection no longer counts towards the limit."""
         self._silent.pop(connection, None)
         self.lingering[connection] = None
 
-    # Room
-
     @property
     def has_free_descriptor(self) -> bool:
-        """Whether one more connection may be accepted at all, if only to be closed."""
+        """Whether one more connection may be accepted, even if only to be closed."""
         shares = self._context.generation.descriptor_shares
         return len(self.connections) < shares.load_balancers + shares.lingering
 
     @property
-    def has_free_place(self) -> bool:
-        """Whether one more connection can be served; those that linger do not count."""
+    def is_below_limit(self) -> bool:
+        """Whether one more connection can be served; lingering connections do not count."""
         served_count = len(self.connections) - len(self.lingering)
         return served_count < self._context.generation.descriptor_shares.load_balancers
 
-    def make_room(self) -> bool:
+    def shed_idle_connection(self) -> bool:
         """Begin to close one idle connection; return whether there was one.
 
-        The oldest silent one goes first, else the one unused for the longest. So clients that connect and send nothing
-        cannot fill the table, and a load balancer that loses an old connection opens another.
+        The oldest silent connection is chosen first, otherwise the least recently used one. Clients that connect and
+        send nothing therefore cannot fill the table. A load balancer that loses an old connection opens another.
         """
-        closed = self._close_first(list(islice(self._silent, MAX_SILENT_CANDIDATES)))
+        closed = self._close_first_idle(list(islice(self._silent, MAX_SILENT_CANDIDATES)))
         if closed is None:
-            closed = self._close_first(self._idle_by_last_use())
+            closed = self._close_first_idle(self._idle_by_last_use())
         if closed is None:
             return False
-        self.note_lingering(closed)
+        self.mark_lingering(closed)
         return True
 
     def _idle_by_last_use(self) -> list[LoadBalancerConnection]:
@@ -94,18 +92,18 @@
         return sorted(idle, key=lambda connection: connection.last_used_at_ms)
 
     @staticmethod
-    def _close_first(candidates: Iterable[LoadBalancerConnection]) -> LoadBalancerConnection | None:
-        """Begin to close the first candidate that is idle with nothing unread, and return it."""
+    def _close_first_idle(candidates: Iterable[LoadBalancerConnection]) -> LoadBalancerConnection | None:
+        """Begin to close the first candidate that is idle with no unread input, and return it."""
         for connection in candidates:
             if connection.close_if_idle(CloseReason.SHED):
                 return connection
         return None
 
     def abort_lingering(self) -> bool:
-        """Free a descriptor at once by aborting a lingering connection; return whether there was one.
+        """Free a descriptor immediately by aborting a lingering connection; return whether there was one.
 
-        The first goes that has lingered for as long as messages may cross a close, or on which there never was a valid
-        message, so that nothing can be lost.
+        Only a connection that has lingered for CLOSE_CROSSING_MS, or that never sent a valid message, is aborted, so
+        no message can be lost. The first such connection is chosen.
         """
         now_ms = self._context.clock()
         for connection in self.lingering:
@@ -116,33 +114,29 @@
                 return True
         return False
 
-    # Slow messages
-
     def is_slow_writer(self, connection: LoadBalancerConnection) -> bool:
-        """Whether its message may take as long as any client waits."""
+        """Whether the connection's current message may take as long as the longest client timeout."""
         return connection in self.slow_writers
 
     def admit_slow_writer(self, connection: LoadBalancerConnection) -> bool:
-        """Return whether a message that is not complete within its time limit may take as long as any client waits.
+        """Decide whether a message that missed its time limit may take as long as the longest client timeout.
 
-        Its sender may be slow without ill intent. Only a part of the places and buffers is given to such messages, so
-        that senders who never finish theirs leave the rest to others.
+        The sender may be slow without being malicious. Such messages may hold only a fraction of the connections and
+        buffers, so that senders that never finish a message cannot exhaust them.
         """
-        place_count = self._context.generation.descriptor_shares.load_balancers
-        max_slow_writers = min(place_count, self._context.buffers.max_count) // SLOW_WRITER_DIVISOR
+        max_connections = self._context.generation.descriptor_shares.load_balancers
+        max_slow_writers = min(max_connections, self._context.buffers.max_count) // SLOW_WRITER_DIVISOR
         if connection in self.slow_writers or len(self.slow_writers) >= max(1, max_slow_writers):
             return False
         self.slow_writers.add(connection)
         return True
 
     def remove_slow_writer(self, connection: LoadBalancerConnection) -> None:
-        """Its message is complete; the next one has the ordinary time limit again."""
+        """Apply the ordinary time limit again, after the slow message is complete."""
         self.slow_writers.discard(connection)
 
-    # Idle connections
-
     def close_idle(self, idle_timeout_ms: float) -> None:
-        """Ask for the close of connections unused for so long; close those that were asked and stay open."""
+        """Request the close of connections idle for longer than `idle_timeout_ms`; close those that do not comply."""
         now_ms = self._context.clock()
         for connection in list(self.connections):
             unused_ms = now_ms - connection.last_used_at_ms
@@ -154,4 +148,4 @@
                 continue
             close_timeout_ms = idle_timeout_ms + self._context.generation.longest_timeout_ms
             if unused_ms > close_timeout_ms and connection.close_if_idle(CloseReason.IDLE):
-                self.note_lingering(connection)
+                self.mark_lingering(connection)
--- a/nickelslip/server/connector.py
+++ b/nickelslip/server/connector.py
@@ -1,4 +1,4 @@
-"""Connecting to the servers that this one depends on."""
+"""Connects to the servers that this one depends on."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
     max_backlog_bytes: int,
     stall_timeout_ms: float = inf,
 ) -> Stream:
-    """Return a stream to the address, which may use the reserved buffers.
+    """Connect to the address and return a stream, which may use the reserved buffers.
 
     Args:
-        address: Host, as a numeric address, and port.
+        address: The numeric host address and the port.
         buffers: The pool of buffers.
-        task_group: Where the stream sends its backlog.
+        task_group: The task group in which the stream sends its backlog.
         max_backlog_bytes: See `Stream`.
         stall_timeout_ms: See `Stream`.
 
     Raises:
-        ConnectionClosedError: No connection was established, so that nothing can have been sent.
+        ConnectionClosedError: The connection could not be established, so nothing has been sent.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM)
-    except OSError as error:  # no descriptor is left
+    except OSError as error:  # e.g. no file descriptor is left
         raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
     try:
         await _establish(sock, address)
-    except OSError as error:  # a timeout is one, too
+    except OSError as error:  # includes TimeoutError
         sock.close()
         raise ConnectionClosedError(CloseReason.REFUSED, str(error)) from None
     except BaseException:
--- a/nickelslip/server/directory_reporter.py
+++ b/nickelslip/server/directory_reporter.py
@@ -1,7 +1,7 @@
-"""Reports to the directory: the datagrams that keep this server listed.
+"""Sends load reports to the directory: the datagrams that keep this server listed.
 
-When a report is due is decided by the slow start. A report that cannot be sent is skipped, and the next one follows
-when it is due; nothing here waits for the directory.
+The slow start decides when a report is due. A report that cannot be sent is skipped, and the next one is sent when it
+is due. This module never waits for the directory.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from nickelslip.configuration.config import Address
 
-if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ReportSource
 
 HEALTHY_WORD = "open"
@@ -23,33 +23,34 @@
 
 
 class DirectoryReporter:
-    """The directory, as this server reports to it.
+    """Sends this server's load reports to the directory.
 
     Args:
-        source: Whose reports these are, and when they are due.
+        source: Provides the content of the reports and the times at which they are due.
     """
 
     def __init__(self, source: ReportSource) -> None:
         self._source = source
         self._is_reachable = True
         self._schedule_changed = anyio.Event()
-        self._socket: socket.socket | None = None  # kept open: a report must not need a descriptor when none is left
+        self._socket: socket.socket | None = None  # kept open, as no descriptor may be left when a report is due
 
     def change_endpoint(self) -> None:
-        """Look again at when a report is due.
+        """Re-evaluate when the next report is due.
 
-        A new address alone makes no report due: all servers get a new configuration in the same moment.
+        A new address does not trigger a report: all servers receive a new configuration at the same time, and would
+        all report at once.
         """
         self._schedule_changed.set()
 
     def report_health_change(self) -> None:
-        """Report at once, because the health has changed."""
+        """Send a report immediately after a change of health."""
         self._source.slow_start.health_changed(self._source.clock())
         self._schedule_changed.set()
 
     async def run(self) -> None:
-        """Report from the moment when the worker pool is there to the end."""
-        with suppress(OSError):  # opened before clients take the descriptors; else at the first report
+        """Send reports when they are due, from the time the worker pool is available until cancelled."""
+        with suppress(OSError):  # open it before clients use up the descriptors; on failure, retry at the first report
             self._socket_for(self._address)
         try:
             await self._report_when_due()
@@ -87,8 +88,8 @@
         return f"PULSE {self._source.generation.config.name} {health_word}".encode()
 
     def _socket_for(self, address: Address) -> socket.socket:
-        """Return the socket from which reports go out; it is replaced where the address is of another family."""
-        family = family_of(address)
+        """Return the socket that sends reports, replacing it if the address is of another family."""
+        family = address_family(address)
         if self._socket is None or self._socket.family != family:
             new_socket = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
             if self._socket is not None:
@@ -97,13 +98,13 @@
         return self._socket
 
     def _log_reachability(self, error_text: str | None) -> None:
-        """Log a change of whether reports can be sent; `error_text` is None where this one was."""
+        """Log if reports became sendable or unsendable; `error_text` is None after a successful send."""
         is_reachable = error_text is None
         if is_reachable is not self._is_reachable:
             self._is_reachable = is_reachable
             self._source.log.info("directory_reachability", is_reachable=is_reachable, detail=error_text)
 
 
-def family_of(address: Address) -> socket.AddressFamily:
+def address_family(address: Address) -> socket.AddressFamily:
     """Return the address family of a numeric address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
--- a/nickelslip/server/listening_socket.py
+++ b/nickelslip/server/listening_socket.py
@@ -1,4 +1,4 @@
-"""The listening socket: opening it, and keeping out connections that would be lost when it is closed."""
+"""Opens the listening socket, and drops connections that would be lost when it is closed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from nickelslip.configuration.config import Address
 
-LISTEN_BACKLOG = 1024  # connections that the system keeps until they are accepted
-SO_ATTACH_FILTER = 26  # of Linux; the socket module has no name for it
-BPF_RETURN = 0x06  # the instruction of a packet filter that ends it with the number of bytes to keep
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
+SO_ATTACH_FILTER = 26  # a Linux constant that the socket module does not define
+BPF_RETURN = 0x06  # BPF instruction that ends the filter; its operand is the number of bytes to keep
 
 
 def bind(address: Address) -> socket.socket:
-    """Return a listening socket on this address and no other."""
+    """Return a non-blocking listening socket bound to exactly this address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -30,11 +30,11 @@
 
 
 def drop_new_connections(listener: socket.socket) -> None:
-    """Have the system drop the packets of new connections from here on.
+    """Make the kernel drop the packets of new connections from now on.
 
-    A connection established between the last accept and the close would be reset together with its first request. With
-    its packets dropped, the client's system tries again a second later and is refused, which proves that nothing ran.
-    Where the system has no such filter, that short interval stays.
+    A connection established between the last accept and the close would be reset together with its first request. If
+    its packets are dropped instead, the client's kernel retries a second later and is refused, so the client knows
+    that nothing ran. On systems without socket filters, such a reset remains possible.
     """
     keep_no_bytes = struct.pack("HBBI", BPF_RETURN, 0, 0, 0)
     instructions = array("B", keep_no_bytes)
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -1,10 +1,10 @@
-"""One load balancer's connection: reading its messages within time limits, and closing it without losing an answer.
+"""A connection from a load balancer: reads messages within time limits, and closes without losing an answer.
 
-What the messages mean is the concern of `tagged_requests`. Closing has three strengths:
+`tagged_requests` interprets the messages. There are three ways to close a connection:
 
-* a close request asks the load balancer to send nothing new and to close;
-* a lingering close ends this side's direction and reads on for a moment, so that no answer on its way is lost;
-* an abort (`Stream.abort`) closes the socket at once.
+* a close request asks the load balancer to send no new requests and to close the connection;
+* a lingering close ends this side's direction and briefly continues to read, so that no answer in transit is lost;
+* an abort (`Stream.abort`) closes the socket immediately.
 """
 
 from __future__ import annotations
@@ -21,33 +21,37 @@
 from nickelslip.server.streams import Stream
 from nickelslip.server.tagged_requests import TaggedRequests
 
-if TYPE_CHECKING:  # keeps imports at startup few
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.connection_log import ConnectionLog
     from nickelslip.server.connection_table import ConnectionTable
     from nickelslip.server.interfaces import RequestHandler
 
-MAX_BACKLOG_BYTES = 64 * 1024  # unsent answers over which no more is read
+MAX_BACKLOG_BYTES = 64 * 1024  # reading pauses while more answers than this are unsent
 FIRST_BYTE_TIMEOUT_MS = 2000.0  # from the start of the connection to the first byte of its first message
-MESSAGE_TIMEOUT_MS = 2000.0  # from the first byte of a message to its end, unless it is allowed to be slow
+MESSAGE_TIMEOUT_MS = 2000.0  # from the first byte of a message to its end, except for messages of slow writers
 MAX_CONSECUTIVE_REFUSALS = 64
 SEND_POLL_INTERVAL_S = 0.05
-CLOSE_CROSSING_MS = 50.0  # by the protocol, load balancers resend what they sent this shortly before a close
-LOST_REASONS = (CloseReason.CLOSED, CloseReason.RESET)  # nobody is left who could read an answer
+CLOSE_CROSSING_MS = (
+    50.0  # by the protocol, load balancers resend requests that they sent within this time before a close
+)
+PEER_GONE_REASONS = (CloseReason.CLOSED, CloseReason.RESET)  # the peer can no longer read an answer
 
 
 class LoadBalancerConnection:
-    """One accepted connection, whatever is at its other end.
+    """One accepted connection.
 
     Args:
-        server: Where decoded requests go.
-        table: The table of all connections, which this one is in.
-        log: Where malformed requests and the end of the connection are reported.
+        server: Receives decoded requests.
+        table: The table of all connections, including this one.
+        log: Logs malformed requests and the reason for closing.
         sock: The accepted socket.
 
     Attributes:
-        last_used_at_ms: The start of the connection, its last complete message or its last answer.
-        has_sent_complete_message: Whether a valid request or health check came on it.
-        is_close_requested: Whether the load balancer was asked to close it.
+        stream: The stream over the socket.
+        requests: The open requests of this connection.
+        last_used_at_ms: When the connection was accepted, or last carried a complete message or an answer.
+        has_sent_complete_message: Whether the load balancer has sent a valid request or health check.
+        is_close_requested: Whether the load balancer was asked to close the connection.
         close_began_at_ms: When this side began a lingering close, or None.
     """
 
@@ -60,21 +64,21 @@
         )
         self.requests = TaggedRequests(server, self.stream, log, self._note_valid_message, self._note_used)
         self.last_used_at_ms = server.clock()
-        self._message_began_at_ms: float | None = None  # of a message that is not complete yet
+        self._message_began_at_ms: float | None = None  # of an incomplete message
         self.has_sent_complete_message = False
         self.is_close_requested = False
         self.close_began_at_ms: float | None = None
 
     async def serve(self) -> None:
-        """Read messages until the connection ends, and then cancel every request still open on it."""
+        """Read messages until the connection ends, and then abandon every request still open on it."""
         closed = ConnectionClosedError(CloseReason.SHUTDOWN)
         try:
             await self._read_messages()
         except ConnectionClosedError as error:
             closed = error
-            if error.reason not in LOST_REASONS:
+            if error.reason not in PEER_GONE_REASONS:
                 await self._drain()
-        except Exception as error:  # ends this connection alone, after its open requests were answered
+        except Exception as error:  # affects only this connection; its open requests are still answered
             closed = ConnectionClosedError(CloseReason.FAULT, repr(error))
             self._server.log.error("load_balancer_connection_failed", error=repr(error), exc_info=error)
             await self._drain()
@@ -83,23 +87,21 @@
             self.requests.abandon_all()
             self._log.report_close(closed)
 
-    # Reading
-
     async def _read_messages(self) -> None:
-        """Receive and handle messages.
+        """Receive and handle messages until the connection ends.
 
         Raises:
-            ConnectionClosedError: The connection is over; there is no other end of this method.
+            ConnectionClosedError: The connection has ended. This method never returns normally.
         """
         while True:
             await self.stream.wait_for_backlog()
             await self._receive()
             self._handle_received()
             if self.requests.consecutive_refusal_count > MAX_CONSECUTIVE_REFUSALS:
-                raise ConnectionClosedError(CloseReason.MALFORMED, "nothing but faults")
+                raise ConnectionClosedError(CloseReason.MALFORMED, "too many invalid requests in a row")
 
     async def _receive(self) -> None:
-        """Wait until more was read, or until a slow message is allowed to go on."""
+        """Wait until more bytes are received, or until the current message is admitted as a slow one."""
         try:
             await self.stream.fill(self._remaining_ms())
         except ConnectionClosedError as closed:
@@ -107,7 +109,7 @@
                 raise
 
     def _remaining_ms(self) -> float:
-        """Return how long the other side may take, to its first byte or to the end of a message that has begun."""
+        """Return the time left for the first byte of a connection, or for the rest of an incomplete message."""
         now_ms = self._server.clock()
         if self._message_began_at_ms is not None:
             return self._message_began_at_ms + self._message_timeout_ms() - now_ms
@@ -121,7 +123,7 @@
         return MESSAGE_TIMEOUT_MS
 
     def _handle_received(self) -> None:
-        """Handle every complete message that has been received."""
+        """Handle all complete messages that have been received."""
         while (data := self.stream.data) is not None:
             if self._message_began_at_ms is None:
                 self._message_began_at_ms = self._server.clock()
@@ -134,10 +136,10 @@
             self.requests.handle_message(parts)
 
     def _next_message(self, data: bytearray) -> list[bytes] | None:
-        """Take the next message from the stream and return its parts; None while it is not complete.
+        """Consume the next message from the stream and return its parts; None while it is incomplete.
 
         Raises:
-            ConnectionClosedError: What was received is no message; it is answered if its tag could be read.
+            ConnectionClosedError: The received bytes are malformed. They are answered if their tag could be read.
         """
         try:
             message = resp.parse(data, self.stream.start, self.stream.end)
@@ -157,49 +159,47 @@
         self.has_sent_complete_message = True
         self._table.note_valid_message(self)
 
-    # Closing
-
     @property
     def is_idle(self) -> bool:
-        """Whether there is no open request, no incomplete message and nothing unsent."""
+        """Whether there are no open requests, no incomplete message and no unsent bytes."""
         return not self.requests and self.stream.data is None and self.stream.all_sent
 
     def request_close(self) -> None:
-        """Ask the load balancer to send no new request, and to close once all is answered."""
+        """Ask the load balancer to send no new requests, and to close the connection after the last answer."""
         if not self.is_close_requested:
             self.is_close_requested = True
             self.stream.write(encode_close_request())
 
     def close_if_idle(self, reason: CloseReason) -> bool:
-        """Begin a lingering close of an idle connection with nothing unread; return False for any other.
+        """Begin a lingering close if the connection is idle with no unread input; return whether it did.
 
-        What arrives later crosses the close.
+        Input that arrives later has crossed the close.
         """
-        if not self.is_idle or not self.stream.is_open_and_unreadable:
+        if not self.is_idle or not self.stream.is_open_without_pending_input:
             return False
         self.begin_close(reason)
         return True
 
     def begin_close(self, reason: CloseReason) -> None:
-        """Begin a lingering close even with something unread, for want of time or room to answer more.
+        """Begin a lingering close even if there is unread input, when there is no time or capacity to answer it.
 
-        Nothing happens while a request is open or an answer is unsent.
+        Does nothing while a request is open or an answer is unsent.
         """
         if self.close_began_at_ms is None and not self.requests and self.stream.all_sent:
             self.close_began_at_ms = self._server.clock()
             self.stream.shut_down(reason)
 
     async def _drain(self) -> None:
-        """Answer the open requests without reading more messages, and then close lingeringly."""
+        """Wait until the open requests are answered, without reading more messages, and then linger."""
         await self.requests.wait_until_answered()
         await self._wait_until_sent()
         if self.close_began_at_ms is None:
             self.close_began_at_ms = self._server.clock()
-            self._table.note_lingering(self)
+            self._table.mark_lingering(self)
         await self.stream.linger()
 
     async def _wait_until_sent(self) -> None:
-        """Wait for the other side to read its answers, for as long as a stream may stall."""
+        """Wait until all answers are sent, for at most the time that a stream may stall."""
         with anyio.move_on_after(self._server.generation.longest_timeout_ms / 1000):
             while not self.stream.all_sent and not self.stream.close_reason:
                 await anyio.sleep(SEND_POLL_INTERVAL_S)
--- a/nickelslip/server/load_balancer_listener.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -1,4 +1,4 @@
-"""The listener for load balancers: accepting connections, and ending all of them when the server shuts down."""
+"""The listener for load balancers: accepts connections, and closes all of them when the server shuts down."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from nickelslip.server.listening_socket import LISTEN_BACKLOG, drop_new_connections
 from nickelslip.server.load_balancer_connection import CLOSE_CROSSING_MS, LoadBalancerConnection
 
-if TYPE_CHECKING:  # keeps imports at startup few
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import RequestHandler
 
-MAX_ACCEPTS = 32  # at once
-ACCEPT_PAUSE_S = 0.05  # before the next accept where no connection can be taken for the moment
+MAX_ACCEPTS = 32  # per wake-up
+ACCEPT_PAUSE_S = 0.05  # before the next accept while no connection can be accepted
 SHUTDOWN_POLL_INTERVAL_S = 0.05
 OUT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-NEW_CONNECTION_FAILED = (  # errors that an accept passes on from the one connection it would have returned
+NEW_CONNECTION_ERRORS = (  # raised by accept() for an error of the new connection, not of the listener
     errno.ECONNABORTED,
     errno.EPROTO,
     errno.ENOPROTOOPT,
@@ -37,14 +37,14 @@
 
 
 class LoadBalancerListener:
-    """Accepts connections from load balancers and serves each in a task of its own.
+    """Accepts connections from load balancers and serves each in its own task.
 
     Args:
-        server: Where decoded requests go.
+        server: Receives decoded requests.
         listener: The listening socket.
 
     Attributes:
-        table: The connections.
+        table: The accepted connections.
     """
 
     def __init__(self, server: RequestHandler, listener: socket.socket) -> None:
@@ -53,8 +53,6 @@
         self._log = ConnectionLog(server)
         self.table = ConnectionTable(server)
 
-    # Accepting
-
     async def serve(self) -> None:
         """Accept connections until the listener is closed."""
         while True:
@@ -66,9 +64,9 @@
                 await anyio.sleep(ACCEPT_PAUSE_S)
 
     def _accept(self, max_count: int = MAX_ACCEPTS) -> bool:
-        """Accept waiting connections; return whether to pause, as none can be taken for the moment.
+        """Accept waiting connections; return whether to pause because no connection can be accepted at present.
 
-        No more than `max_count` are accepted, so that they are read before others crowd them out.
+        At most `max_count` are accepted at once, so that they are read before later connections displace them.
         """
         for _ in range(max_count):
             if not self.table.has_free_descriptor and not self.table.abort_lingering():
@@ -78,32 +76,32 @@
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError as error:
-                if error.errno in NEW_CONNECTION_FAILED:
+                if error.errno in NEW_CONNECTION_ERRORS:
                     continue
                 return not self._recover(error)
             self._admit(sock)
         return False
 
     def _recover(self, error: OSError) -> bool:
-        """Return whether an accept that failed with this error may be retried at once."""
+        """Return whether an accept that failed with this error may be retried immediately."""
         if error.errno in OUT_OF_RESOURCES:
-            return self.table.abort_lingering() or self.table.make_room()
+            return self.table.abort_lingering() or self.table.shed_idle_connection()
         self._log.report_close(ConnectionClosedError(CloseReason.REFUSED, error.strerror or ""))
         return False
 
     def _admit(self, sock: socket.socket) -> None:
-        """Serve a connection that was accepted.
+        """Serve an accepted connection.
 
-        Without a place for it, a lingering close begins at once with nothing read, so that its client may go to
-        another server.
+        If the connection limit is reached and no idle connection can be shed, a lingering close begins immediately
+        without reading anything, so that the client can use another server.
         """
-        has_place = self.table.has_free_place or self.table.make_room()
+        can_serve = self.table.is_below_limit or self.table.shed_idle_connection()
         connection = LoadBalancerConnection(self._server, self.table, self._log, sock)
         self.table.add(connection)
         self._server.task_group.start_soon(self._server.supervise, self._serve, connection)
-        if not has_place:
+        if not can_serve:
             connection.begin_close(CloseReason.SHED)
-            self.table.note_lingering(connection)
+            self.table.mark_lingering(connection)
 
     async def _serve(self, connection: LoadBalancerConnection) -> None:
         try:
@@ -111,14 +109,12 @@
         finally:
             self.table.remove(connection)
 
-    # Closing
-
     def close_idle(self, idle_ms: float) -> None:
-        """Ask for the close of connections unused for so long; close those that were asked and stay open."""
+        """Request the close of connections idle for longer than `idle_ms`; close those that do not comply."""
         self.table.close_idle(idle_ms)
 
     def stop_accepting(self) -> None:
-        """Accept the connections that already wait, and close the listener."""
+        """Accept the connections that are already queued, and close the listener."""
         if self._listener.fileno() < 0:
             return
         drop_new_connections(self._listener)
@@ -127,11 +123,11 @@
         self._listener.close()
 
     async def shut_down(self, left_ms: float) -> None:
-        """End every connection within `left_ms`.
+        """Close every connection within `left_ms`.
 
-        Load balancers close theirs when asked. An idle one that stays open is closed when nothing can arrive any more
-        that was sent before the load balancer was asked. Shortly before the time is up, connections with something
-        unread are closed, too.
+        Load balancers close their connections on request. An idle connection that stays open is closed once nothing
+        can arrive any more that was sent before the load balancer received the request. Shortly before the time is
+        up, connections with unread input are closed as well.
         """
         self.stop_accepting()
         for connection in list(self.table.connections):
@@ -142,7 +138,7 @@
             self._close_connections(began_at_ms + 2 * CLOSE_CROSSING_MS, began_at_ms + left_ms - CLOSE_CROSSING_MS)
 
     def _close_connections(self, close_idle_at_ms: float, close_unread_at_ms: float) -> None:
-        """Close idle connections from one moment on, and those with something unread from another."""
+        """Close idle connections from `close_idle_at_ms` on, and those with unread input from `close_unread_at_ms`."""
         for connection in list(self.table.connections):
             now_ms = self._server.clock()
             if now_ms >= close_unread_at_ms:
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -1,6 +1,6 @@
-"""Calls to the records service: the pool of connections on which they go out.
+"""Calls to the records service, sent on a pool of connections.
 
-A call is never repeated here. How long it may take and what follows from its end is decided by admission control.
+This module never retries a call. Admission control decides on the time limit of a call and on the effects of its end.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from nickelslip.server.request_events import CallReturned
 from nickelslip.server.requests import Request
 
-if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
 MAX_IDLE_CONNECTIONS = 16
 
 
 class RecordsClient:
-    """The records service, as this server reaches it.
+    """Sends calls to the records service.
 
     Args:
         context: The server's clock, log, buffers, tasks and configuration.
@@ -34,19 +34,17 @@
     def __init__(self, context: ServerContext) -> None:
         self.context = context
         self._connection_by_request: dict[Request, PooledConnection] = {}
-        self._idle_connections: list[PooledConnection] = []  # the one used last at the end
-        self._open_connections: set[PooledConnection] = set()  # all that may hold a descriptor
+        self._idle_connections: list[PooledConnection] = []  # the most recently used one last
+        self._open_connections: set[PooledConnection] = set()  # all connections that may hold a descriptor
         self._is_unreachable = False
-        self._broken_call_count = 0
-
-    # Calls
+        self._closed_call_count = 0
 
     def call(self, request: Request, wait_ms: float) -> None:
-        """Send the call at which this request's run stands.
+        """Send the call for which this request's run is waiting.
 
-        A request's second call goes on another connection than its first, since a second copy of the first reply would
-        carry the same id. A call whose body cannot be read is not made. Nor is one for which no descriptor is left:
-        those of the clients and of the worker pool's link are not taken for calls.
+        A request's second call is sent on a different connection than its first, since a duplicate of the first reply
+        would carry the same id. A call is not made if its body could not be decoded, or if the descriptors for calls
+        are used up; those of clients and of the worker pool link are not used for calls.
         """
         if request.call.body is None:
             request.deliver(CallReturned(UNREADABLE_CALL_OUTCOME))
@@ -55,7 +53,7 @@
         if connection is not None:
             self._connection_by_request[request] = connection
             connection.send_call(request, wait_ms)
-        elif self._make_room():
+        elif self._ensure_free_descriptor():
             connection = self._open_connection(request, wait_ms)
         else:
             request.deliver(CallReturned(NO_DESCRIPTOR_OUTCOME))
@@ -63,15 +61,13 @@
         request.call_transports.append(connection)
 
     def give_up(self, request: Request) -> None:
-        """Wait for this request's call no longer."""
+        """Abandon this request's call, if one is in flight."""
         connection = self._connection_by_request.pop(request, None)
         if connection is not None:
-            connection.give_up()
-
-    # The pool
+            connection.abandon_call()
 
     def change_endpoint(self) -> None:
-        """Send new calls to the configured address; those in flight are waited for at the old one."""
+        """Send new calls to the configured address; calls in flight remain on connections to the old address."""
         self._close_idle_connections(0)
 
     def _open_connection(self, request: Request, wait_ms: float) -> PooledConnection:
@@ -81,8 +77,8 @@
         self.context.task_group.start_soon(self.context.supervise, connection.serve)
         return connection
 
-    def _make_room(self) -> bool:
-        """Return whether one more connection may be opened; an idle one is closed for it where need be."""
+    def _ensure_free_descriptor(self) -> bool:
+        """Return whether one more connection may be opened, after closing an idle one if necessary."""
         if len(self._open_connections) < self.context.generation.descriptor_shares.calls:
             return True
         if not self._idle_connections:
@@ -91,9 +87,9 @@
         return True
 
     def _take_idle_connection(self, request: Request) -> PooledConnection | None:
-        """Return the idle connection used last that has not carried a call of this request yet.
+        """Return the most recently used idle connection that has not carried a call of this request.
 
-        Those that turn out not to be reusable are closed.
+        Connections that turn out not to be reusable are closed.
         """
         for connection in reversed(self._idle_connections.copy()):
             if connection in request.call_transports:
@@ -111,37 +107,35 @@
     def _close_oldest_idle(self) -> None:
         self._idle_connections.pop(0).close(ConnectionClosedError(CloseReason.IDLE))
 
-    # What connections report
-
     def call_ended(self, request: Request) -> None:
-        """Forget the connection of a call that has ended."""
+        """Remove the association of a request with its connection, after its call has ended."""
         self._connection_by_request.pop(request, None)
 
     def connection_idle(self, connection: PooledConnection) -> None:
-        """Keep a connection that has brought its reply for another call."""
+        """Keep a connection whose call was answered, for reuse by another call."""
         self._idle_connections.append(connection)
         self._close_idle_connections(MAX_IDLE_CONNECTIONS)
 
     def connection_closed(self, connection: PooledConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended from the pool."""
         if connection in self._idle_connections:
             self._idle_connections.remove(connection)
         self._open_connections.discard(connection)
 
     def connect_finished(self, error: str | None) -> None:
-        """Log a change of whether the service can be connected to; `error` is None where it could."""
+        """Log if the service became reachable or unreachable; `error` is None after a successful attempt."""
         is_unreachable = error is not None
         if is_unreachable is not self._is_unreachable:
             self._is_unreachable = is_unreachable
             self.context.log.warning("dependency_reachability", is_reachable=not is_unreachable, detail=error)
 
     def call_connection_closed(self, closed: ConnectionClosedError) -> None:
-        """Count a call that ended with its connection; each time the count is a power of two it is logged."""
-        self._broken_call_count += 1
-        if is_power_of_two(self._broken_call_count):
+        """Count a call that ended because its connection closed, and log it if the count is a power of two."""
+        self._closed_call_count += 1
+        if is_power_of_two(self._closed_call_count):
             self.context.log.warning(
                 "dependency_call_connection_closed",
                 reason=closed.reason.name,
                 detail=closed.detail,
-                count=self._broken_call_count,
+                count=self._closed_call_count,
             )
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -1,7 +1,7 @@
-"""One connection to the records service, which carries one call at a time.
+"""A connection to the records service, which carries one call at a time.
 
-Whatever a reply or the connection does concerns that one call. Each call ends once: by its reply, by being given up,
-or with the connection; only a call that was never written is reported as one that cannot have run.
+An invalid reply or a connection error affects only the call in flight. Each call ends exactly once: by its reply, by
+being abandoned, or when the connection closes. Only a call that was never written is reported as not having run.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 from nickelslip.server.requests import Request
 from nickelslip.server.streams import Stream
 
-if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
-MAX_REUSE_IDLE_MS = 100.0  # a connection unused for longer may have been closed or forgotten by the service
+MAX_REUSE_IDLE_MS = 100.0  # after a longer idle time the service may have closed or dropped the connection
 MAX_PARTIAL_REPLY_STALL_MS = 500.0
 MAX_BACKLOG_BYTES = 1 << 16
 
 
 class PooledConnectionState(Enum):
-    """The states of a connection."""
+    """The state of a pooled connection."""
 
-    CONNECTING = "its first call has not been written"
-    CALL_IN_FLIGHT = "its call has been written and not answered"
-    IDLE = "it has brought one valid reply and nothing else, and may carry another call"
-    CLOSED = "it carries no call any more"
+    CONNECTING = "the first call has not been written yet"
+    CALL_IN_FLIGHT = "a call has been written and not yet answered"
+    IDLE = "the last call was answered by one valid reply; another call may be sent"
+    CLOSED = "no further calls can be sent"
 
 
 class PooledConnectionEvent(Enum):
-    """What changes the state of a connection."""
+    """An event that changes the state of a pooled connection."""
 
     CALL_WRITTEN = "a call was written"
     REPLY_READ = "the reply to the call was read"
-    CLOSED = "the connection ended, or is not wanted any more"
+    CLOSED = "the connection ended, or is no longer needed"
 
 
 POOLED_CONNECTION_TRANSITIONS = {
@@ -57,39 +57,39 @@
 
 
 class ConnectionPool(Protocol):
-    """What a connection reports to the pool that opened it."""
+    """Receives events of the connections that the pool opened."""
 
     context: ServerContext
 
     def connect_finished(self, error: str | None) -> None:
-        """A connection was established, or failed with this error."""
+        """An attempt to connect succeeded, or failed with this error."""
 
     def call_ended(self, request: Request) -> None:
         """The call of this request has ended."""
 
     def call_connection_closed(self, closed: ConnectionClosedError) -> None:
-        """A call ended with its connection."""
+        """A call ended because its connection closed."""
 
     def connection_idle(self, connection: PooledConnection) -> None:
         """The connection may carry another call."""
 
     def connection_closed(self, connection: PooledConnection) -> None:
-        """The connection holds no descriptor any more."""
+        """The connection has released its descriptor."""
 
 
 class PooledConnection:
-    """One connection, and the call that is in flight on it.
+    """A connection and the call in flight on it.
 
     Args:
-        pool: Where the connection reports to.
-        request: Whose call it carries first.
-        wait_ms: How long that call may take.
+        pool: The pool that receives the connection's events.
+        request: The request whose call is sent first.
+        wait_ms: The time limit of that call.
     """
 
     def __init__(self, pool: ConnectionPool, request: Request, wait_ms: float) -> None:
         self._pool = pool
         self._context = pool.context
-        self._request: Request | None = request  # whose call is in flight
+        self._request: Request | None = request  # the request whose call is in flight or waits for the connection
         self._wait_ms = wait_ms
         self._state = PooledConnectionState.CONNECTING
         self._address: Address | None = self._context.generation.config.records
@@ -97,17 +97,17 @@
         self._stream: Stream | None = None
         self._connect_scope = anyio.CancelScope()
 
-    def _enter_on(self, event: PooledConnectionEvent) -> None:
-        """Enter the state that follows from an event."""
+    def _apply_event(self, event: PooledConnectionEvent) -> None:
+        """Change the state as POOLED_CONNECTION_TRANSITIONS specifies for this event."""
         self._state = POOLED_CONNECTION_TRANSITIONS[self._state, event]
 
     async def serve(self) -> None:
-        """Connect, send the call, and read to the connection's end."""
+        """Connect, send the first call, and read replies until the connection ends."""
         try:
             await self._read_replies_of(await self._open())
         except ConnectionClosedError as closed:
             self.close(closed)
-        except Exception as error:  # this call alone ends, and may have run
+        except Exception as error:  # affects only this call, which may have run
             self._context.log.error("dependency_call_failed", error=repr(error), exc_info=error)
             self.close(ConnectionClosedError(CloseReason.FAULT, repr(error)))
         finally:
@@ -117,10 +117,11 @@
         """Connect and write the first call.
 
         Raises:
-            ConnectionClosedError: There is no address, no connection came about, or the call was given up meanwhile.
+            ConnectionClosedError: No address is configured, the connection could not be established, or the call was
+                abandoned in the meantime.
         """
         if self._address is None:
-            raise ConnectionClosedError(CloseReason.REFUSED, "no address was given")
+            raise ConnectionClosedError(CloseReason.REFUSED, "no address is configured")
         with self._connect_scope:
             self._stream = await connect(
                 self._address,
@@ -139,37 +140,37 @@
         while True:
             await stream.fill()
             if self._state is PooledConnectionState.IDLE:
-                raise ConnectionClosedError(CloseReason.MALFORMED, "something came after the reply")
+                raise ConnectionClosedError(CloseReason.MALFORMED, "received data while idle")
             self._read_replies(stream)
 
     def send_call(self, request: Request, wait_ms: float) -> None:
-        """Send another call on a connection that is idle."""
+        """Send another call on an idle connection."""
         self._request = request
         self._write_call(request, wait_ms)
 
     def _write_call(self, request: Request, wait_ms: float) -> None:
         call = encode_call(request.received.id_hex, wait_ms, request.call.body or b"")
         if self._stream is not None and self._stream.write(call):
-            self._enter_on(PooledConnectionEvent.CALL_WRITTEN)
+            self._apply_event(PooledConnectionEvent.CALL_WRITTEN)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether it may carry another call; one that was idle for long may be dead without showing it."""
+        """Whether another call may be sent; a connection that was idle for long may have failed without notice."""
         return (
             self._state is PooledConnectionState.IDLE
             and self._stream is not None
-            and self._stream.is_open_and_unreadable
+            and self._stream.is_open_without_pending_input
             and self._address == self._context.generation.config.records
             and self._context.clock() - self._became_idle_at_ms <= MAX_REUSE_IDLE_MS
         )
 
     def close(self, closed: ConnectionClosedError) -> None:
-        """End the connection, and with it the call that is in flight on it."""
+        """Close the connection and end the call in flight on it."""
         request = self._request
         self._request = None
         was_in_flight = self._state is PooledConnectionState.CALL_IN_FLIGHT
-        self._enter_on(PooledConnectionEvent.CLOSED)
-        self._connect_scope.cancel()  # its descriptor is free at once for a call that somebody waits for
+        self._apply_event(PooledConnectionEvent.CLOSED)
+        self._connect_scope.cancel()  # frees the descriptor immediately for another call
         if self._stream is not None:
             self._stream.abort(closed.reason)
         if request is None:
@@ -181,19 +182,19 @@
             self._pool.call_connection_closed(closed)
         request.deliver(CallReturned(closed.reason.outcome if was_in_flight else Outcome.CONNECT_FAILED))
 
-    def give_up(self) -> None:
-        """Close the connection because its call is waited for no longer.
+    def abandon_call(self) -> None:
+        """Close the connection because its call was abandoned.
 
-        That tells the service, and whatever still comes can be taken for no other call's reply.
+        The close notifies the service, and a late reply cannot be mistaken for the reply to another call.
         """
         self._request = None
         self.close(ConnectionClosedError(CloseReason.IDLE))
 
     def _read_replies(self, stream: Stream) -> None:
-        """Read what came; replies under other ids than the call's are passed over.
+        """Handle the received replies, ignoring those whose id differs from that of the call.
 
         Raises:
-            ConnectionClosedError: Something else came than one reply to the call.
+            ConnectionClosedError: A reply is malformed, or more data follows the reply to the call.
         """
         while stream.data is not None:
             try:
@@ -210,8 +211,8 @@
             self._request = None
             self._became_idle_at_ms = self._context.clock()
             stream.take(reply.end)
-            self._enter_on(PooledConnectionEvent.REPLY_READ)
+            self._apply_event(PooledConnectionEvent.REPLY_READ)
             request.deliver(CallReturned(reply.outcome, reply.body))
             if stream.data is not None:
-                raise ConnectionClosedError(CloseReason.MALFORMED, "something came behind the reply")
+                raise ConnectionClosedError(CloseReason.MALFORMED, "received data after the reply")
             self._pool.connection_idle(self)
--- a/nickelslip/server/records_protocol.py
+++ b/nickelslip/server/records_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol of the records service: one call out, and one reply in, on a connection at a time.
+"""The protocol of the records service: a connection carries one call and its reply at a time.
 
-A call is `OP <id> <wait in ms> <length>`, a reply `<id> <word>` or `<id> DONE <length>`; each head ends in CRLF, and a
-body of the given length follows with another CRLF.
+The head of a call is `OP <id> <wait in ms> <length>`. The head of a reply is `<id> <word>` or `<id> DONE <length>`.
+Each head ends in CRLF. A head with a length is followed by a body of that length and another CRLF.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 DONE_WORD = b"DONE"
 MAX_HEAD_BYTES = 64
 MAX_LENGTH_DIGITS = 6
-MAX_BODY_BYTES = BUFFER_BYTES - 2 * MAX_HEAD_BYTES  # a reply has to fit into a buffer
+MAX_BODY_BYTES = BUFFER_BYTES - 2 * MAX_HEAD_BYTES  # a reply must fit into one buffer
 LOGGED_LENGTH_BYTES = 20
-HEAD_FIELD_COUNT = 2  # the request's id and the word for the outcome
-HEAD_FIELD_COUNT_WITH_BODY = 3  # and the length of the body
+HEAD_FIELD_COUNT = 2  # request id and outcome word
+HEAD_FIELD_COUNT_WITH_BODY = 3  # request id, outcome word and body length
 
 
 class MalformedReplyError(ValueError):
-    """Bytes that are no reply of this protocol."""
+    """The received bytes are not a valid reply."""
 
 
 class Reply(NamedTuple):
-    """A complete reply; it ends before the offset `end` of the buffer."""
+    """A complete reply; `end` is the index after its last byte in the buffer."""
 
     request_id: bytes
     outcome: Outcome
@@ -38,21 +38,21 @@
 class _Head(NamedTuple):
     request_id: bytes
     word: bytes
-    body_bytes: int | None  # None where no body follows
+    body_bytes: int | None  # None if no body follows
     end: int
 
 
 def encode_call(request_id: str, wait_ms: float, body: bytes) -> bytes:
-    """Return a call that the service is to answer within `wait_ms`, as whole milliseconds and at least one."""
+    """Encode a call that the service must answer within `wait_ms`, rounded to whole milliseconds and at least 1."""
     head = b"OP %s %d %d" % (request_id.encode(), max(1, round(wait_ms)), len(body))
     return head + LINE_END + body + LINE_END
 
 
 def decode_reply(data: bytearray, start: int, end: int) -> Reply | None:
-    """Return the reply that begins at `start`; None where it is not complete before `end`.
+    """Return the reply that begins at `start`, or None while it is incomplete.
 
     Raises:
-        MalformedReplyError: The bytes are no reply.
+        MalformedReplyError: The bytes are not a valid reply.
     """
     head = _decode_head(data, start, end)
     if head is None:
@@ -65,7 +65,7 @@
     if end < reply_end:
         return None
     if data[body_end:reply_end] != LINE_END:
-        raise MalformedReplyError("a reply that is longer than its length")
+        raise MalformedReplyError("reply body is longer than its announced length")
     return Reply(head.request_id, outcome, bytes(data[head.end : body_end]), reply_end)
 
 
@@ -73,7 +73,7 @@
     line_end = data.find(LINE_END, start, min(end, start + MAX_HEAD_BYTES))
     if line_end < 0:
         if end - start >= MAX_HEAD_BYTES:
-            raise MalformedReplyError("a line without an end")
+            raise MalformedReplyError("reply head is not terminated")
         return None
     line = bytes(data[start:line_end])
     fields = line.split(b" ")
@@ -88,5 +88,5 @@
 
 def _decode_length(text: bytes) -> int:
     if not text.isdigit() or len(text) > MAX_LENGTH_DIGITS or int(text) > MAX_BODY_BYTES:
-        raise MalformedReplyError(f"a length of {text[:LOGGED_LENGTH_BYTES]!r}")
+        raise MalformedReplyError(f"invalid body length {text[:LOGGED_LENGTH_BYTES]!r}")
     return int(text)
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -1,6 +1,6 @@
-"""Non-blocking streams over sockets, which read into and write from a pool of buffers.
+"""Non-blocking streams over sockets. Received and unsent bytes are held in buffers of a shared pool.
 
-A write never waits, so that what was decided is sent before anything else is.
+A write never waits, so a decision is passed to the socket before any other task can run.
 """
 
 from __future__ import annotations
@@ -18,24 +18,26 @@
 
 LINGER_TIMEOUT_S = 0.5
 LINGER_READ_PAUSE_S = 0.005
-DISCARDED = bytearray(4 * BUFFER_BYTES)  # receives what is read to be discarded
+DISCARDED = bytearray(4 * BUFFER_BYTES)  # receives bytes that are read only to be discarded
 
 
 class Stream:
     """One connected socket.
 
     Args:
-        sock: The socket, which the stream closes.
+        sock: The connected socket. The stream owns and closes it.
         buffers: The pool of buffers.
-        task_group: Where the task runs that sends the backlog.
-        stall_timeout_ms: How long the other side may pause in the middle of a message, or not read.
-        max_backlog_bytes: Unsent bytes over which `wait_for_backlog` waits.
-        may_use_reserve: Whether the reserved buffers of the pool may be taken.
+        task_group: The task group in which the backlog is sent.
+        stall_timeout_ms: How long the peer may pause in the middle of a message, or not read what was sent.
+        max_backlog_bytes: The backlog size in bytes above which `wait_for_backlog` waits.
+        may_use_reserve: Whether reserved buffers of the pool may be acquired.
 
     Attributes:
-        data: A buffer in which `data[start:end]` was read and not yet taken, or None if there is nothing.
-        shut_down_reason: Why nothing more is sent, while the other side may still send; None before.
-        close_reason: Why the stream has ended; None before.
+        data: A buffer in which `data[start:end]` has been read but not yet consumed; None if there are no such bytes.
+        start: The index of the first unconsumed byte in `data`.
+        end: The index after the last received byte in `data`.
+        shut_down_reason: Why this side has stopped sending while the peer may still send; None until then.
+        close_reason: Why the stream has ended; None while it is open.
     """
 
     def __init__(
@@ -64,43 +66,41 @@
         self.shut_down_reason: CloseReason | None = None
         self.close_reason: CloseReason | None = None
 
-    # Reading
-
     async def fill(self, wait_ms: float = inf) -> None:
-        """Wait until more was read.
+        """Wait until more bytes have been received.
 
-        A buffer is held only while something in it is not taken. The wait may also end with nothing read.
+        A buffer is held only while it contains unconsumed bytes. The method may also return without new bytes.
 
         Raises:
-            ConnectionClosedError: The other side closed or broke the connection, nothing came in time, the message is
-                too large, no buffer is left, or this side has ended the stream. What comes after `shut_down` is not
-                read here, as it could not be answered.
+            ConnectionClosedError: The peer closed or reset the connection, nothing was received in time, the message
+                is too large, no buffer is left, or this side has ended the stream. Bytes received after `shut_down`
+                are not read here because they could not be answered.
         """
-        self._raise_if_over()
+        self._raise_if_ended()
         if self.data is not None:
             wait_ms = min(wait_ms, self._stall_timeout_ms)
         timeout_reason = await self._wait_until_readable(wait_ms)
-        self._raise_if_over()
+        self._raise_if_ended()
         data = self._buffer_with_space()
         self.end += self._receive(data, timeout_reason)
         self._release_if_empty()
 
     def take(self, end_index: int) -> None:
-        """Mark all before the index `end_index` as understood."""
+        """Mark all bytes before `end_index` as consumed."""
         self.start = max(self.start, end_index)
         self._release_if_empty()
 
     async def wait_for_backlog(self) -> None:
-        """Wait until the other side has read most of what it was sent."""
+        """Wait until the backlog has shrunk to `max_backlog_bytes`, or the stream has ended."""
         while self._backlog.allocated_bytes > self._max_backlog_bytes and not self.close_reason:
             self._backlog_shrunk = anyio.Event()
             await self._backlog_shrunk.wait()
 
     async def linger(self) -> None:
-        """Finish a lingering close: discard what still comes until the other side closes, for LINGER_TIMEOUT_S at most.
+        """Finish a lingering close: discard input until the peer closes, for at most LINGER_TIMEOUT_S.
 
-        A socket closed with something unread is reset, and answers on their way would be lost. The pauses bound the
-        work that a peer which sends without end can cause.
+        Closing a socket with unread bytes resets the connection, and answers in transit would be lost. The pauses
+        limit the work that a peer can cause by sending continuously.
         """
         self.shut_down(CloseReason.SHUTDOWN)
         with anyio.move_on_after(LINGER_TIMEOUT_S):
@@ -115,8 +115,8 @@
                 return
 
     @property
-    def is_open_and_unreadable(self) -> bool:
-        """Whether the stream is open with nothing to be read, neither bytes nor its end."""
+    def is_open_without_pending_input(self) -> bool:
+        """Whether the stream is open and neither bytes nor end-of-file are waiting to be read."""
         if self.shut_down_reason or self.close_reason or self.data is not None:
             return False
         try:
@@ -127,13 +127,13 @@
             pass
         return False
 
-    def _raise_if_over(self) -> None:
+    def _raise_if_ended(self) -> None:
         reason = self.shut_down_reason or self.close_reason
         if reason is not None:
             raise ConnectionClosedError(reason)
 
     async def _wait_until_readable(self, wait_ms: float) -> CloseReason | None:
-        """Wait for something to read; return None, or the reason to close if the time is up."""
+        """Wait until the socket is readable; return None, or the reason to close the stream after a timeout."""
         if wait_ms == inf:
             await self._wait_for(anyio.wait_readable)
             return None
@@ -150,9 +150,9 @@
             raise ConnectionClosedError(self.shut_down_reason or self.close_reason or CloseReason.RESET) from None
 
     def _buffer_with_space(self) -> bytearray:
-        """Return the buffer to read into, with what is not taken moved to its front."""
+        """Return the buffer to read into, with unconsumed bytes moved to its beginning."""
         if self.data is None:
-            self.data = self._buffers.take(self._may_use_reserve)
+            self.data = self._buffers.acquire(self._may_use_reserve)
             self.start = 0
             self.end = 0
         elif self.start:
@@ -161,13 +161,13 @@
             self.start = 0
             self.end = remaining_bytes
         if self.end == BUFFER_BYTES:
-            raise ConnectionClosedError(CloseReason.MALFORMED, "a message over the size of a buffer")
+            raise ConnectionClosedError(CloseReason.MALFORMED, "message exceeds the buffer size")
         return self.data
 
     def _receive(self, data: bytearray, timeout_reason: CloseReason | None) -> int:
-        """Read into the buffer and return the number of bytes; 0 where there was nothing to read after all.
+        """Read into the buffer and return the number of bytes; 0 after a spurious wake-up.
 
-        The socket is read even when the time is up: if this server itself stood still, the bytes came in time.
+        The socket is read even after a timeout: if this process was paused, the bytes may have arrived in time.
         """
         try:
             count = self._sock.recv_into(memoryview(data)[self.end :])
@@ -183,27 +183,26 @@
 
     def _release_if_empty(self) -> None:
         if self.start == self.end:
-            self._release()
+            self._release_buffer()
 
-    def _release(self) -> None:
+    def _release_buffer(self) -> None:
         if self.data is None:
             return
-        self._buffers.give(self.data)
+        self._buffers.release(self.data)
         self.data = None
         self.start = 0
         self.end = 0
 
-    # Writing
-
     @property
     def all_sent(self) -> bool:
-        """Whether nothing is left to be sent."""
+        """Whether the backlog is empty."""
         return self._backlog.is_empty
 
     def write(self, data: bytes) -> bool:
-        """Send at once what the socket takes; the rest follows from the backlog.
+        """Send as much as the socket accepts immediately, and add the rest to the backlog.
 
-        An error is not raised here: it ends the stream, and `fill` raises it. False proves that nothing was sent.
+        Errors are not raised here: they end the stream, and `fill` raises them. Returns False only if nothing was
+        sent.
         """
         if self.shut_down_reason or self.close_reason:
             return False
@@ -251,12 +250,10 @@
         if self._backlog.mark_sent(sent_bytes):
             self._backlog_shrunk.set()
 
-    # Closing
-
     def shut_down(self, reason: CloseReason) -> None:
-        """Begin a lingering close, in which nothing more is sent; to be called when all is sent.
+        """Begin a lingering close by ending this side's direction. Call it only when the backlog is empty.
 
-        `fill` raises the reason, and its caller goes on with `linger`. Only the first call counts.
+        `fill` then raises with this reason, and its caller continues with `linger`. Only the first call has an effect.
         """
         if self.shut_down_reason or self.close_reason:
             return
@@ -269,7 +266,10 @@
         anyio.notify_closing(self._sock)
 
     def abort(self, reason: CloseReason) -> None:
-        """Close the socket at once and give all buffers back; `fill` raises the reason. Only the first call counts."""
+        """Close the socket immediately and release all buffers; `fill` raises with this reason.
+
+        Only the first call has an effect.
+        """
         if self.close_reason:
             return
         self.close_reason = reason
@@ -277,4 +277,4 @@
         self._sock.close()
         self._backlog.clear()
         self._backlog_shrunk.set()
-        self._release()
+        self._release_buffer()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -146,7 +146,7 @@
         set_idle_for(rig, peer, 1e6)
         front.close_idle(500.0)
         front.close_idle(500.0)
-        assert not front.table.make_room()
+        assert not front.table.shed_idle_connection()
         peer.send(whole[20:])
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
@@ -163,7 +163,7 @@
         front.close_idle(500.0)
         front.close_idle(500.0)
         connection.begin_close(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
-        assert not front.table.make_room() and connection.close_began_at_ms is None
+        assert not front.table.shed_idle_connection() and connection.close_began_at_ms is None
 
 
 # Those that linger
