--- a/nickelslip/server/worker_pool_connection.py
+++ b/nickelslip/server/worker_pool_connection.py
@@ -1,6 +1,6 @@
-"""The connection to the worker pool: made with backoff, bound, replaced at a change of the address, made again.
+"""The connection to the worker pool: connects and reconnects with backoff, binds the link, and follows address changes.
 
-What is written on it and what its lines mean is the business of worker_pool_link.py.
+worker_pool_link.py writes the commands and interprets the received lines.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 from nickelslip.server.worker_pool_protocol import Bind, Line, LineReader, encode_command
 from nickelslip.startup.backoff import Backoff
 
-if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
 MIN_RECONNECT_DELAY_MS = 20.0
 MAX_RECONNECT_DELAY_MS = 500.0
-RECONNECT_BUDGET = 24  # attempts to connect within each span
+RECONNECT_BUDGET = 24  # connection attempts in each period of RECONNECT_SPAN_MS
 RECONNECT_SPAN_MS = 5000.0
-MAX_CONFIRMATION_WAIT_MS = 100.0  # for what was written on a connection that is being replaced
-MAX_QUERIES_WITHOUT_READ = 20  # on which a connection that brings nothing is given up; there are ten a second
+MAX_CONFIRMATION_WAIT_MS = 100.0  # for commands written on a connection that is being replaced
+MAX_QUERIES_WITHOUT_READ = 20  # ten queries are sent per second, so a silent connection is closed after about 2 s
 MAX_BACKLOG_BYTES = 1 << 20
 
 
 class LinkState(Enum):
-    """The state of the link."""
+    """The state of the link to the worker pool."""
 
-    DOWN = "there is no connection; commands wait"
-    BINDING = "connected, and waiting for the worker pool to be up; commands wait"
-    UP = "commands go out at once"
-    MOVING = "the connection to another address stands ready; commands wait until all that was written has arrived"
+    DOWN = "not connected; commands are queued"
+    BINDING = "connected, and waiting for the worker pool to accept the link; commands are queued"
+    UP = "commands are sent immediately"
+    MOVING = "connected to a new address; commands are queued until the written ones are confirmed"
 
 
 class LinkEvent(Enum):
-    """What changes the state of the link."""
+    """An event that changes the state of the link."""
 
-    CONNECTED = "a connection stands"
-    BOUND = "the worker pool is up and has taken the link up"
-    REPLACEMENT_CONNECTED = "a connection to the new address stands"
+    CONNECTED = "a connection was established"
+    BOUND = "the worker pool is up and has accepted the link"
+    REPLACEMENT_CONNECTED = "a connection to the new address was established"
     CLOSED = "the connection has ended"
 
 
@@ -61,32 +61,32 @@
 
 
 class LinkHandler(Protocol):
-    """Who writes on the connection and understands its lines."""
+    """Writes commands on the connection and interprets the received lines."""
 
     @property
     def last_seq(self) -> int:
-        """The number of the notification that was read last."""
+        """The sequence number of the last notification read."""
 
     @property
     def unsent_command_count(self) -> int:
-        """How many commands wait for the link to be up."""
+        """The number of commands that wait for the link to be up."""
 
-    def line_read(self, line: Line) -> None:
-        """A line has come."""
+    def handle_line(self, line: Line) -> None:
+        """Handle a received line."""
 
     def request_gauges(self) -> None:
-        """Write a query, whose answer confirms all that was written before it."""
+        """Write a gauge query, whose answer confirms all commands written before it."""
 
 
 class WorkerPoolConnection:
-    """The connection, through all the streams that it is made of one after another.
-
-    Attributes:
-        state: The state of the link.
+    """The connection to the worker pool, which consists of successive streams.
 
     Args:
         context: The server's clock, log, buffers, tasks and configuration.
-        handler: Who writes on the connection and understands its lines.
+        handler: Writes commands on the connection and interprets the received lines.
+
+    Attributes:
+        state: The state of the link.
     """
 
     def __init__(self, context: ServerContext, handler: LinkHandler) -> None:
@@ -94,11 +94,11 @@
         self._handler = handler
         self.state = LinkState.DOWN
         self._stream: Stream | None = None
-        self._replacement: Stream | None = None  # the next stream, not bound yet
-        self._address = context.generation.config.pool  # to which the stream, or the attempt to connect, goes
-        self._connect_scope: anyio.CancelScope | None = None  # of the attempt to connect, or the delay before it
-        self._all_confirmed = anyio.Event()  # while the stream is being replaced: all that was written has arrived
-        self._was_ever_bound = False
+        self._replacement: Stream | None = None  # the next stream, not yet bound
+        self._address = context.generation.config.pool  # of the stream or of the current connection attempt
+        self._connect_scope: anyio.CancelScope | None = None  # of the connection attempt and the delay after a failure
+        self._all_confirmed = anyio.Event()  # set when, during a replacement, all written commands are confirmed
+        self._has_been_bound = False
         self._queries_without_read = 0
 
     @property
@@ -107,34 +107,34 @@
         return self.state is LinkState.UP and self._stream is not None and not self._stream.close_reason
 
     def write(self, line: bytes) -> None:
-        """Write a line, where there is a stream."""
+        """Write a line, if connected."""
         if self._stream is not None:
             self._stream.write(line)
 
-    def bound(self) -> None:
-        """Take note that the worker pool has taken the link up."""
-        self._enter_on(LinkEvent.BOUND)
-        self._was_ever_bound = True
+    def mark_bound(self) -> None:
+        """Record that the worker pool has accepted the link."""
+        self._apply_event(LinkEvent.BOUND)
+        self._has_been_bound = True
 
-    def all_confirmed(self) -> None:
-        """Take note that all that was written on the present stream has arrived."""
+    def mark_all_confirmed(self) -> None:
+        """Record that all commands written on the current stream have been confirmed."""
         if self.state is LinkState.MOVING:
             self._all_confirmed.set()
 
     def count_query(self) -> None:
-        """Give up a stream that brings nothing at all for many queries in a row.
+        """Count a query, and abort the stream if too many queries in a row were followed by no received data.
 
-        A peer that vanished without closing would otherwise be waited for until every request's deadline. Queries are
-        counted, and not time, since a server that stands still itself sends none.
+        Otherwise the server would wait for a peer that vanished without closing until the deadline of every request.
+        Queries are counted instead of time because a paused server sends none.
         """
-        if self._stream is None or not self._was_ever_bound:
+        if self._stream is None or not self._has_been_bound:
             return
         self._queries_without_read += 1
         if self._queries_without_read > MAX_QUERIES_WITHOUT_READ:
             self._stream.abort(CloseReason.UNRESPONSIVE)
 
     async def run(self) -> None:
-        """Keep the link, and take it up again when it is lost."""
+        """Keep the link connected, and re-establish it when it is lost."""
         backoff = self._new_backoff()
         while True:
             stream = await self._next_connection(backoff)
@@ -152,10 +152,10 @@
         )
 
     async def _next_connection(self, backoff: Backoff) -> Stream | None:
-        """Return the replacement that stands ready, or else a new connection; None where the attempt came to nothing.
+        """Return the prepared replacement or a new connection; None if the attempt failed or is obsolete.
 
-        The address may change just when the attempt has succeeded and can be cancelled no more. That connection is
-        closed, since once it is bound the link would stay at the old address.
+        The address may change when the attempt has just succeeded and can no longer be cancelled. Such a connection is
+        closed, because the link would stay at the old address once it is bound.
         """
         with anyio.CancelScope() as self._connect_scope:
             try:
@@ -178,7 +178,7 @@
         """Bind the link on this connection, and read notifications until it ends."""
         self._stream = stream
         try:
-            self._enter_on(LinkEvent.CONNECTED)
+            self._apply_event(LinkEvent.CONNECTED)
             self._queries_without_read = 0
             stream.write(encode_command(Bind(self._handler.last_seq)))
             await self._read(stream)
@@ -186,7 +186,7 @@
             self._context.log.warning("worker_pool_link_closed", reason=closed.reason.name, detail=closed.detail)
             stream.abort(closed.reason)
             self._stream = None
-            self._enter_on(LinkEvent.CLOSED)
+            self._apply_event(LinkEvent.CLOSED)
             if closed.reason is not CloseReason.ENDPOINT_CHANGED:
                 await anyio.sleep(MIN_RECONNECT_DELAY_MS / 1000)
 
@@ -196,13 +196,13 @@
             await stream.fill()
             self._queries_without_read = 0
             while (line := lines.next_line()) is not None:
-                self._handler.line_read(line)
+                self._handler.handle_line(line)
 
     async def _connect(self, address: Address) -> Stream:
         return await connect(address, self._context.buffers, self._context.task_group, MAX_BACKLOG_BYTES)
 
-    def _enter_on(self, event: LinkEvent) -> None:
-        """Enter the state that follows from an event; a change is logged."""
+    def _apply_event(self, event: LinkEvent) -> None:
+        """Change the state as LINK_TRANSITIONS specifies for this event, and log the change."""
         state = LINK_TRANSITIONS[self.state, event]
         if state is not self.state:
             self._context.log.info(
@@ -210,14 +210,15 @@
             )
         self.state = state
 
-    # A change of the address
-
     @property
     def _configured_address(self) -> Address:
         return self._context.generation.config.pool
 
     def change_endpoint(self) -> None:
-        """Take up the configured address: a link that is up is replaced once the new one stands, any other at once."""
+        """Move to the configured address.
+
+        A link that is up is replaced after the new connection is established. Any other is closed immediately.
+        """
         if self._address == self._configured_address and self._stream is not None:
             return
         if self.is_up:
@@ -228,18 +229,18 @@
             self._connect_scope.cancel()
 
     async def _move_to(self, address: Address) -> None:
-        """Replace the link by one to another address, with as few commands in doubt as can be.
+        """Replace the link by one to another address, leaving as few commands unconfirmed as possible.
 
-        The old link stays until all that was written on it is confirmed, or until that takes too long; commands wait
-        for that. A break of the old link, or another move, overtakes this one.
+        The old link is kept until all commands written on it are confirmed, for at most MAX_CONFIRMATION_WAIT_MS; new
+        commands are queued meanwhile. The move is abandoned if the old link breaks or another move begins.
         """
         old = self._stream
         replacement = await self._connect_replacement(old, address)
         if replacement is None:
             return
-        if self._is_move_wanted(old, address):
+        if self._is_move_current(old, address):
             self._handler.request_gauges()
-            self._enter_on(LinkEvent.REPLACEMENT_CONNECTED)
+            self._apply_event(LinkEvent.REPLACEMENT_CONNECTED)
             self._all_confirmed = anyio.Event()
             with anyio.move_on_after(MAX_CONFIRMATION_WAIT_MS / 1000):
                 await self._all_confirmed.wait()
@@ -249,18 +250,18 @@
         if address == self._configured_address:
             self._replacement = replacement
             self._address = address
-        else:  # the address changed again meanwhile: the old link ends all the same, since commands wait
+        else:  # the address changed again; the old link is still closed, because commands are queued
             replacement.abort(CloseReason.IDLE)
         old.abort(CloseReason.ENDPOINT_CHANGED)
 
     async def _connect_replacement(self, old: Stream | None, address: Address) -> Stream | None:
-        """Return a connection to the new address; None where the move is not wanted any more."""
-        while self._is_move_wanted(old, address):
+        """Return a connection to the new address, or None if the move has become obsolete."""
+        while self._is_move_current(old, address):
             try:
                 return await self._connect(address)
             except ConnectionClosedError:
                 await anyio.sleep(MIN_RECONNECT_DELAY_MS / 1000)
         return None
 
-    def _is_move_wanted(self, old: Stream | None, address: Address) -> bool:
+    def _is_move_current(self, old: Stream | None, address: Address) -> bool:
         return self.is_up and self._stream is old and address == self._configured_address
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -1,7 +1,7 @@
-"""The link to the worker pool: the commands that are sent, and what follows from the notifications that come.
+"""The link to the worker pool: sends commands and handles notifications.
 
-The connection is kept by worker_pool_connection.py, the wire is described in worker_pool_protocol.py, and
-command_delivery.py decides which commands may be sent again after a connection was lost.
+worker_pool_connection.py maintains the connection, worker_pool_protocol.py encodes and decodes the lines, and
+command_delivery.py decides which commands may be resent after a connection was lost.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
     ResumeWithReply,
     RunCommand,
     RunEnded,
-    RunMentioned,
     RunNotification,
     RunResult,
     StartRun,
     StopRun,
+    UnknownRunNotification,
     decode_envelope,
     decode_fragment,
     decode_gauges,
@@ -41,36 +41,36 @@
     encode_command,
 )
 
-if TYPE_CHECKING:  # these names are needed for types alone, and not at every start of the program
+if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import RunOwner
 
 LOGGED_LINE_BYTES = 100
 
 
 class WorkerPoolLink:
-    """The worker pool, as this server reaches it.
+    """Sends commands to the worker pool and delivers its notifications to requests.
 
     Args:
-        owner: Whose runs these are, and who hears that the worker pool came up.
+        owner: The server, which provides the open requests and is notified when the worker pool comes up.
     """
 
     def __init__(self, owner: RunOwner) -> None:
         self._owner = owner
         self._connection = WorkerPoolConnection(owner, self)
-        # Preemption is fixed while the server runs.
+        # The preemption setting does not change while the server runs.
         self._can_stop_runs = owner.generation.settings.preemption is not Preemption.NEVER
         self._delivery = CommandDelivery(self._can_stop_runs)
-        self._unsent = deque[RunCommand]()  # they were never written, and go out once the link is up
+        self._unsent = deque[RunCommand]()  # never written; sent once the link is up
         self._last_seq = 0
         self._last_query_number = 0
         self._gauges: Gauges | None = None
 
     async def run(self) -> None:
-        """Keep the link, and take it up again when it is lost."""
+        """Keep the link connected, and re-establish it when it is lost."""
         await self._connection.run()
 
     def change_endpoint(self) -> None:
-        """Take up the configured address."""
+        """Move the link to the configured address."""
         self._connection.change_endpoint()
 
     @property
@@ -80,25 +80,23 @@
 
     @property
     def last_seq(self) -> int:
-        """The number of the notification that was read last."""
+        """The sequence number of the last notification read."""
         return self._last_seq
 
     @property
     def unsent_command_count(self) -> int:
-        """How many commands wait for the link to be up."""
+        """The number of commands that wait for the link to be up."""
         return len(self._unsent)
 
-    # Commands
-
     def start(self, request: Request) -> None:
-        """Start a run of this request."""
+        """Start a run of the request."""
         self._send(StartRun(request))
 
     def stop(self, request: Request) -> None:
-        """Stop this request's run, where runs can be stopped.
+        """Stop the request's run, if runs can be stopped.
 
-        Without a link this does nothing, since admission control asks again while a run goes on. A run that is proven
-        not to exist is reported as cancelled instead.
+        Does nothing while the link is down, since admission control repeats the command while the run continues. A
+        run that is known not to exist is reported as cancelled instead.
         """
         if not self._can_stop_runs or not self.is_up:
             return
@@ -108,24 +106,24 @@
         self._send(StopRun(request))
 
     def resume_with_reply(self, request: Request, body: bytes) -> None:
-        """Resume this request's run with the reply to its call."""
+        """Resume the request's run with the reply to its call."""
         request.heard_since_last_command = False
         self._send(ResumeWithReply(request, body))
 
     def resume_without_call(self, request: Request) -> None:
-        """Resume this request's run without the call at which it stands."""
+        """Resume the request's run without the call for which it is waiting."""
         request.heard_since_last_command = False
         self._send(ResumeWithoutCall(request, request.call.seq))
 
     def request_gauges(self) -> None:
-        """Ask for the gauges, where the link is up. A link that brings nothing for many queries is given up."""
+        """Query the gauges if the link is up. A link on which nothing is received for many queries is closed."""
         self._connection.count_query()
         if self.is_up:
             self._last_query_number += 1
             self._write(QueryGauges(self._last_query_tag))
 
     def take_gauges(self) -> Gauges | None:
-        """Return the gauges that have come since they were last taken."""
+        """Return the gauges if new ones have arrived since the last time, else None."""
         gauges = self._gauges
         self._gauges = None
         return gauges
@@ -145,39 +143,37 @@
         self._delivery.command_written(command)
         self._connection.write(line)
 
-    # Notifications
-
-    def line_read(self, line: Line) -> None:
-        """Take a line of the worker pool; each numbered notification counts once."""
+    def handle_line(self, line: Line) -> None:
+        """Handle a line from the worker pool; a notification whose number was already read is ignored."""
         if line.is_truncated:
-            self._malformed_line_read(line.data, "over the size of a buffer")
+            self._handle_malformed_line(line.data, "line exceeds the buffer size")
             return
         if not line.data.strip():
             return
         try:
             envelope = decode_envelope(line.data)
-            if envelope.seq is not None and not self._count_if_new(envelope.seq):
+            if envelope.seq is not None and not self._record_seq(envelope.seq):
                 return
             self._handle(decode_notification(envelope))
         except MalformedNotificationError as error:
-            self._malformed_line_read(line.data, str(error))
+            self._handle_malformed_line(line.data, str(error))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            # An error in handling a notification costs that notification alone; the link goes on.
-            self._malformed_line_read(line.data, repr(error))
+            # An error in handling a notification affects only that notification; the link stays up.
+            self._handle_malformed_line(line.data, repr(error))
 
-    def _malformed_line_read(self, line: bytes, error: str) -> None:
-        """Pass over a line that cannot be understood; asked for again it would be the same.
+    def _handle_malformed_line(self, line: bytes, error: str) -> None:
+        """Handle a line that cannot be decoded; requesting it again would return the same line.
 
-        Its number counts as far as it can be read, and so does the run that it names: a run that has ended has ended,
-        though with no result.
+        Its sequence number and the run that it names are still used if they can be read. A run that it reports as
+        ended has ended, though without a result.
         """
         self._owner.log.error("malformed_notification", error=error, line=repr(line[:LOGGED_LINE_BYTES]))
         fragment = decode_fragment(line)
-        if fragment is not None and self._count_if_new(fragment.seq) and fragment.notification is not None:
+        if fragment is not None and self._record_seq(fragment.seq) and fragment.notification is not None:
             self._handle_run(fragment.notification)
 
-    def _count_if_new(self, seq: int) -> bool:
-        """Count the notification with this number, and return whether it has not been read before."""
+    def _record_seq(self, seq: int) -> bool:
+        """Record the sequence number of a notification; return False if it was read before."""
         if seq <= self._last_seq:
             return False
         if seq > self._last_seq + 1:
@@ -187,7 +183,7 @@
 
     def _handle(self, notification: Notification | None) -> None:
         match notification:
-            case RunEnded() | CallReached() | RunMentioned():
+            case RunEnded() | CallReached() | UnknownRunNotification():
                 self._handle_run(notification)
             case GaugesReported(tag, values):
                 self._handle_query_answer(tag, values)
@@ -211,12 +207,13 @@
                 request.deliver(CallRequested(seq, body))
 
     def _handle_bound(self, outcome: str, ago_ms: float) -> None:
-        """The link stands: what was never written goes out now, and what may be lost once all was caught up with.
+        """Send the queued commands after the link was bound, and prepare to resend possibly lost ones.
 
-        Missed notifications come before the answer to a query that is written now.
+        Those are resent after all missed notifications were read, which arrive before the answer to the query that is
+        written here.
         """
         self._owner.log.info("worker_pool_bound", outcome=outcome, ago_ms=ago_ms, resumed_after_seq=self._last_seq)
-        self._connection.bound()
+        self._connection.mark_bound()
         self._delivery.link_bound()
         self.request_gauges()
         self._delivery.await_catch_up(self._last_query_tag)
@@ -228,10 +225,10 @@
         self._owner.worker_pool_started(ago_ms)
 
     def _handle_query_answer(self, tag: str, values: object) -> None:
-        """Take the answer to a query, first as the confirmation of what was written before it, then for its values.
+        """Handle the answer to a gauge query: confirm the commands written before the query, then decode the gauges.
 
         Raises:
-            MalformedNotificationError: The values cannot be read.
+            MalformedNotificationError: The values cannot be decoded.
         """
         self._delivery.query_answered(tag)
         for command in self._delivery.commands_to_resend(tag):
@@ -240,7 +237,7 @@
             for request in self._delivery.take_runs_to_start_again():
                 self.start(request)
         if self._delivery.is_all_confirmed:
-            self._connection.all_confirmed()
+            self._connection.mark_all_confirmed()
         self._gauges = decode_gauges(self._owner.generation.config.gauges, values)
 
     def _handle_not_executed(self, notification: CommandNotExecuted) -> None:
--- a/nickelslip/server/worker_pool_protocol.py
+++ b/nickelslip/server/worker_pool_protocol.py
@@ -1,6 +1,6 @@
-"""The protocol of the worker pool: one JSON object a line, commands out and notifications in.
+"""The protocol of the worker pool: commands and notifications as JSON objects, one per line.
 
-Encodes typed commands and decodes typed notifications. The words of the wire are mapped here and nowhere else.
+Encodes typed commands and decodes typed notifications. Only this module knows the words of the protocol.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
     "sockets": "connection_count",
 }
 
-# The fields by which a notification that is no valid JSON can still be attributed to its run.
+# The fields that attribute a notification to its run if it is not valid JSON.
 FRAGMENT_FIELDS = re.compile(rb'"(op|seq|id)"\s*:\s*"?(\w+)')
 
 
 class MalformedNotificationError(ValueError):
-    """A line, or a field of it, that is no notification of this protocol."""
+    """A line, or one of its fields, is not a valid notification."""
 
 
-# Commands
+# Commands to the worker pool
 
 
 class StartRun(NamedTuple):
@@ -59,33 +59,33 @@
 
 
 class StopRun(NamedTuple):
-    """Stop the request's run, which is on a core."""
+    """Stop the request's run, which is running on a core."""
 
     request: Request
 
 
 class ResumeWithReply(NamedTuple):
-    """Resume the request's run with the reply to the call at which it stands."""
+    """Resume the request's run with the reply to its call."""
 
     request: Request
     body: bytes
 
 
 class ResumeWithoutCall(NamedTuple):
-    """Resume the request's run without the call that the notification `call_seq` told of."""
+    """Resume the request's run without the call that was reported by the notification numbered `call_seq`."""
 
     request: Request
     call_seq: int
 
 
 class QueryGauges(NamedTuple):
-    """Ask for the gauges. The answer carries the tag, and shows that all commands written before it have arrived."""
+    """Query the gauges. The answer carries the tag, and confirms all commands written before the query."""
 
     tag: str
 
 
 class Bind(NamedTuple):
-    """Ask for all notifications after `last_seq`."""
+    """Bind the link, and request all notifications after `last_seq`."""
 
     last_seq: int
 
@@ -95,7 +95,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the command as a line of the wire."""
+    """Encode the command as a line."""
     return orjson.dumps(_command_fields(command), option=orjson.OPT_APPEND_NEWLINE)
 
 
@@ -117,11 +117,11 @@
             return {"op": BIND_WORD, "seq": last_seq}
 
 
-# Notifications
+# Notifications from the worker pool
 
 
 class RunResult(NamedTuple):
-    """How a run ended."""
+    """The outcome, duration and result body of a run."""
 
     outcome: Outcome
     took_ms: float
@@ -129,7 +129,7 @@
 
 
 class RunEnded(NamedTuple):
-    """A run has ended; `result` is None where the notification does not say readably how."""
+    """A run has ended; `result` is None if the notification's result cannot be decoded."""
 
     request_id: str
     request_number: int
@@ -137,7 +137,7 @@
 
 
 class CallReached(NamedTuple):
-    """A run stands at a call; `body` is None where the call cannot be read."""
+    """A run is waiting for a call; `body` is None if the body of the call cannot be decoded."""
 
     request_id: str
     request_number: int
@@ -145,40 +145,40 @@
     body: bytes | None
 
 
-class RunMentioned(NamedTuple):
-    """Something unknown was told of a run, which shows no more than that the worker pool has it."""
+class UnknownRunNotification(NamedTuple):
+    """A notification of an unknown kind about a run; it only shows that the worker pool has the run."""
 
     request_id: str
     request_number: int
 
 
 class GaugesReported(NamedTuple):
-    """The answer to `QueryGauges`; its values are in the order in which the configuration names the gauges."""
+    """The answer to `QueryGauges`; the values are in the configured order of the gauges."""
 
     tag: str
     values: Any
 
 
 class Bound(NamedTuple):
-    """The link stands; the worker pool came up so many milliseconds ago."""
+    """The link is bound; the worker pool came up `ago_ms` milliseconds ago."""
 
     outcome: str
     ago_ms: float
 
 
 class CommandNotExecuted(NamedTuple):
-    """The worker pool knows nothing of the run that a command named."""
+    """The worker pool does not have the run that a command named."""
 
     command_word: str
     request_number: int | None
 
 
-RunNotification = RunEnded | CallReached | RunMentioned
+RunNotification = RunEnded | CallReached | UnknownRunNotification
 Notification = RunNotification | GaugesReported | Bound | CommandNotExecuted
 
 
 class Envelope(NamedTuple):
-    """A line that is a JSON object with an `op`; `seq` is None where it has no number."""
+    """The fields of a line that is a JSON object with an `op`; `seq` is None for unnumbered notifications."""
 
     op: Any
     seq: int | None
@@ -186,14 +186,14 @@
 
 
 class Fragment(NamedTuple):
-    """What can be read of a line that is no valid notification; `notification` is None where it names no run."""
+    """The readable part of an invalid notification; `notification` is None if no run is named."""
 
     seq: int
     notification: RunNotification | None
 
 
 @contextmanager
-def _reading_fields() -> Iterator[None]:
+def _wrapping_field_errors() -> Iterator[None]:
     try:
         yield
     except (ValueError, KeyError, TypeError, AttributeError) as error:
@@ -201,12 +201,12 @@
 
 
 def decode_envelope(line: bytes) -> Envelope:
-    """Return the line's operation, number and fields.
+    """Return the line's operation, sequence number and fields.
 
     Raises:
-        MalformedNotificationError: The line is no JSON object, or has no operation or no valid number.
+        MalformedNotificationError: The line is not a JSON object, has no operation, or has an invalid number.
     """
-    with _reading_fields():
+    with _wrapping_field_errors():
         fields = orjson.loads(line)
         op = fields["op"]
         seq = int(fields["seq"]) if "seq" in fields else None
@@ -214,12 +214,12 @@
 
 
 def decode_notification(envelope: Envelope) -> Notification | None:
-    """Return the notification; None for an operation that is unknown and names no run.
+    """Return the notification, or None if the operation is unknown and no run is named.
 
     Raises:
-        MalformedNotificationError: A field is missing or of another type.
+        MalformedNotificationError: A field is missing or has the wrong type.
     """
-    with _reading_fields():
+    with _wrapping_field_errors():
         fields = envelope.fields
         request_id = fields.get("id")
         if envelope.seq is not None and request_id:
@@ -234,7 +234,7 @@
 
 
 def decode_fragment(line: bytes) -> Fragment | None:
-    """Return what can be read of a line that is no valid notification; None where its number is not readable."""
+    """Return the readable part of an invalid notification, or None if its sequence number is not a number."""
     fields = {name: value.decode() for name, value in FRAGMENT_FIELDS.findall(line)}
     try:
         seq = int(fields.get(b"seq", "0"))
@@ -247,12 +247,12 @@
 
 
 def decode_gauges(names: Sequence[str], values: Any) -> Gauges:
-    """Return the reported gauges of the given names; those that are unknown or have no value are left out.
+    """Return the gauges reported under the given names, omitting those that are unknown or null.
 
     Raises:
-        MalformedNotificationError: The values are no list of numbers and nulls.
+        MalformedNotificationError: The values are not a list of numbers and nulls.
     """
-    with _reading_fields():
+    with _wrapping_field_errors():
         return Gauges(
             **{
                 GAUGE_FIELDS[name]: float(value)
@@ -263,13 +263,13 @@
 
 
 def _decode_run_notification(op: Any, request_id: str, seq: int, fields: dict[str, Any]) -> RunNotification:
-    """Return what is told of a run; with no fields its result, or the body of its call, is not readable."""
+    """Return the notification about a run; if `fields` is empty, its result or call body counts as undecodable."""
     number = int(request_id, 16)
     if op == RUN_ENDED_WORD:
         return RunEnded(request_id, number, _decode_result(fields))
     if op == CALL_REACHED_WORD:
         return CallReached(request_id, number, seq, _decode_body(fields) if fields else None)
-    return RunMentioned(request_id, number)
+    return UnknownRunNotification(request_id, number)
 
 
 def _decode_result(fields: dict[str, Any]) -> RunResult | None:
@@ -282,7 +282,7 @@
 
 
 def _decode_body(fields: dict[str, Any]) -> bytes | None:
-    """Return the body, empty where there is none; None where it is not valid base64."""
+    """Return the decoded body, empty if there is none; None if it is not valid base64."""
     if "body" not in fields:
         return b""
     try:
@@ -291,25 +291,25 @@
         return None
 
 
-# Lines
+# Splitting received data into lines
 
 
 class Line(NamedTuple):
-    """A line without its end, or the head of one that is longer than a buffer."""
+    """A line without its line end, or the beginning of a line that is longer than a buffer."""
 
     data: bytes
     is_truncated: bool
 
 
 class LineReader:
-    """Splits what a stream has read into lines; what follows the head of too long a line is dropped."""
+    """Splits the received data of a stream into lines, truncating lines that are longer than a buffer."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
-        self._head = b""  # of a line longer than a buffer
+        self._head = b""  # beginning of a line that is longer than a buffer
 
     def next_line(self) -> Line | None:
-        """Return the next complete line; None where more has to be read first."""
+        """Return the next complete line, or None if more data must be received first."""
         stream = self._stream
         while stream.data is not None:
             newline = stream.data.find(b"\n", stream.start, stream.end)
