--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -61,7 +61,7 @@
         request.call_transports.append(connection)
 
     def give_up(self, request: Request) -> None:
-        """Abandon this request's call, if one is in flight."""
+        """Abandon this request's call, if it has one."""
         connection = self._connection_by_request.pop(request, None)
         if connection is not None:
             connection.abandon_call()
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -104,7 +104,7 @@
     async def serve(self) -> None:
         """Connect, send the first call, and read replies until the connection ends."""
         try:
-            await self._read_replies_of(await self._open())
+            await self._read_until_closed(await self._open())
         except ConnectionClosedError as closed:
             self.close(closed)
         except Exception as error:  # affects only this call, which may have run
@@ -136,12 +136,12 @@
         self._write_call(self._request, self._wait_ms)
         return self._stream
 
-    async def _read_replies_of(self, stream: Stream) -> None:
+    async def _read_until_closed(self, stream: Stream) -> None:
         while True:
             await stream.fill()
             if self._state is PooledConnectionState.IDLE:
                 raise ConnectionClosedError(CloseReason.MALFORMED, "received data while idle")
-            self._read_replies(stream)
+            self._handle_replies(stream)
 
     def send_call(self, request: Request, wait_ms: float) -> None:
         """Send another call on an idle connection."""
@@ -190,7 +190,7 @@
         self._request = None
         self.close(ConnectionClosedError(CloseReason.IDLE))
 
-    def _read_replies(self, stream: Stream) -> None:
+    def _handle_replies(self, stream: Stream) -> None:
         """Handle the received replies, ignoring those whose id differs from that of the call.
 
         Raises:
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -1,6 +1,6 @@
-"""Malformed, duplicate, late and misaddressed messages of the worker pool and the records service.
+"""Malformed, duplicate, late and misaddressed messages from the worker pool and the records service.
 
-Each fails its own request at most, and that one still ends once.
+Each may fail only its own request, and that request still ends exactly once.
 """
 
 import os
@@ -29,34 +29,34 @@
     return "asyncio", {"use_uvloop": True}
 
 
-# The worker pool
+# Messages from the worker pool
 
 
-GOOD = b64encode(b"result").decode()
+VALID_BODY = b64encode(b"result").decode()
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed_fields",
     (
-        {"end": "fine", "ms": 20.0, "body": "=" + GOOD},
-        {"end": "fine", "ms": 20.0, "body": GOOD[:-1] + "\\u00e9"},
-        {"end": "fine", "ms": 20.0, "body": GOOD[:4] + " " + GOOD[4:]},
+        {"end": "fine", "ms": 20.0, "body": "=" + VALID_BODY},
+        {"end": "fine", "ms": 20.0, "body": VALID_BODY[:-1] + "\\u00e9"},
+        {"end": "fine", "ms": 20.0, "body": VALID_BODY[:4] + " " + VALID_BODY[4:]},
         {"end": "fine", "ms": 20.0, "body": 7},
-        {"end": "splendid", "ms": 20.0, "body": GOOD},
+        {"end": "splendid", "ms": 20.0, "body": VALID_BODY},
         {"end": ["fine"], "ms": 20.0},
-        {"end": "fine", "body": GOOD},
-        {"end": "fine", "ms": "long", "body": GOOD},
-        {"end": "fine", "ms": 20.0, "body": GOOD * BUFFER_BYTES},
+        {"end": "fine", "body": VALID_BODY},
+        {"end": "fine", "ms": "long", "body": VALID_BODY},
+        {"end": "fine", "ms": 20.0, "body": VALID_BODY * BUFFER_BYTES},
     ),
 )
-async def test_a_run_with_a_malformed_result_is_over(spoilt):
+async def test_a_run_with_a_malformed_result_ends(malformed_fields):
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        await rig.pool.tell("finished", A, **spoilt)
-        assert (await client.answer())[1::2] == ("error", b"")  # and no result that no run made
+        await rig.pool.tell("finished", A, **malformed_fields)
+        assert (await client.answer())[1::2] == ("error", b"")  # no result is made up
         await wait_until(lambda: not rig.node.requests)
-        await rig.running(client, B, "pay")  # the one slot is free
+        await rig.running(client, B, "pay")  # the only slot is free again
         await rig.pool.finish(B)
         assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.links == 1
 
@@ -85,38 +85,38 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        (one,) = rig.node.requests.values()
-        for _ in range(5):  # all of it within one step
-            one.deliver(CallReturned(Outcome.ERROR))
-        one.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
+        (request,) = rig.node.requests.values()
+        for _ in range(5):  # all within one event loop step
+            request.deliver(CallReturned(Outcome.ERROR))
+        request.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
         assert (await client.answer())[1::2] == ("done", b"result")
         await wait_until(lambda: not rig.node.requests)
 
 
-# The records
+# Replies from the records service
 
 
 @pytest.mark.parametrize(
     "reply", (b"DONE 3\r\nabc\r\n", b"DONE 3\r\nabcdef\r\n", b"ERROR\r\n", b"WAIT\r\n", b"nonsense\r\n")
 )
 @pytest.mark.parametrize("order", ("before", "after"))
-async def test_a_reply_that_crosses_the_cancellation_of_its_call(reply, order):
+async def test_a_reply_that_races_the_cancellation_of_its_call_is_ignored(reply, order):
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
-        (one,) = rig.node.requests.values()
-        line = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
+        (request,) = rig.node.requests.values()
+        call_socket = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         reply_line = A.encode() + b" " + reply
         if order == "before":
-            os.write(line, reply_line)  # in the system's hands, unread here
-        rig.node.dependency_client.give_up(one)
-        one.deliver(CallReturned(Outcome.TIMEOUT))
+            os.write(call_socket, reply_line)  # in the kernel's receive buffer, not yet read by the server
+        rig.node.dependency_client.give_up(request)
+        request.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
-                os.write(line, reply_line)
-        assert (await client.answer())[1] == "error"  # given up, it may have run: it is not made again
+                os.write(call_socket, reply_line)
+        assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
         assert len(rig.records.seen) == 1 and not rig.pool.told("supply", A)
-        await rig.calling(client, B, "pay")  # and nobody else is told what was its
+        await rig.calling(client, B, "pay")  # the late reply is not delivered to another request
         await rig.records.reply(B, "DONE", b"B's own")
         await wait_until(lambda: rig.pool.told("supply", B))
         assert rig.pool.told("supply", B)[0]["body"] == b64encode(b"B's own").decode()
@@ -127,10 +127,10 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         await rig.calling(client, B, "read")
-        with monkeypatch.context() as broken:
-            broken.setattr(PooledConnection, "_read_replies", lambda *values: 1 / 0)
+        with monkeypatch.context() as patches:
+            patches.setattr(PooledConnection, "_handle_replies", lambda *values: 1 / 0)
             await rig.records.reply(A, "DONE", b"reply")
-            assert (await client.answer())[1] == "error"  # it may have run
+            assert (await client.answer())[1] == "error"  # the call may have run
         await rig.records.reply(B, "DONE", b"reply")
         await wait_until(lambda: rig.pool.told("supply", B))
         await rig.pool.finish(B)
@@ -138,31 +138,31 @@
 
 
 async def test_a_call_cancelled_while_connecting_frees_its_descriptor_at_once(monkeypatch):
-    with socket.socket() as full:  # its door is full: whoever dials it waits
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        knocked = [socket.socket() for _ in range(3)]
-        for each in knocked:
+    with socket.socket() as full_listener:  # its accept queue is full, so further connects wait
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
+        queued = [socket.socket() for _ in range(3)]
+        for each in queued:
             each.setblocking(False)
-            each.connect_ex(full.getsockname())
+            each.connect_ex(full_listener.getsockname())
         monkeypatch.setattr(connector, "CONNECT_TIMEOUT_S", 30.0)
         async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
-            rig.config["records"] = f"127.0.0.1:{full.getsockname()[1]}"
+            rig.config["records"] = f"127.0.0.1:{full_listener.getsockname()[1]}"
             rig.reload_settings()
             client = await (await rig.up()).caller()
-            idents = [f"{number:016x}" for number in range(1, 21)]
-            for request_id in idents:
+            request_ids = [f"{number:016x}" for number in range(1, 21)]
+            for request_id in request_ids:
                 await rig.running(client, request_id, "pay", timeout=400)
                 await rig.pool.block(request_id)
             await wait_until(lambda: len(rig.node.dependency_client._open_connections) == 20)
-            for _ in idents:
+            for _ in request_ids:
                 assert (await client.answer())[1] == "error"
             await wait_until(lambda: not rig.node.dependency_client._open_connections, 0.5)
-        for each in knocked:
+        for each in queued:
             each.close()
 
 
-async def test_calls_keep_to_their_descriptor_share_and_one_too_many_is_never_sent():
+async def test_a_call_over_the_descriptor_share_is_not_sent_before_a_descriptor_is_free():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
         await rig.up()
         rig.set_descriptor_shares(calls=2)
@@ -175,5 +175,6 @@
         await wait_until(lambda: rig.node.requests[int(third, 16)].call.seq)
         assert not [seen for seen in rig.records.seen if seen[1] == third]
         await rig.records.reply(A, "DONE", b"reply")
-        await wait_until(lambda: ("OP", third, CALL_BODY) in rig.records.seen)  # it goes out as soon as there is one
+        # The call is sent as soon as a descriptor is free.
+        await wait_until(lambda: ("OP", third, CALL_BODY) in rig.records.seen)
         assert rig.records.links <= 3
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Connections that the server closes just as something arrives on them, in each of the two orders."""
+"""Races between the server closing a connection and input arriving on it, in both orders."""
 
 import errno
 from math import inf
@@ -24,9 +24,9 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def set_idle_for(rig: ServerRig, peer: RawClient, ago_ms: float) -> None:
-    """Have the client's connection be one that was last used so long ago."""
-    rig.connection_of(peer).last_used_at_ms -= ago_ms
+def set_idle_for(rig: ServerRig, peer: RawClient, idle_ms: float) -> None:
+    """Move the last use of the client's connection back by `idle_ms`."""
+    rig.connection_of(peer).last_used_at_ms -= idle_ms
 
 
 async def connect_idle_client(rig: ServerRig) -> RawClient:
@@ -34,69 +34,74 @@
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await wait_until(
-        lambda: (side := rig.connection_of(peer)) is not None and side.has_sent_complete_message and side.is_idle
+        lambda: (
+            (connection := rig.connection_of(peer)) is not None
+            and connection.has_sent_complete_message
+            and connection.is_idle
+        )
     )
     return peer
 
 
-# A connection that has been idle too long, and a request
+# Requests that race the closing of an idle connection
 
 
 async def test_a_request_just_before_its_idle_connection_is_closed_is_answered():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
         set_idle_for(rig, peer, 1000.0)
-        front.close_idle(500.0)  # it is asked to close, and stays open, as some clients do
+        # Requests a close; the client keeps the connection open, as some clients do.
+        listener.close_idle(500.0)
         set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
-        peer.send(encode_request(A))  # in the system's hands, unread here
-        front.close_idle(500.0)
+        peer.send(encode_request(A))  # in the kernel's receive buffer, not yet read by the server
+        listener.close_idle(500.0)
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
         assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
 
 
-async def test_a_request_just_after_its_idle_connection_was_closed_destroys_no_answer():
+async def test_a_request_just_after_its_idle_connection_was_closed_does_not_lose_an_answer():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
         set_idle_for(rig, peer, 1000.0)
-        front.close_idle(500.0)
+        listener.close_idle(500.0)
         set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
-        front.close_idle(500.0)
-        peer.send(encode_request(A))  # the end has been sent and not been read
-        got = await peer.to_the_end()  # and not a reset, which would take the first answer along
+        listener.close_idle(500.0)
+        peer.send(encode_request(A))  # the server's FIN has been sent but not read
+        got = await peer.to_the_end()  # no reset, which would discard the first answer
         assert b"healthy" in got and b"closing" in got and not rig.pool.told("spawn", A)
-        await wait_until(lambda: not front.table.connections)
+        await wait_until(lambda: not listener.table.connections)
 
 
 async def test_a_connection_with_unread_input_is_not_shed():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=2)
-        asked, rests = await connect_idle_client(rig), await connect_idle_client(rig)
-        set_idle_for(rig, asked, 1000.0)  # unused for longest
-        asked.send(encode_request(A))
-        knocking = RawClient(rig.port)
+        oldest, other = await connect_idle_client(rig), await connect_idle_client(rig)
+        set_idle_for(rig, oldest, 1000.0)  # least recently used
+        oldest.send(encode_request(A))
+        newcomer = RawClient(rig.port)
         rig.node.listeners[0]._accept()
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
-        assert b"result" in await asked.until(b"result")
-        rests.send(encode_request(B))  # crosses its end
-        assert b"healthy" in await rests.to_the_end() and not rig.pool.told("spawn", B)
-        knocking.send(STATUS)
-        assert b"healthy" in await knocking.until(b"healthy")
+        assert b"result" in await oldest.until(b"result")
+        other.send(encode_request(B))  # crosses the close
+        assert b"healthy" in await other.to_the_end() and not rig.pool.told("spawn", B)
+        newcomer.send(STATUS)
+        assert b"healthy" in await newcomer.until(b"healthy")
 
 
-async def test_a_newcomer_without_a_slot_is_closed_without_a_reset():
+async def test_a_connection_over_the_limit_is_closed_without_a_reset():
     async with ServerRig(cpus=32) as rig:
         client = await (await rig.up()).caller()
         rig.set_descriptor_shares(load_balancers=1)
         await rig.running(client, A)
-        late = RawClient(rig.port)
-        late.send(encode_request(B))
+        excess = RawClient(rig.port)
+        excess.send(encode_request(B))
         rig.node.listeners[0]._accept()
-        assert await late.to_the_end() == b"" and not rig.pool.told("spawn", B)
+        assert await excess.to_the_end() == b"" and not rig.pool.told("spawn", B)
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -109,20 +114,19 @@
     peers = []
     fill = Stream.fill
 
-    async def crossed(self, wait_ms=inf):
+    async def fill_and_send_after_timeout(self, wait_ms=inf):
         try:
             await fill(self, wait_ms)
-        except ConnectionClosedError as ended:
-            if ended.reason is CloseReason.UNRESPONSIVE and peers:
-                peers.pop().send(
-                    encode_request(A)
-                )  # when the last look has found nothing, and before anything is ended
+        except ConnectionClosedError as closed:
+            if closed.reason is CloseReason.UNRESPONSIVE and peers:
+                # After the last read found nothing, and before the server closes the connection.
+                peers.pop().send(encode_request(A))
             raise
 
     async with ServerRig() as rig:
         await rig.up()
         if order == "after":
-            monkeypatch.setattr(Stream, "fill", crossed)
+            monkeypatch.setattr(Stream, "fill", fill_and_send_after_timeout)
         peer = RawClient(rig.port)
         peers.append(peer)
         if order == "after":
@@ -140,14 +144,14 @@
 async def test_a_partial_message_keeps_its_connection_until_it_is_complete():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer, whole = rig.node.listeners[0], await connect_idle_client(rig), encode_request(A)
-        peer.send(whole[:20])
-        await wait_until(lambda: any(each.stream.data is not None for each in front.table.connections))
+        listener, peer, message = rig.node.listeners[0], await connect_idle_client(rig), encode_request(A)
+        peer.send(message[:20])
+        await wait_until(lambda: any(each.stream.data is not None for each in listener.table.connections))
         set_idle_for(rig, peer, 1e6)
-        front.close_idle(500.0)
-        front.close_idle(500.0)
-        assert not front.table.shed_idle_connection()
-        peer.send(whole[20:])
+        listener.close_idle(500.0)
+        listener.close_idle(500.0)
+        assert not listener.table.shed_idle_connection()
+        peer.send(message[20:])
         await wait_until(lambda: rig.pool.told("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
@@ -156,79 +160,81 @@
 async def test_an_unsent_answer_keeps_its_connection():
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
-        (connection,) = front.table.connections
+        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        (connection,) = listener.table.connections
         connection.stream._backlog.append(memoryview(b"rest of an answer"))
         set_idle_for(rig, peer, 1e6)
-        front.close_idle(500.0)
-        front.close_idle(500.0)
-        connection.begin_close(CloseReason.SHUTDOWN)  # not even for want of time: as much of it as can be is sent
-        assert not front.table.shed_idle_connection() and connection.close_began_at_ms is None
+        listener.close_idle(500.0)
+        listener.close_idle(500.0)
+        # Has no effect even at shutdown: the answer is still sent as far as possible.
+        connection.begin_close(CloseReason.SHUTDOWN)
+        assert not listener.table.shed_idle_connection() and connection.close_began_at_ms is None
 
 
-# Those that linger
+# Lingering connections
 
 
-async def test_lingering_connections_free_their_descriptors_once_nothing_can_cross_and_no_sooner():
+async def test_lingering_connections_free_their_descriptors_only_when_no_message_can_cross_the_close():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=1, lingering=1)
-        front, first = rig.node.listeners[0], await connect_idle_client(rig)
-        second, third = await connect_client_in_place_of(rig, first), RawClient(rig.port)
+        listener, first = rig.node.listeners[0], await connect_idle_client(rig)
+        second, third = await connect_client_shedding(rig, first), RawClient(rig.port)
         third.send(STATUS)
-        front._accept()
-        # the third waits at the door
+        listener._accept()
+        # The third is not accepted yet.
         assert rig.connection_of(first).close_began_at_ms and rig.connection_of(third) is None
         second.send(STATUS)
         assert b"healthy" in await second.until(b"healthy")
         assert b"healthy" in await third.until(b"healthy") and b"healthy" in await first.to_the_end()
 
 
-async def connect_client_in_place_of(rig: ServerRig, other: RawClient) -> RawClient:
-    """Connect a client that is accepted at once, for which the other one is shed."""
+async def connect_client_shedding(rig: ServerRig, other: RawClient) -> RawClient:
+    """Connect a client that is accepted immediately, and for which the other client's connection is shed."""
     peer = RawClient(rig.port)
     rig.node.listeners[0]._accept()
     assert rig.connection_of(peer) and rig.connection_of(other).close_began_at_ms
     return peer
 
 
-async def test_silent_connections_are_shed_for_those_that_ask_however_many_linger():
+async def test_silent_connections_are_shed_for_active_ones_regardless_of_how_many_linger():
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=8, lingering=2)
-        crowd = [RawClient(rig.port) for _ in range(40)]
+        silent = [RawClient(rig.port) for _ in range(40)]
         last = RawClient(rig.port)
         last.send(encode_request(A))
         await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
         assert len(rig.node.listeners[0].table.connections) <= 10
         await rig.pool.finish(A)
         assert b"result" in await last.until(b"result")
-        for each in crowd[:30]:
+        for each in silent[:30]:
             assert await each.to_the_end() == b""
 
 
-async def test_timed_out_connections_that_linger_are_not_taken_for_a_full_table(monkeypatch):
+async def test_timed_out_connections_that_linger_do_not_count_towards_the_limit(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=10, lingering=10)
-        front, rests = rig.node.listeners[0], await connect_idle_client(rig)
-        silent = [RawClient(rig.port) for _ in range(9)]  # more than are looked at for one that may go
-        await wait_until(lambda: len(front.table.lingering) == 9)  # they heard, and stay
-        asks = RawClient(rig.port)
-        asks.send(encode_request(A))
+        listener, idle = rig.node.listeners[0], await connect_idle_client(rig)
+        silent = [RawClient(rig.port) for _ in range(9)]  # more than MAX_SILENT_CANDIDATES
+        # The server has ended its direction; the clients keep their connections open.
+        await wait_until(lambda: len(listener.table.lingering) == 9)
+        active = RawClient(rig.port)
+        active.send(encode_request(A))
         await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
-        assert rig.connection_of(rests).close_began_at_ms is None  # who has asked before is not the one to go
+        assert rig.connection_of(idle).close_began_at_ms is None  # it has sent a valid message and is not shed
         await rig.pool.finish(A)
-        assert b"result" in await asks.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
+        assert b"result" in await active.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
 
 
 @pytest.mark.parametrize("code", (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EINVAL))
-async def test_a_newcomer_that_failed_before_it_was_accepted_affects_nobody_else(code):
+async def test_a_connection_that_failed_before_accept_does_not_affect_others(code):
     async with ServerRig() as rig:
         await rig.up()
-        listener = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
+        failing = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
         peer = RawClient(rig.port)
         peer.send(STATUS)
-        assert b"healthy" in await peer.until(b"healthy") and listener.accepts >= 2
-        assert rig.clean is None  # it serves on
+        assert b"healthy" in await peer.until(b"healthy") and failing.accepts >= 2
+        assert rig.clean is None  # the server is still running
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,6 +1,6 @@
-"""Floods of connections and messages.
+"""Floods of connections and messages must not block other traffic.
 
-They may not keep out load balancers, health checks, the worker pool's link, calls or load reports.
+Load balancers, health checks, the worker pool's link, calls and load reports must still be served.
 """
 
 import resource
@@ -27,18 +27,18 @@
 
 
 async def set_descriptor_limit(rig: ServerRig, process, descriptors: int) -> None:
-    """Set the descriptor limit of the process from here on."""
+    """Set the descriptor limit of the running process, and wait until the server has sent a load report."""
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
     await wait_until(lambda: rig.reports)
 
 
-async def connect_clients(rig: ServerRig, tasks: ExitStack, many: int, asks: bool) -> list[RawClient]:
-    """Connect so many clients that stay idle until the server closes them, silent or after one health check."""
+async def connect_clients(rig: ServerRig, stack: ExitStack, count: int, sends_health_check: bool) -> list[RawClient]:
+    """Connect `count` clients that stay idle until the server closes them, silent or after one health check."""
     peers = []
-    for _ in range(many):
+    for _ in range(count):
         peer = RawClient(rig.port)
-        tasks.callback(peer.sock.close)
-        if asks:
+        stack.callback(peer.sock.close)
+        if sends_health_check:
             peer.send(STATUS)
             with suppress(AssertionError, OSError):
                 await peer.until(b"healthy")
@@ -46,47 +46,49 @@
     return peers
 
 
-@pytest.mark.parametrize("asks", (False, True))
-async def test_idle_clients_fill_the_descriptors_while_the_directory_is_down(asks, tmp_path):
+@pytest.mark.parametrize("sends_health_check", (False, True))
+async def test_requests_are_served_while_idle_clients_exhaust_descriptors_and_the_directory_is_down(
+    sends_health_check, tmp_path
+):
     async with ServerRig(in_subprocess=True, cpus=32) as rig:
         rig.config["limits"]["sockets"] = 120
         rig.pool.up.set()
         async with run_program(rig, tmp_path) as process:
-            with ExitStack() as closing:
+            with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, 120)
                 port = await rig.directory_down()
-                await connect_clients(rig, closing, 200, asks)
+                await connect_clients(rig, stack, 200, sends_health_check)
                 client = RawClient(rig.port)
-                closing.callback(client.sock.close)
+                stack.callback(client.sock.close)
                 client.send(encode_request(A, "read"))
                 await wait_until(lambda: rig.pool.told("spawn", A), 2.0)
                 await rig.pool.block(A)
-                await wait_until(lambda: rig.records.seen, 1.0)  # a call still finds a descriptor
-                await rig.pool.cut()  # and so does the link, anew
+                await wait_until(lambda: rig.records.seen, 1.0)  # a descriptor is left for a call
+                await rig.pool.cut()  # a descriptor is left to reconnect the link
                 await wait_until(lambda: len(rig.pool.binds()) == 2, 2.0)
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.told("supply", A), 1.0)
                 await rig.pool.finish(A)
                 assert b"result" in await client.until(b"result")
                 check = RawClient(rig.port)
-                closing.callback(check.sock.close)
+                stack.callback(check.sock.close)
                 check.send(STATUS)
                 assert b"healthy" in await check.until(b"healthy", 1.0)
-                known = len(rig.reports)
+                report_count = len(rig.reports)
                 await rig.directory_up(port)
-                await wait_until(lambda: len(rig.reports) > known, 1.5)  # and it is listed again at once
+                await wait_until(lambda: len(rig.reports) > report_count, 1.5)  # reports resume immediately
             assert process.poll() is None
 
 
 @pytest.mark.parametrize("descriptors", (32, 48))
-async def test_a_small_descriptor_limit_is_served(descriptors, tmp_path):
+async def test_requests_are_served_under_a_small_descriptor_limit(descriptors, tmp_path):
     async with ServerRig(in_subprocess=True, cpus=32) as rig:
         rig.config["limits"]["sockets"] = descriptors
         rig.pool.up.set()
         async with run_program(rig, tmp_path) as process:
-            with ExitStack() as closing:
+            with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, descriptors)
-                await connect_clients(rig, closing, 3 * descriptors, True)
+                await connect_clients(rig, stack, 3 * descriptors, True)
                 client = await rig.caller()
                 await rig.calling(client, A, "read")
                 await rig.records.reply(A, "DONE", b"reply")
@@ -98,35 +100,35 @@
 
 
 @pytest.mark.parametrize("calls", (0.0, 0.5, 6.0, 90.0, 1e4))
-async def test_every_descriptor_limit_is_divided_within_itself_with_at_least_one_each(calls):
+async def test_descriptor_shares_are_positive_and_stay_within_the_limit(calls):
     for descriptors in range(32, 2000):
         shares = descriptor_shares(descriptors, calls)
         assert min(shares) >= 1 and sum(shares) + RESERVED_DESCRIPTORS <= descriptors
-        assert shares.load_balancers >= descriptors / 2 or descriptors < 100  # balancers open half of the limit at most
+        assert shares.load_balancers >= descriptors / 2 or descriptors < 100  # load balancers use at most half
 
 
 FLOODS = {
-    "checks": STATUS * 400,
+    "health checks": STATUS * 400,
     "unknown verbs": resp.message(b"DANCE", b"1") * 400,
-    "no array": b"nonsense\r\n" * 2000,
-    "withdrawals": resp.message(b"NEVERMIND", b"7") * 400,
-    "half a message": b"*5\r\n$3\r\nASK\r\n$1\r\n1\r\n$9999\r\n",
-    "a message without an end": b"*2\r\n$12000\r\n" + b"x" * 60_000,
+    "not an array": b"nonsense\r\n" * 2000,
+    "cancellations": resp.message(b"NEVERMIND", b"7") * 400,
+    "incomplete message": b"*5\r\n$3\r\nASK\r\n$1\r\n1\r\n$9999\r\n",
+    "unterminated message": b"*2\r\n$12000\r\n" + b"x" * 60_000,
 }
 
 
 @pytest.mark.parametrize("kind", FLOODS)
-async def test_a_flood_on_one_connection_delays_no_other(kind):
+async def test_floods_on_some_connections_do_not_delay_others(kind):
     flood = FLOODS[kind]
     async with ServerRig(cpus=32) as rig:
         client = await (await rig.up()).caller()
-        with ExitStack() as closing:
-            floods = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(8)]
-            for each in floods:
-                closing.enter_context(each)
+        with ExitStack() as stack:
+            flood_sockets = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(8)]
+            for each in flood_sockets:
+                stack.enter_context(each)
                 each.setblocking(False)
 
-            async def pour(sock: socket.socket) -> None:
+            async def send_flood(sock: socket.socket) -> None:
                 with suppress(OSError):
                     while True:
                         with suppress(BlockingIOError):
@@ -136,8 +138,8 @@
                         await anyio.sleep(0)
 
             async with anyio.create_task_group() as tasks:
-                for each in floods:
-                    tasks.start_soon(pour, each)
+                for each in flood_sockets:
+                    tasks.start_soon(send_flood, each)
                 for number in range(1, 21):
                     request_id = f"{number:016x}"
                     await rig.running(client, request_id)
@@ -148,18 +150,18 @@
         await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1, 4.0)
 
 
-async def test_hundreds_of_cancellations_at_once_leave_nothing_behind():
+async def test_hundreds_of_simultaneous_cancellations_leave_no_requests_or_connections():
     async with ServerRig(cpus=2, **{"memory-kb": 1e6}) as rig:
         await rig.up()
         peers = [RawClient(rig.port) for _ in range(12)]
-        for at, peer in enumerate(peers):
-            peer.send(b"".join(encode_request(f"{at:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
+        for index, peer in enumerate(peers):
+            peer.send(b"".join(encode_request(f"{index:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
         for peer in peers:
             peer.send(b"".join(resp.message(b"NEVERMIND", b"%d" % tag) for tag in range(1, 33)))
-        await wait_until(lambda: all(one.client_gone or one.answered for one in rig.node.requests.values()))
-        for one in list(rig.node.requests.values()):
-            await wait_until(lambda one=one: rig.pool.told("spawn", one.received.id_hex))
-            await rig.pool.finish(one.received.id_hex, end="broken_off")
+        await wait_until(lambda: all(request.client_gone or request.answered for request in rig.node.requests.values()))
+        for request in list(rig.node.requests.values()):
+            await wait_until(lambda request=request: rig.pool.told("spawn", request.received.id_hex))
+            await rig.pool.finish(request.received.id_hex, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
         for peer in peers:
             peer.sock.close()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""Framing alone: what was written is read, however it is cut, and a size is refused before its bytes come."""
+"""Framing: messages split at any position are parsed, and an invalid size is refused before its bytes arrive."""
 
 import pytest
 from hypothesis import given
@@ -39,6 +39,6 @@
         b"*2\r\n$8000\r\n" + bytes(8000) + b"\r\n$8000\r\n",
     ),
 )
-def test_a_stream_that_cannot_be_understood_is_refused_at_once(text):
+def test_a_malformed_stream_is_refused_immediately(text):
     with pytest.raises(resp.MalformedMessageError):
         resp.parse(bytearray(text), 0, len(text))
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -1,6 +1,6 @@
-"""Messages that come in pieces: how long the rest of one is waited for, and from when that is counted.
+"""Messages that arrive in pieces: how long the server waits for the rest, and when that time begins.
 
-The server's clock is moved while nothing is on its way, so that no test waits for a limit.
+The tests advance the server's clock while no data is in transit, so that they need not wait for a timeout.
 """
 
 import time
@@ -18,7 +18,7 @@
 
 pytestmark = pytest.mark.anyio
 STATUS = resp.message(b"STATUS", b"1")
-NEARLY_MS = MESSAGE_TIMEOUT_MS - 100.0
+JUST_BELOW_TIMEOUT_MS = MESSAGE_TIMEOUT_MS - 100.0
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
 
 
 def has_partial_message(rig: ServerRig, peer: RawClient) -> bool:
-    return (side := rig.connection_of(peer)) is not None and side.stream.data is not None
+    return (connection := rig.connection_of(peer)) is not None and connection.stream.data is not None
 
 
 class ShiftedClock:
@@ -41,12 +41,12 @@
         self._moved_ms += ms
 
     def encode_request(self, request_id: str, later_ms: float = 0.0, **fields: object) -> bytes:
-        """Encode a request that arrives so much later than now, by this clock."""
+        """Encode a request whose timestamp is `later_ms` after the current time of this clock."""
         return encode_request(request_id, ts=int(time.time() * 1000 + self._moved_ms + later_ms), **fields)
 
 
 async def connect_idle_client(rig: ServerRig) -> RawClient:
-    """Connect a client that has sent a health check, has read the answer, and is idle."""
+    """Connect a client, exchange a health check, and leave the connection idle."""
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await peer.until(b"healthy")
@@ -54,15 +54,15 @@
 
 
 async def send_in_pieces(rig: ServerRig, peer: RawClient, message: bytes, size: int) -> None:
-    """Each piece has been read before the next one is sent."""
-    for at in range(0, len(message), size):
-        peer.send(message[at : at + size])
-        if at + size < len(message):
+    """Send the message in pieces, each only after the server has read the one before."""
+    for start in range(0, len(message), size):
+        peer.send(message[start : start + size])
+        if start + size < len(message):
             await wait_until(
-                lambda at=at: (
-                    (side := rig.connection_of(peer)) is not None
-                    and side.stream.data is not None
-                    and side.stream.end - side.stream.start == at + size
+                lambda start=start: (
+                    (connection := rig.connection_of(peer)) is not None
+                    and connection.stream.data is not None
+                    and connection.stream.end - connection.stream.start == start + size
                 )
             )
 
@@ -74,16 +74,16 @@
 
 
 @pytest.mark.parametrize("size", (20, 1))
-@pytest.mark.parametrize("leaving", (False, True))
-async def test_a_message_in_pieces_on_an_idle_connection_is_answered(size, leaving):
+@pytest.mark.parametrize("shutting_down", (False, True))
+async def test_a_message_in_pieces_on_an_idle_connection_is_answered(size, shutting_down):
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
         other = await connect_idle_client(rig)
-        other.send(clock.encode_request(B))  # keeps a server that leaves from ending before
+        other.send(clock.encode_request(B))  # an open request, which keeps a server that shuts down from ending earlier
         await wait_until(lambda: rig.pool.told("spawn", B))
         clock.advance(MESSAGE_TIMEOUT_MS + 500.0)
-        if leaving:
+        if shutting_down:
             rig.node.begin_shutdown()
         await send_in_pieces(rig, peer, clock.encode_request(A), size)
         await finish_request(rig, peer, A)
@@ -95,31 +95,32 @@
         await rig.up()
         clock, peer = ShiftedClock(rig), RawClient(rig.port)
         await wait_until(lambda: rig.connection_of(peer))
-        clock.advance(NEARLY_MS)
-        message = clock.encode_request(A, NEARLY_MS)  # when it is whole
+        clock.advance(JUST_BELOW_TIMEOUT_MS)
+        message = clock.encode_request(A, JUST_BELOW_TIMEOUT_MS)  # timestamped when it will be complete
         peer.send(message[:20])
         await wait_until(lambda: has_partial_message(rig, peer))
-        clock.advance(NEARLY_MS)
+        clock.advance(JUST_BELOW_TIMEOUT_MS)
         peer.send(message[20:40])
         await wait_until(lambda: rig.connection_of(peer) is None or rig.connection_of(peer).stream.end == 40)
         peer.send(message[40:])
         await finish_request(rig, peer, A)
 
 
-async def test_a_message_begun_behind_another_has_its_own_timeout():
+async def test_a_message_begun_after_another_has_its_own_timeout():
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
+        # Each is timestamped when it will be complete.
         first, second = (
-            clock.encode_request(A, NEARLY_MS, tag=2),
-            clock.encode_request(B, 2 * NEARLY_MS, tag=3),
-        )  # when they are whole
+            clock.encode_request(A, JUST_BELOW_TIMEOUT_MS, tag=2),
+            clock.encode_request(B, 2 * JUST_BELOW_TIMEOUT_MS, tag=3),
+        )
         peer.send(first[:20])
         await wait_until(lambda: has_partial_message(rig, peer))
-        clock.advance(NEARLY_MS)
+        clock.advance(JUST_BELOW_TIMEOUT_MS)
         peer.send(first[20:] + second[:20])
         await finish_request(rig, peer, A)
-        clock.advance(NEARLY_MS)
+        clock.advance(JUST_BELOW_TIMEOUT_MS)
         assert not rig.node.listeners[0].table.slow_writers
         peer.send(second[20:])
         await finish_request(rig, peer, B)
@@ -131,52 +132,52 @@
         await rig.up()
         vars(rig.node.generation)["longest_timeout_ms"] = 400.0
         peer = await connect_idle_client(rig)
-        begun = time.monotonic()
+        began_at_s = time.monotonic()
         peer.send(encode_request(A) + encode_request(B, tag=3)[:30])
         await wait_until(lambda: rig.pool.told("spawn", A))
         await wait_until(lambda: rig.connection_of(peer) in rig.node.listeners[0].table.slow_writers)
         await anyio.sleep(0.5)
-        side = rig.connection_of(peer)
-        assert side is not None and side.stream.shut_down_reason is None  # an answer is still owed
+        connection = rig.connection_of(peer)
+        assert connection is not None and connection.stream.shut_down_reason is None  # an answer is still outstanding
         await rig.pool.finish(A)
         assert b"result" in await peer.to_the_end()
-        assert time.monotonic() - begun >= 0.4
+        assert time.monotonic() - began_at_s >= 0.4
         await wait_until(
             lambda: not rig.node.listeners[0].table.slow_writers and not rig.node.listeners[0].table.connections
         )
 
 
-async def test_slow_messages_take_a_fraction_of_the_connections_and_no_more(monkeypatch):
+async def test_slow_messages_hold_at_most_a_fraction_of_the_connections(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig(cpus=32) as rig:
         await rig.up()
         rig.set_descriptor_shares(load_balancers=8)
-        front, slow = rig.node.listeners[0], [await connect_idle_client(rig) for _ in range(2)]
+        listener, slow = rig.node.listeners[0], [await connect_idle_client(rig) for _ in range(2)]
         for peer in slow:
             peer.send(STATUS[:10])
-        await wait_until(lambda: len(front.table.slow_writers) == 2)
-        beyond = await connect_idle_client(rig)
-        beyond.send(STATUS[:10])
-        assert await beyond.to_the_end(1.0) == b""
+        await wait_until(lambda: len(listener.table.slow_writers) == 2)
+        excess = await connect_idle_client(rig)
+        excess.send(STATUS[:10])
+        assert await excess.to_the_end(1.0) == b""
         slow[0].send(STATUS[10:])
         assert b"healthy" in await slow[0].until(b"healthy")
-        assert len(front.table.slow_writers) == 1
+        assert len(listener.table.slow_writers) == 1
         late = await connect_idle_client(rig)
         late.send(STATUS[:10])
-        await wait_until(lambda: rig.connection_of(late) in front.table.slow_writers)
+        await wait_until(lambda: rig.connection_of(late) in listener.table.slow_writers)
         for peer in (slow[1], late):
             peer.send(STATUS[10:])
             assert b"healthy" in await peer.until(b"healthy")
-        assert not front.table.slow_writers
+        assert not listener.table.slow_writers
 
 
-async def test_a_connection_closed_within_a_message_is_no_slow_writer_any_more(monkeypatch):
+async def test_a_connection_closed_within_a_message_is_no_longer_a_slow_writer(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
         await rig.up()
-        front, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
         peer.send(STATUS[:10])
-        await wait_until(lambda: front.table.slow_writers)
+        await wait_until(lambda: listener.table.slow_writers)
         with suppress(OSError):
             peer.sock.close()
-        await wait_until(lambda: not front.table.slow_writers and not front.table.connections)
+        await wait_until(lambda: not listener.table.slow_writers and not listener.table.connections)
