--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:  # avoids imports at startup
     from nickelslip.server.interfaces import ServerContext
 
-SLOW_WRITER_DIVISOR = 4  # slow writers may hold a quarter of the connections, and of the buffers
+SLOW_WRITER_DIVISOR = 4  # slow writers may hold at most a quarter of the connections, and of the buffers
 MAX_SILENT_CANDIDATES = 8  # number of the oldest silent connections that are examined for shedding
 
 
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -143,9 +143,9 @@
             return None
         return CloseReason.UNRESPONSIVE if self.data is None else CloseReason.STALLED
 
-    async def _wait_for(self, ready: Callable[[socket.socket], Awaitable[None]]) -> None:
+    async def _wait_for(self, wait_function: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
-            await ready(self._sock)
+            await wait_function(self._sock)
         except (anyio.ClosedResourceError, OSError, ValueError):
             raise ConnectionClosedError(self.shut_down_reason or self.close_reason or CloseReason.RESET) from None
 
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -105,15 +105,15 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         (request,) = rig.node.requests.values()
-        call_socket = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
+        call_fd = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         reply_line = A.encode() + b" " + reply
         if order == "before":
-            os.write(call_socket, reply_line)  # in the kernel's receive buffer, not yet read by the server
+            os.write(call_fd, reply_line)  # in the kernel's receive buffer, not yet read by the server
         rig.node.dependency_client.give_up(request)
         request.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
-                os.write(call_socket, reply_line)
+                os.write(call_fd, reply_line)
         assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
         assert len(rig.records.seen) == 1 and not rig.pool.told("supply", A)
         await rig.calling(client, B, "pay")  # the late reply is not delivered to another request
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -41,11 +41,18 @@
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
         rig.pool.seq += 1
-        notice = {"op": "finished", "seq": 1, "id": A, "end": "fine", "ms": 20.0, "body": b64encode(b"once").decode()}
-        rig.pool.notices.append(notice)
+        notification = {
+            "op": "finished",
+            "seq": 1,
+            "id": A,
+            "end": "fine",
+            "ms": 20.0,
+            "body": b64encode(b"once").decode(),
+        }
+        rig.pool.notices.append(notification)
         stream = rig.node.worker_pool._connection._stream
         if order == "before":
-            send_unread_line(rig, **notice)
+            send_unread_line(rig, **notification)
         # In the same event loop step: the reader that was woken finds the stream closed.
         stream.abort(CloseReason.RESET)
         assert (await client.answer())[1::2] == ("done", b"once")
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -31,18 +31,18 @@
 
 
 class ShiftedClock:
-    """The server's clock, which a test moves forward."""
+    """Advances the server's clock."""
 
     def __init__(self, rig: ServerRig) -> None:
-        self._node, self._moved_ms = rig.node, 0.0
+        self._server, self._offset_ms = rig.node, 0.0
 
     def advance(self, ms: float) -> None:
-        self._node._clock_offset_ms += ms
-        self._moved_ms += ms
+        self._server._clock_offset_ms += ms
+        self._offset_ms += ms
 
     def encode_request(self, request_id: str, later_ms: float = 0.0, **fields: object) -> bytes:
         """Encode a request whose timestamp is `later_ms` after the current time of this clock."""
-        return encode_request(request_id, ts=int(time.time() * 1000 + self._moved_ms + later_ms), **fields)
+        return encode_request(request_id, ts=int(time.time() * 1000 + self._offset_ms + later_ms), **fields)
 
 
 async def connect_idle_client(rig: ServerRig) -> RawClient:
