--- a/nickelslip/configuration/change_lifecycle.py
+++ b/nickelslip/configuration/change_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of one configuration change: its states, their transitions, and why a change is rejected."""
+"""The lifecycle of a configuration change: its states, the transitions between them, and the reasons for rejection."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class ChangeState(Enum):
-    """The states of a change."""
+    """The state of a configuration change."""
 
-    DRAFTED = "read, not validated yet"
+    DRAFTED = "created, not validated yet"
     VALIDATED = "valid, and planned against the generation in force"
     STAGED = "waiting to be applied"
     APPLYING = "being applied"
     CANARY = "in force, in its canary period"
-    CONFIRMED = "in force for good"
-    ROLLED_BACK = "undone"
+    CONFIRMED = "in force permanently"
+    ROLLED_BACK = "rolled back"
     REJECTED = "never in force"
 
 
@@ -36,7 +36,8 @@
     ChangeState.REJECTED: (),
 }
 
-# The words of the control socket, of `--json` and (in capitals) of the log: they stay when a name in the code changes.
+# State names on the control socket, in `--json` output and (in upper case) in the log. They must stay the same when a
+# member of ChangeState is renamed.
 STATE_WORDS: Mapping[ChangeState, str] = {
     ChangeState.DRAFTED: "drafted",
     ChangeState.VALIDATED: "checked",
@@ -50,7 +51,7 @@
 
 
 class RejectionReason(Enum):
-    """Why something that was asked for is not done; the value is the text that is shown."""
+    """Why a requested operation is rejected. The value is the text shown to operators."""
 
     NO_DIFFERENCE = "nothing differs from what is in force"
     NEEDS_RESTART = "some of it needs a restart"
@@ -66,11 +67,11 @@
 
 
 class ChangeRejectedError(Exception):
-    """What was asked for is not done.
+    """A requested operation on the configuration is rejected.
 
     Args:
-        reason: Why not.
-        detail: Figures or names that belong to the reason.
+        reason: Why it is rejected.
+        detail: Figures or names that complete the reason.
     """
 
     def __init__(self, reason: RejectionReason, detail: str = "") -> None:
@@ -84,18 +85,19 @@
     """One change of the configuration.
 
     Attributes:
-        number: Counts from 1 up in this process.
-        config: The configuration it leads to.
-        document: The whole document it leads to.
+        number: Number of the change within this process, starting at 1.
+        config: The configuration that the change leads to.
+        document: The complete document that the change leads to.
         digest: The digest of the document.
         origin: Where the change came from.
-        base_generation: The generation it was planned against.
-        plan: What differs from the base generation.
-        forced: Whether a recent rollback of the same document is disregarded.
-        state: Its state.
-        state_entered_at_ms: When it entered the state; moved on by time that does not count for the canary period.
-        reason: Why it entered the state.
-        generation: The generation made of it, once it is being applied.
+        base_generation: The generation against which the change was planned.
+        plan: The differences from the base generation.
+        forced: Whether the change is accepted even if the same document was rolled back recently.
+        state: The current state.
+        state_entered_at_ms: When the change entered the state. Time that does not count towards the canary period is
+            added to it.
+        reason: Why the change entered the state.
+        generation: The generation created for the change; None until the change is being applied.
     """
 
     number: int
@@ -113,14 +115,14 @@
 
     @property
     def needs_canary_period(self) -> bool:
-        """Whether it has to be observed; changes of peer addresses or of the rules for changes alone do not."""
+        """Whether the change needs a canary period. Changes to only peer addresses or only change rules need none."""
         return not (self.plan.changes_peers_only or self.plan.changes_rules_only)
 
     def enter(self, state: ChangeState, now_ms: float, reason: str = "") -> None:
-        """Move the change to a state: the only place where its state is set.
+        """Move the change to another state. No other code sets the state.
 
         Raises:
-            RuntimeError: There is no such transition.
+            RuntimeError: The transition is not allowed.
         """
         if state not in TRANSITIONS[self.state]:
             raise RuntimeError(f"a change cannot go from {self.state.name} to {state.name}")
--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -1,9 +1,11 @@
-"""All configuration changes of one server, and the generations they lead to.
+"""The configuration changes of one server and the generations that result from them.
 
 At most one change is staged, and at most one is being applied or in its canary period. A change is planned against the
-generation in force; if another one comes into force first, the change is superseded and rejected, never merged.
+generation in force. If another generation comes into force first, the change is superseded: it is rejected, never
+merged.
 
-This module has no clock, does no I/O and applies nothing itself: its user carries out what it returns and reports back.
+This module has no clock and does no I/O. The caller writes the returned records, adopts the returned generations and
+reports the outcome.
 """
 
 from __future__ import annotations
@@ -29,13 +31,13 @@
 from nickelslip.configuration.rolled_back_documents import RolledBackDocuments
 
 MAX_RECORDS_IN_MEMORY = 256
-MAX_EARLIER_GENERATIONS = 8  # confirmed ones to which an operator can go back
+MAX_CONFIRMED_GENERATIONS = 8  # kept so that an operator can return to an earlier one
 MAX_DIFFERENCES_IN_MESSAGE = 5
 
 
 @dataclass(frozen=True)
 class GenerationSnapshot:
-    """A generation with the document that it was made of."""
+    """A generation with the document it was created from."""
 
     generation: Generation
     document: Document
@@ -43,14 +45,14 @@
 
 
 class StartedChange(NamedTuple):
-    """A change that is being applied, and the record to write before its generation is adopted."""
+    """A change that is being applied, and the history record to write before its generation is adopted."""
 
     change: ConfigurationChange
     record: HistoryRecord
 
 
 class Adoption(NamedTuple):
-    """A generation to adopt at once, and the record to write then."""
+    """A generation to adopt immediately, and the history record to write afterwards."""
 
     generation: Generation
     record: HistoryRecord
@@ -58,14 +60,14 @@
 
 @dataclass(frozen=True)
 class ChangeStatus:
-    """What is in force, in progress and staged.
+    """The generation in force, the change in progress and the staged change.
 
     Attributes:
         in_force: The generation in force.
         confirmed_generation: Number of the last confirmed generation.
         current: The change being applied or in its canary period.
         staged: The staged change.
-        rolled_back_for_ms: How much longer each recently rolled back document is rejected, by its digest.
+        rolled_back_for_ms: How much longer each recently rolled back document is rejected, keyed by digest.
     """
 
     in_force: GenerationSnapshot
@@ -76,14 +78,14 @@
 
 
 class ChangeManager:
-    """All changes of one server, and the generations they lead to.
+    """Manages the configuration changes of one server and the generations that result from them.
 
     Args:
-        generation: The generation that the server starts with.
+        generation: The generation with which the server starts.
         document: The document of that generation.
-        records: The records of the history.
+        records: The records read from the history.
         file_digest: The digest of the document in the configuration files.
-        on_transition: Called with each change that has entered a state.
+        on_transition: Called with a change each time it has entered a state.
 
     Attributes:
         in_force: The generation in force.
@@ -101,36 +103,36 @@
         file_digest: str,
         on_transition: Callable[[ConfigurationChange], None] = lambda change: None,
     ) -> None:
-        first = GenerationSnapshot(generation, document, digest_of(document))
-        self._confirmed: deque[GenerationSnapshot] = deque([first], MAX_EARLIER_GENERATIONS)
-        self.in_force = first
+        initial_snapshot = GenerationSnapshot(generation, document, digest_of(document))
+        self._confirmed_snapshots: deque[GenerationSnapshot] = deque([initial_snapshot], MAX_CONFIRMED_GENERATIONS)
+        self.in_force = initial_snapshot
         self.staged: ConfigurationChange | None = None
         self.current: ConfigurationChange | None = None
         self.file_digest = file_digest
         self.records: deque[HistoryRecord] = deque(records, MAX_RECORDS_IN_MEMORY)
-        self._rolled_back = RolledBackDocuments()
+        self._rolled_back_documents = RolledBackDocuments()
         self._on_transition = on_transition
         self._last_sequence_number = records[-1].sequence_number if records else 0
         self._last_generation_number = max([generation.number, *(record.generation for record in records)])
         self._last_change_number = 0
         for record in records:
             if record.event is HistoryEvent.ROLLED_BACK:
-                self._rolled_back.add(record.digest, record.recorded_at_ms + self.rules.rejected_after_rollback_ms)
+                self._rolled_back_documents.add(
+                    record.digest, record.recorded_at_ms + self.rules.rejected_after_rollback_ms
+                )
 
     @property
     def rules(self) -> ChangeRules:
-        """The rules for changes that are in force."""
+        """The change rules in force."""
         return self.in_force.generation.config.changes
 
-    # Drafting and staging
-
     def draft(
         self, now_ms: float, config: Config, document: Document, origin: str, forced: bool = False
     ) -> ConfigurationChange:
-        """Return a validated change to this document.
+        """Create and validate a change to this document.
 
         Raises:
-            ChangeRejectedError: It changes nothing, needs a restart, or was rolled back recently.
+            ChangeRejectedError: The document changes nothing, needs a restart, or was rolled back recently.
         """
         self._last_change_number += 1
         change = ConfigurationChange(
@@ -151,20 +153,20 @@
         return change
 
     def _draft_error(self, change: ConfigurationChange, now_ms: float) -> ChangeRejectedError | None:
-        """Return why a draft is rejected, or None."""
+        """Return the error with which a drafted change is rejected, or None if it is valid."""
         if change.plan.is_empty:
             return ChangeRejectedError(RejectionReason.NO_DIFFERENCE)
         if change.plan.needing_restart:
-            named = change.plan.needing_restart[:MAX_DIFFERENCES_IN_MESSAGE]
-            return ChangeRejectedError(RejectionReason.NEEDS_RESTART, "; ".join(map(str, named)))
-        remaining_ms = self._rolled_back.remaining_ms(change.digest, now_ms)
+            shown_differences = change.plan.needing_restart[:MAX_DIFFERENCES_IN_MESSAGE]
+            return ChangeRejectedError(RejectionReason.NEEDS_RESTART, "; ".join(map(str, shown_differences)))
+        remaining_ms = self._rolled_back_documents.remaining_ms(change.digest, now_ms)
         if remaining_ms > 0 and not change.forced:
             detail = f"refused for {remaining_ms / 1000:.0f} s more unless forced"
             return ChangeRejectedError(RejectionReason.RECENTLY_ROLLED_BACK, detail)
         return None
 
     def reject(self, now_ms: float, change: ConfigurationChange, error: ChangeRejectedError) -> None:
-        """Reject a change that is validated or staged."""
+        """Reject a validated or staged change."""
         if self.staged is change:
             self.staged = None
         self._enter(change, ChangeState.REJECTED, now_ms, str(error))
@@ -173,7 +175,7 @@
         """Stage a validated change.
 
         Raises:
-            ChangeRejectedError: Another one is staged; this one is rejected.
+            ChangeRejectedError: Another change is staged already, and this one has been rejected.
         """
         if self.staged is not None:
             error = ChangeRejectedError(RejectionReason.BUSY, f"change {self.staged.number} is staged")
@@ -183,10 +185,10 @@
         self._enter(change, ChangeState.STAGED, now_ms)
 
     def discard_staged(self, now_ms: float) -> ConfigurationChange:
-        """Reject the staged change, and return it.
+        """Reject the staged change and return it.
 
         Raises:
-            ChangeRejectedError: None is staged.
+            ChangeRejectedError: No change is staged.
         """
         change = self.staged
         if change is None:
@@ -194,16 +196,19 @@
         self.reject(now_ms, change, ChangeRejectedError(RejectionReason.NOT_FOUND, "taken out by an operator"))
         return change
 
-    # Applying
-
     def begin_applying(self, now_ms: float, number: int | None = None) -> StartedChange:
-        """Begin to apply the staged change, or the one of this number.
+        """Begin to apply the staged change.
 
-        The caller writes the record, then adopts the change's generation, then calls `mark_applied`; or it calls
-        `mark_failed`.
+        The caller writes the record, adopts the generation of the change and then calls `mark_applied`. If the change
+        cannot be applied, it calls `mark_failed` instead.
+
+        Args:
+            now_ms: The current time.
+            number: The number that the staged change must have; None for any.
 
         Raises:
-            ChangeRejectedError: It is not staged, another one is in progress, or it was superseded and is rejected.
+            ChangeRejectedError: No such change is staged, another change is in progress, or the staged change was
+                superseded and has been rejected.
         """
         change = self._staged_change(number)
         if self.current is not None:
@@ -228,10 +233,10 @@
         return self.staged
 
     def mark_applied(self, now_ms: float) -> HistoryRecord | None:
-        """Note that the generation of the current change has been adopted.
+        """Record that the generation of the current change has been adopted.
 
         Returns:
-            The record of its confirmation where it needs no canary period, else None.
+            The record of the confirmation if the change needs no canary period, else None.
         """
         change = self._require_current(ChangeState.APPLYING)
         assert change.generation is not None
@@ -242,24 +247,22 @@
         return self._confirm(change, now_ms, "needs no probation")
 
     def mark_failed(self, now_ms: float, reason: str) -> HistoryRecord:
-        """Note that the current change could not be applied; the generation in force stays."""
+        """Record that the current change could not be applied. The generation in force stays the same."""
         change = self._require_current(ChangeState.APPLYING)
         self.current = None
         self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
         return self._record_change(HistoryEvent.REJECTED, change, now_ms, reason)
 
-    # The canary period
-
     @property
     def is_in_canary_period(self) -> bool:
         """Whether the current change is in its canary period."""
         return self.current is not None and self.current.state is ChangeState.CANARY
 
     def next_state(self, now_ms: float, verdict: CanaryVerdict) -> ChangeState | None:
-        """Return the state that the current change is to enter after a look at it, or None if it is to stay.
+        """Return the state to which a verdict moves the change in its canary period, or None if it stays there.
 
-        The caller carries it out with `confirm` or `roll_back`. At the end of the longest canary period a change
-        against which nothing speaks is confirmed, even if little data speaks for it.
+        The caller performs the transition with `confirm` or `roll_back`. After the maximum canary period, a change is
+        confirmed unless harm was found or is suspected, even if the data is insufficient to call it harmless.
         """
         if self.current is None or self.current.state is not ChangeState.CANARY:
             return None
@@ -272,13 +275,13 @@
             return ChangeState.CONFIRMED
         return None
 
-    def extend_canary_period(self, span_ms: float) -> None:
-        """Extend the canary period by a time in which nothing could be observed."""
+    def extend_canary_period(self, duration_ms: float) -> None:
+        """Extend the canary period by a time during which the change could not be observed."""
         if self.current is not None and self.current.state is ChangeState.CANARY:
-            self.current.state_entered_at_ms += span_ms
+            self.current.state_entered_at_ms += duration_ms
 
     def confirm(self, now_ms: float, reason: str) -> HistoryRecord:
-        """Confirm the change in its canary period; return the record to write.
+        """Confirm the change in its canary period and return the record to write.
 
         Raises:
             ChangeRejectedError: No change is in its canary period.
@@ -287,55 +290,56 @@
 
     def _confirm(self, change: ConfigurationChange, now_ms: float, reason: str) -> HistoryRecord:
         self.current = None
-        self._confirmed.append(self.in_force)
+        self._confirmed_snapshots.append(self.in_force)
         self._enter(change, ChangeState.CONFIRMED, now_ms, reason)
-        # not the change's own document: peers may have moved since it was applied
+        # The change's own document may be out of date: peer addresses can change during the canary period.
         return self._record_change(HistoryEvent.CONFIRMED, change, now_ms, reason, self.in_force.document)
 
     def roll_back(self, now_ms: float, reason: str) -> Adoption:
-        """Roll the change in its canary period back; its document is rejected for a time.
+        """Roll back the change in its canary period, and reject its document for a time.
 
         Returns:
-            The very generation that was in force before.
+            The generation that was in force before the change, as the same object, and the record to write.
 
         Raises:
             ChangeRejectedError: No change is in its canary period.
         """
         change = self._require_current(ChangeState.CANARY)
         self.current = None
-        self.in_force = self._confirmed[-1]
-        self._rolled_back.add(change.digest, now_ms + self.rules.rejected_after_rollback_ms)
+        self.in_force = self._confirmed_snapshots[-1]
+        self._rolled_back_documents.add(change.digest, now_ms + self.rules.rejected_after_rollback_ms)
         self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
         record = self._record_change(HistoryEvent.ROLLED_BACK, change, now_ms, reason)
         return Adoption(self.in_force.generation, record)
 
-    # Earlier generations, and peers that move
-
     def earlier_snapshot(self, generation: int | None = None) -> GenerationSnapshot:
-        """Return the confirmed generation of this number, or the one before that in force.
+        """Return an earlier confirmed generation.
+
+        Args:
+            generation: Its number; None for the latest confirmed one that is not in force.
 
         Raises:
-            ChangeRejectedError: It is not kept.
+            ChangeRejectedError: The generation is not kept.
         """
-        for snapshot in reversed(self._confirmed):
+        for snapshot in reversed(self._confirmed_snapshots):
             if snapshot is not self.in_force and generation in (None, snapshot.generation.number):
                 return snapshot
         detail = "no earlier generation is kept" if generation is None else f"generation {generation} is not kept"
         raise ChangeRejectedError(RejectionReason.NOT_FOUND, detail)
 
     def move_peers(self, now_ms: float, config: Config, document: Document, origin: str) -> Adoption:
-        """Put a configuration in force that differs in peer addresses alone, whatever is staged or in progress.
+        """Put a configuration that differs only in peer addresses into force, even if a change is staged or current.
 
-        A change in its canary period stays there, with the new addresses; so does the generation to which it would be
-        rolled back.
+        A change in its canary period stays in it. Both the generation in force and the one to which the change would
+        be rolled back get the new addresses.
         """
         generation = self._next_generation(config, origin, now_ms)
         self.in_force = GenerationSnapshot(generation, document, digest_of(document))
         if self.current is None:
-            self._confirmed.append(self.in_force)
+            self._confirmed_snapshots.append(self.in_force)
         else:
-            self._confirmed.append(_with_peers_of(self._confirmed.pop(), self.in_force))
-        confirmed = self._confirmed[-1]
+            self._confirmed_snapshots.append(_with_peer_addresses_of(self._confirmed_snapshots.pop(), self.in_force))
+        confirmed = self._confirmed_snapshots[-1]
         record = self._add_record(
             HistoryEvent.CONFIRMED,
             generation=confirmed.generation.number,
@@ -347,26 +351,22 @@
         )
         return Adoption(generation, record)
 
-    # Status
-
     def status(self, now_ms: float) -> ChangeStatus:
-        """Return what is in force, in progress and staged."""
+        """Return the generation in force, the change in progress and the staged change."""
         return ChangeStatus(
             in_force=self.in_force,
-            confirmed_generation=self._confirmed[-1].generation.number,
+            confirmed_generation=self._confirmed_snapshots[-1].generation.number,
             current=self.current,
             staged=self.staged,
-            rolled_back_for_ms=self._rolled_back.all_remaining_ms(now_ms),
+            rolled_back_for_ms=self._rolled_back_documents.all_remaining_ms(now_ms),
         )
 
-    # Shared steps
-
     def _enter(self, change: ConfigurationChange, state: ChangeState, now_ms: float, reason: str = "") -> None:
         change.enter(state, now_ms, reason)
         self._on_transition(change)
 
     def _require_current(self, state: ChangeState) -> ConfigurationChange:
-        """Return the current change if it is in this state, or raise ChangeRejectedError."""
+        """Return the current change, or raise ChangeRejectedError if it is not in this state."""
         if self.current is None or self.current.state is not state:
             raise ChangeRejectedError(RejectionReason.NOT_FOUND, f"no change is {STATE_WORDS[state]}")
         return self.current
@@ -404,7 +404,7 @@
         reason: str,
         document: Document | None,
     ) -> HistoryRecord:
-        """Append a record to those in memory, and return it to be written."""
+        """Create a record, add it to those in memory and return it for writing."""
         self._last_sequence_number += 1
         record = HistoryRecord(
             sequence_number=self._last_sequence_number,
@@ -421,10 +421,10 @@
         return record
 
 
-def _with_peers_of(snapshot: GenerationSnapshot, peers_source: GenerationSnapshot) -> GenerationSnapshot:
-    """Return a generation with the peer addresses of `peers_source`."""
+def _with_peer_addresses_of(snapshot: GenerationSnapshot, address_source: GenerationSnapshot) -> GenerationSnapshot:
+    """Return a generation with its peer addresses replaced by those of `address_source`."""
     old = snapshot.generation
-    document = {**snapshot.document, "peers": peers_source.document["peers"]}
-    config, _ = with_new_peer_addresses(old.config, peers_source.generation.config)
+    document = {**snapshot.document, "peers": address_source.document["peers"]}
+    config, _ = with_new_peer_addresses(old.config, address_source.generation.config)
     generation = Generation(old.number, config, old.origin, old.created_at_ms)
     return GenerationSnapshot(generation, document, digest_of(document))
