--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -1,8 +1,9 @@
-"""Canary analysis: whether requests fare worse since a change of the configuration than they did before it.
+"""Canary analysis: tests whether requests perform worse after a configuration change than before it.
 
 ``CanaryAnalysis.evaluate`` is called a few times a second during the canary period and compares the metrics since the
-change with a ``Baseline``. It runs the tests below in this order; the first that finds harm gives the verdict. A change
-is rolled back once ``REQUIRED_CONSECUTIVE_FINDINGS`` evaluations in a row found harm of the same kind.
+change with a ``Baseline``. It runs the tests below in this order; the first one that finds harm determines the verdict.
+A change is rolled back once ``REQUIRED_CONSECUTIVE_FINDINGS`` evaluations in a row have found harm of the
+same kind.
 
 To find out why a change was rolled back, look up the start of the reason (in the log, the status and the history):
 
@@ -41,23 +42,23 @@
 from nickelslip.configuration.metrics_window import BATCH_BUCKET_COUNT, Baseline, MetricsWindow, Variability
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
-SETTLE_MS = 250.0  # after the change: requests that were decided before it are still being answered
-RECENT_MS = 3000.0  # evaluated by itself, so that late harm is not diluted by the good time before it
+SETTLE_MS = 250.0  # not evaluated after a change, since requests decided before it are still being answered
+RECENT_MS = 3000.0  # also evaluated alone, so that the harmless time before it does not dilute harm that begins late
 REQUIRED_CONSECUTIVE_FINDINGS = 2
 
-# Evidence that a change does no harm
-MIN_EXPECTED_COMPLETIONS = 40.0  # requests since the change, by the rate of the baseline
+# Required for the verdict that a change does no harm
+MIN_EXPECTED_COMPLETIONS = 40.0  # requests expected since the change at the baseline rate
 MIN_COMPLETIONS = MIN_EXPECTED_COMPLETIONS / 4
-MAX_CONCLUSIVE_LOAD_RATIO = 1.5  # beyond it the allowance for the load hides too much
+MAX_CONCLUSIVE_LOAD_RATIO = 1.5  # above it, the allowance for the additional load would hide harm
 
 
 class CanaryStatus(Enum):
-    """What can be said of a change in its canary period."""
+    """The status of a change in its canary period."""
 
-    INSUFFICIENT_DATA = "too little has been seen"
-    SUSPECTED = "one evaluation has found harm, and the next one confirms or clears it"
-    NO_HARM = "no harm that could be told from chance"
-    HARM = "requests fare worse than before the change"
+    INSUFFICIENT_DATA = "not enough data for a decision"
+    SUSPECTED = "one evaluation has found harm; the next one confirms or dismisses it"
+    NO_HARM = "no statistically significant harm"
+    HARM = "requests perform worse than before the change"
 
 
 @dataclass(frozen=True)
@@ -65,9 +66,9 @@
     """The result of one evaluation.
 
     Attributes:
-        status: What can be said of the change.
-        reason: The finding in words; for harm it starts with the kind of harm and a colon.
-        figures: The figures behind the finding, by the keys under which clients read them.
+        status: The status of the change.
+        reason: The finding as text. For harm, it starts with the kind of harm and a colon.
+        figures: The figures behind the finding, under the keys that clients read.
     """
 
     status: CanaryStatus
@@ -76,7 +77,7 @@
 
 
 def load_ratio(baseline: Baseline, window: MetricsWindow) -> float:
-    """Return the rate of received requests over that of the baseline; 1 if either is unknown."""
+    """Return the ratio of the request rate to that of the baseline; 1 if either is unknown."""
     if not window.duration_ms or not baseline.duration_ms:
         return 1.0
     received_before = baseline.total().received
@@ -86,17 +87,17 @@
     return received / window.duration_ms / (received_before / baseline.duration_ms)
 
 
-# Memory
+# Memory usage
 
 MAX_MEMORY_FRACTION = 0.95
 MAX_BASELINE_MEMORY_FRACTION = 0.9
 
 
 def check_memory(baseline: Baseline, window: MetricsWindow) -> CanaryVerdict | None:
-    """Test whether the memory has nearly run out since the change.
+    """Test whether memory has nearly run out since the change.
 
-    Input is the largest sample of the used memory. It is harm over ``MAX_MEMORY_FRACTION``, but only if the baseline
-    stayed under ``MAX_BASELINE_MEMORY_FRACTION``: memory that was short before is not the change's doing.
+    The input is the largest sample of the used memory. More than ``MAX_MEMORY_FRACTION`` is harm, but only if the
+    baseline stayed below ``MAX_BASELINE_MEMORY_FRACTION``: the change does not cause a shortage that existed before.
     """
     used = window.max_memory_fraction
     used_before = baseline.max_memory_fraction
@@ -107,7 +108,7 @@
 
 # Requests completed in time
 
-MIN_MISSING_FRACTION = 0.15  # of the expected completions; less is no reason to roll back, however certain it is
+MIN_MISSING_FRACTION = 0.15  # of the expected completions; a smaller loss never justifies a rollback, however certain
 MIN_MISSING_COUNT = 5.0  # requests
 ANSCOMBE_OFFSET = 0.375
 
@@ -117,12 +118,12 @@
     window: MetricsWindow,
     min_standard_errors: float,
 ) -> CanaryVerdict | None:
-    """Test each traffic class and each tenant for requests that are no longer completed in time.
+    """Test whether a traffic class or a tenant has fewer requests completed in time than its baseline predicts.
 
-    The input of a group is its count of requests completed in time since the change and the count expected by its
-    baseline. It is harm if the missing requests are at least ``MIN_MISSING_COUNT``, at least ``MIN_MISSING_FRACTION``
-    of the expected ones, and the difference is at least ``min_standard_errors``. The first group in the order of the
-    baseline gives the verdict.
+    The input for each group is the number of requests completed in time since the change and the number expected from
+    the baseline. It is harm if the missing requests are at least ``MIN_MISSING_COUNT``, at least
+    ``MIN_MISSING_FRACTION`` of the expected ones, and at least ``min_standard_errors`` standard errors. Groups are
+    tested in the order of the baseline, and the first one with harm determines the verdict.
     """
     for name, pairs, displaced_work in displaced_work_of_groups(profile, window):
         harm = _check_group(name, pairs, profile, window, displaced_work, min_standard_errors)
@@ -139,7 +140,7 @@
     displaced_work: float,
     min_standard_errors: float,
 ) -> CanaryVerdict | None:
-    """Test one group for requests that are no longer completed in time."""
+    """Test whether a group has fewer requests completed in time than expected."""
     baseline = profile.baseline
     counts_before = baseline.counts_of(pairs)
     if not counts_before.received or not counts_before.completed_in_time:
@@ -147,7 +148,8 @@
     counts = window.counts_of(pairs)
     expected = expected_completions(pairs, profile, window, displaced_work)
     completed_per_ms = counts.completed_in_time / window.duration_ms
-    completed = completed_per_ms * window.duration_ms  # rounded as ``expected`` is, and as it is stored
+    # Rounded in the same way as ``expected``; this is also the value that is stored.
+    completed = completed_per_ms * window.duration_ms
     if expected - completed < max(MIN_MISSING_COUNT, MIN_MISSING_FRACTION * expected):
         return None
     variability = profile.variability[name]
@@ -177,10 +179,10 @@
     baseline: Baseline,
     window: MetricsWindow,
 ) -> float:
-    """Return by how many standard errors a count is under the expected one.
+    """Return by how many standard errors a count is below the expected one.
 
-    Under Anscombe's transform a Poisson count has a variance of 1. The expectation is an estimate from a count, too,
-    whose variance is added in proportion to the two durations.
+    Anscombe's transform gives a Poisson count a variance of 1. The expected count is itself estimated from a count, so
+    its variance is added in proportion to the two durations.
     """
     difference = 2 * (sqrt(expected + ANSCOMBE_OFFSET) - sqrt(completed + ANSCOMBE_OFFSET))
     return difference / sqrt(variability.dispersion * (1 + window.duration_ms / baseline.duration_ms))
@@ -192,15 +194,15 @@
     variability: Variability,
     bucket_count: int,
 ) -> float:
-    """Return by how many standard errors the fraction completed in time is under that of the baseline.
+    """Return by how many standard errors the fraction completed in time is below that of the baseline.
 
-    It detects harm sooner than the count, since the number of received requests is given. It is valid only while cores
-    are idle: otherwise a rise of the load lowers the fraction, too.
+    This detects harm sooner than the count does, since the number of received requests is known. It is valid only while
+    cores are idle: otherwise a rise in load lowers the fraction as well.
     """
     if not counts_before.received or not counts.received:
         return 0.0
     expected = counts_before.completed_in_time / counts_before.received * counts.received
-    # Laplace's rule keeps the pooled fraction from 0 and 1
+    # Laplace's rule keeps the pooled fraction above 0 and below 1.
     fraction = min(
         1.0,
         (counts_before.completed_in_time + counts.completed_in_time + 1)
@@ -211,23 +213,23 @@
     return (expected - counts.completed_in_time) / sqrt(variance * (1 + counts.received / counts_before.received))
 
 
-# Failures
+# Failed requests and calls
 
 MIN_FAILURE_COUNT = 5.0  # requests or calls
 MIN_FAILED_FRACTION_RISE = 0.03  # of all answers
-FAILED_FRACTION_RISE_PER_LOAD = 0.1  # allowed beyond it for each time the load of the baseline
+FAILED_FRACTION_RISE_PER_LOAD = 0.1  # additional rise allowed per multiple of the baseline load above 1
 MIN_FAILED_CALL_FRACTION_RISE = 0.1  # of all calls
 
 
 class FailureCount(NamedTuple):
-    """Failures among a number of requests or calls."""
+    """The number of failures and the total number of requests or calls."""
 
     failed: int
     total: int
 
     @property
     def fraction(self) -> float:
-        """The failed part; the total must not be 0."""
+        """The failed fraction. The total must not be 0."""
         return self.failed / self.total
 
 
@@ -238,9 +240,10 @@
 ) -> CanaryVerdict | None:
     """Test whether a larger fraction of the answers are failures than before the change.
 
-    Input are the failed requests and all answers. It is harm if at least ``MIN_FAILURE_COUNT`` failed, the fraction
-    rose by at least ``MIN_FAILED_FRACTION_RISE`` and the rise is at least ``min_standard_errors``. A rise of the load
-    makes some requests fail by itself, so ``FAILED_FRACTION_RISE_PER_LOAD`` of the additional load is allowed for.
+    The input is the number of failed requests and of all answers. It is harm if at least ``MIN_FAILURE_COUNT`` failed,
+    and the fraction rose by at least ``MIN_FAILED_FRACTION_RISE`` and by at least ``min_standard_errors`` standard
+    errors. A rise in load alone makes some requests fail, so the threshold grows by
+    ``FAILED_FRACTION_RISE_PER_LOAD`` times the additional load.
     """
     counts_before = baseline.total()
     counts = window.total()
@@ -262,8 +265,9 @@
 ) -> CanaryVerdict | None:
     """Test whether a larger fraction of the dependency calls fail than before the change.
 
-    Input are the failed calls and all calls that ended. It is harm if at least ``MIN_FAILURE_COUNT`` failed, the
-    fraction rose by at least ``MIN_FAILED_CALL_FRACTION_RISE`` and the rise is at least ``min_standard_errors``.
+    The input is the number of failed calls and of all calls that ended. It is harm if at least ``MIN_FAILURE_COUNT``
+    failed, and the fraction rose by at least ``MIN_FAILED_CALL_FRACTION_RISE`` and by at least ``min_standard_errors``
+    standard errors.
     """
     return _check_failures(
         "calls",
@@ -283,7 +287,7 @@
     min_standard_errors: float,
     load: float,
 ) -> CanaryVerdict | None:
-    """Test whether a fraction of failures has risen, by the two-proportion z-test."""
+    """Test whether the fraction of failures has risen, with a two-proportion z-test."""
     if not before.total or not since.total or since.failed < MIN_FAILURE_COUNT:
         return None
     rise = since.fraction - before.fraction
@@ -300,19 +304,16 @@
     )
 
 
-# The analysis
-
-
 class CanaryAnalysis:
     """The analysis of one change in its canary period.
 
     Args:
-        baseline: The span before the change.
-        changed_at_ms: The moment of the change.
-        standard_errors: How many standard errors make a difference that is not chance.
+        baseline: The metrics of the time before the change.
+        changed_at_ms: When the change was made.
+        standard_errors: The number of standard errors at which a difference counts as significant.
 
     Attributes:
-        evaluated_until_ms: End of the latest bucket that was evaluated.
+        evaluated_until_ms: End of the latest evaluated bucket.
     """
 
     def __init__(self, baseline: Baseline, changed_at_ms: float, standard_errors: float) -> None:
@@ -322,18 +323,18 @@
         self._profile = BaselineProfile(baseline)
 
     def restart(self, now_ms: float) -> None:
-        """Discard what was recorded up to now, since it says nothing about the change."""
+        """Discard all metrics recorded so far, because they do not reflect the change."""
         self.evaluated_until_ms = now_ms + SETTLE_MS
         self._window_since_change = MetricsWindow()
         self._recent_buckets = deque[MetricsBucket](maxlen=int(RECENT_MS / BUCKET_MS))
-        self._last_kind = ""  # of harm
+        self._last_harm_kind = ""
         self._consecutive_findings = 0
 
     def evaluate(self, buckets: Iterable[MetricsBucket]) -> CanaryVerdict:
-        """Return the verdict on all that was recorded since the change.
+        """Add buckets and return the verdict on all metrics recorded since the change.
 
         Args:
-            buckets: The whole buckets from ``evaluated_until_ms`` to now, the oldest first.
+            buckets: The complete buckets from ``evaluated_until_ms`` to now, oldest first.
         """
         for bucket in buckets:
             self._window_since_change.add(bucket)
@@ -343,22 +344,22 @@
         if harm is None and self._window_since_change.bucket_count > len(self._recent_buckets):
             harm = self._find_harm(MetricsWindow(self._recent_buckets))
         if harm is None:
-            self._last_kind = ""
+            self._last_harm_kind = ""
             self._consecutive_findings = 0
             return self._assess_without_harm()
-        return self._confirm(harm)
+        return self._require_repetition(harm)
 
-    def _confirm(self, harm: CanaryVerdict) -> CanaryVerdict:
-        """Return the finding as harm once it is the second of its kind in a row, before that as suspected."""
+    def _require_repetition(self, harm: CanaryVerdict) -> CanaryVerdict:
+        """Return the finding as harm if enough findings in a row were of its kind, else as suspected."""
         kind = harm.reason.split(":")[0]
-        self._consecutive_findings = self._consecutive_findings + 1 if kind == self._last_kind else 1
-        self._last_kind = kind
+        self._consecutive_findings = self._consecutive_findings + 1 if kind == self._last_harm_kind else 1
+        self._last_harm_kind = kind
         if self._consecutive_findings >= REQUIRED_CONSECUTIVE_FINDINGS:
             return harm
         return CanaryVerdict(CanaryStatus.SUSPECTED, harm.reason, harm.figures)
 
     def _find_harm(self, window: MetricsWindow) -> CanaryVerdict | None:
-        """Run the tests in their order and return the first harm found."""
+        """Run the tests in order and return the first harm found."""
         baseline = self._baseline
         if not window.duration_ms or not baseline.duration_ms:
             return None
@@ -370,7 +371,7 @@
         )
 
     def _assess_without_harm(self) -> CanaryVerdict:
-        """Return whether enough was recorded to call the change harmless."""
+        """Return the verdict for the case without harm: NO_HARM if there is enough data for it."""
         baseline = self._baseline
         load = load_ratio(baseline, self._window_since_change)
         completed = self._window_since_change.total().completed_in_time
--- a/nickelslip/configuration/metrics_window.py
+++ b/nickelslip/configuration/metrics_window.py
@@ -1,4 +1,4 @@
-"""Sums of request metrics over a span of time, and the baseline that a canary period is compared with."""
+"""Sums of request metrics over a time span, and the baseline with which a canary period is compared."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
-# Bursts of the load, which are left out of a baseline
+# Load bursts are excluded from a baseline.
 BURST_SPAN_BUCKET_COUNT = 4
 BURST_LOAD_RATIO = 1.5  # of the median load of a span
 BURST_STANDARD_DEVIATIONS = 3  # of a Poisson count
 
-# Variability of the completions
-BATCH_BUCKET_COUNT = 2  # buckets whose counts are taken as one observation
+# Variability of the completions in time
+BATCH_BUCKET_COUNT = 2  # buckets whose counts form one observation
 MIN_BATCH_COUNT = 4  # with fewer batches the variability is unknown
 NORMAL_DEVIATION_PER_MEDIAN = 1.4826  # standard deviation of a normal distribution over its median absolute deviation
-MAX_DEVIATION = 2.0  # standard deviations to which the residual of one batch is clipped
-MAX_AUTOCORRELATION = 0.7  # to which the estimate from few batches is clipped
+MAX_RESIDUAL_DEVIATIONS = 2.0  # standard deviations to which the residual of a batch is clipped
+MAX_AUTOCORRELATION = 0.7  # clips the estimate, which is unreliable with few batches
 MIN_SUM_OF_SQUARES = 1e-9  # avoids a division by zero
 
-LOW_WEIGHT_QUANTILE = 10  # one sample in so many lies at or under the low weight
+LOW_WEIGHT_DIVISOR = 10  # the low weight is the lowest decile of the samples
 
 
 class MetricsWindow:
-    """Buckets of one span of time, summed up by traffic class and tenant as they are added.
+    """Sums the buckets of a time span by traffic class and tenant.
 
     Args:
-        buckets: The first buckets, the oldest first.
+        buckets: The first buckets, oldest first.
     """
 
     def __init__(self, buckets: Iterable[MetricsBucket] = ()) -> None:
@@ -63,7 +63,7 @@
 
     @property
     def duration_ms(self) -> float:
-        """Length of the span."""
+        """Length of the time span."""
         return self.bucket_count * BUCKET_MS
 
     @property
@@ -77,7 +77,7 @@
         return self._weight_sum / self._weight_sample_count if self._weight_sample_count else 1.0
 
     def groups(self) -> dict[str, set[ClassTenantPair]]:
-        """Return the pairs of each traffic class and of each tenant, by the name of the group."""
+        """Return the pairs of each traffic class and of each tenant, keyed by the name of the group."""
         groups: dict[str, set[ClassTenantPair]] = {}
         for pair in self.counts:
             traffic_class, tenant = pair
@@ -104,10 +104,10 @@
     """How much the completions in time of a group vary from batch to batch.
 
     Attributes:
-        dispersion: Variance of the count over that of a Poisson count, at least 1, with the autocorrelation of
-            consecutive batches allowed for.
-        batch_variance: Variance that one batch adds to the count when the number of received requests is known.
-            Batches that compensate one another lower it. Infinite where it is unknown.
+        dispersion: Ratio of the variance of the count to that of a Poisson count, at least 1. It includes the effect of
+            the autocorrelation of consecutive batches.
+        batch_variance: Variance that one batch adds to the count if the number of received requests is known. Batches
+            that compensate for each other reduce it. Infinite if unknown.
     """
 
     dispersion: float
@@ -115,14 +115,14 @@
 
 
 class Baseline(MetricsWindow):
-    """The span before a change, without the bursts that were over by the time of the change.
+    """The metrics of the time span before a change, without load bursts.
 
     Args:
-        buckets: All buckets of the span, the oldest first.
+        buckets: All buckets of the time span, oldest first.
 
     Attributes:
-        buckets: The buckets that are used.
-        low_weight: A low advertised weight (lowest decile of the buckets) of the span.
+        buckets: The buckets outside bursts.
+        low_weight: The lowest decile of the advertised weight over these buckets.
     """
 
     def __init__(self, buckets: Iterable[MetricsBucket]) -> None:
@@ -131,28 +131,28 @@
         weights = sorted(
             bucket.weight_sum / bucket.weight_sample_count for bucket in self.buckets if bucket.weight_sample_count
         )
-        self.low_weight = weights[len(weights) // LOW_WEIGHT_QUANTILE] if weights else 1.0
+        self.low_weight = weights[len(weights) // LOW_WEIGHT_DIVISOR] if weights else 1.0
 
     def variability(self, pairs: set[ClassTenantPair]) -> Variability:
         """Estimate how much the completions in time of these pairs vary.
 
-        The estimate uses the residuals of the count given the requests received in the same batch. Variation of the
-        load itself is left out because the comparison allows for it; a burst would otherwise pass for noise.
+        The estimate uses the residuals of the count, given the requests received in the same batch. Variation of the
+        load itself is excluded because the comparison allows for it. Otherwise a burst would count as noise.
         """
         total = self.counts_of(pairs)
         batch_count = len(self.buckets) // BATCH_BUCKET_COUNT
         if batch_count < MIN_BATCH_COUNT or not total.completed_in_time or not total.received:
             return Variability(1.0, inf)
         residuals = self._batch_residuals(pairs, batch_count, total.completed_in_time / total.received)
-        residuals = _clipped(residuals)
+        residuals = _clip_outliers(residuals)
         variance = sum(residual * residual for residual in residuals) / (batch_count - 1)
         products = sum(first * second for first, second in zip(residuals, residuals[1:], strict=False))
         autocorrelation = products / max(variance * (batch_count - 1), MIN_SUM_OF_SQUARES)
         autocorrelation = min(max(autocorrelation, -MAX_AUTOCORRELATION), MAX_AUTOCORRELATION)
-        positive = max(autocorrelation, 0.0)
+        positive_autocorrelation = max(autocorrelation, 0.0)
         mean = total.completed_in_time / batch_count
         return Variability(
-            dispersion=max(1.0, variance / mean) * (1 + positive) / (1 - positive),
+            dispersion=max(1.0, variance / mean) * (1 + positive_autocorrelation) / (1 - positive_autocorrelation),
             batch_variance=variance * (1 + autocorrelation) / (1 - autocorrelation),
         )
 
@@ -162,7 +162,7 @@
         batch_count: int,
         in_time_fraction: float,
     ) -> list[float]:
-        """Return for each batch the completions in time less those that its received requests let expect."""
+        """Return, for each batch, the completions in time minus those expected from its received requests."""
         residuals = [0.0] * batch_count
         for position, bucket in enumerate(self.buckets[: batch_count * BATCH_BUCKET_COUNT]):
             for pair, counts in bucket.counts.items():
@@ -172,20 +172,22 @@
         return residuals
 
 
-def _clipped(residuals: list[float]) -> list[float]:
-    """Clip outliers, so that one bad second does not hide harm in all others."""
-    max_residual = MAX_DEVIATION * NORMAL_DEVIATION_PER_MEDIAN * median(map(abs, residuals))
+def _clip_outliers(residuals: list[float]) -> list[float]:
+    """Clip outliers, so that one bad second does not hide harm in the rest of the time."""
+    max_residual = MAX_RESIDUAL_DEVIATIONS * NORMAL_DEVIATION_PER_MEDIAN * median(map(abs, residuals))
     if max_residual <= 0:
         return residuals
     return [min(max(residual, -max_residual), max_residual) for residual in residuals]
 
 
 def _without_bursts(buckets: list[MetricsBucket]) -> list[MetricsBucket]:
-    """Return the buckets of the spans that received no far more requests than the median span."""
+    """Return the buckets without those of spans that received far more requests than the median span."""
     spans = [
         buckets[start : start + BURST_SPAN_BUCKET_COUNT] for start in range(0, len(buckets), BURST_SPAN_BUCKET_COUNT)
     ]
     received = [sum(counts.received for bucket in span for counts in bucket.counts.values()) for span in spans]
-    usual = median(received) if received else 0.0
-    max_received = max(BURST_LOAD_RATIO * usual, usual + BURST_STANDARD_DEVIATIONS * sqrt(usual))
+    median_received = median(received) if received else 0.0
+    max_received = max(
+        BURST_LOAD_RATIO * median_received, median_received + BURST_STANDARD_DEVIATIONS * sqrt(median_received)
+    )
     return [bucket for span, count in zip(spans, received, strict=True) for bucket in span if count <= max_received]
--- a/nickelslip/configuration/request_metrics.py
+++ b/nickelslip/configuration/request_metrics.py
@@ -1,8 +1,8 @@
-"""Counts of finished requests by traffic class and tenant, in fixed buckets of time.
+"""Request counts by traffic class and tenant, in time buckets of fixed length.
 
-The buckets are reused in a ring, so memory is bounded by the span that is kept and by the number of pairs of class
-and tenant. Recording an event costs one look-up and one addition. The module has no clock and does no I/O;
-``canary_analysis`` compares what is counted here.
+The buckets form a ring, so memory is bounded by the time span that is kept and by the number of pairs of class and
+tenant. Recording an event costs one lookup and one addition. This module has no clock and does no I/O.
+``canary_analysis`` compares these counts before and after a change.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from nickelslip.admission.interface import RequestState
 
 BUCKET_MS = 250.0
-MAX_PAIRS = 256  # requests of further pairs count for their traffic class, without the tenant
+MAX_PAIRS = 256  # requests of further pairs are counted for their traffic class, without the tenant
 ClassTenantPair = tuple[str, str]  # names of the traffic class and of the tenant; "" stands for no tenant
 
 
@@ -20,13 +20,13 @@
     """Counts of one pair of traffic class and tenant.
 
     Attributes:
-        received: First attempts that were read. Retries are left out: a rejection causes retries, which would look
-            like a rise of the load.
-        completed_in_time: Completed within the latency objective of the class.
-        completed_late: Completed after the latency objective.
-        rejected: Answered with a rejection.
-        failed: Admitted and answered with a failure.
-        cancelled: Ended without an answer.
+        received: First attempts that were read. Retries are not counted: rejections cause retries, which would look
+            like a rise in load.
+        completed_in_time: Requests completed within the latency objective of the class.
+        completed_late: Requests completed after the latency objective.
+        rejected: Requests answered with a rejection.
+        failed: Requests admitted and answered with a failure.
+        cancelled: Requests ended without an answer.
         work_ms: CPU time of the requests completed in time.
     """
 
@@ -42,7 +42,7 @@
         self.work_ms = 0.0
 
     def add(self, other: RequestCounts) -> None:
-        """Add the counts of another pair or bucket to these."""
+        """Add the counts of another pair or bucket."""
         self.received += other.received
         self.completed_in_time += other.completed_in_time
         self.completed_late += other.completed_late
@@ -53,18 +53,18 @@
 
     @property
     def answered(self) -> int:
-        """Requests that were answered, whatever the answer."""
+        """All answered requests: completed, rejected or failed."""
         return self.completed_in_time + self.completed_late + self.rejected + self.failed
 
 
 class MetricsBucket:
-    """What was recorded in one span of ``BUCKET_MS``.
+    """The metrics recorded in one time span of ``BUCKET_MS``.
 
     Attributes:
         number: Start of the bucket in units of ``BUCKET_MS``.
-        counts: The counts of each pair that occurred.
+        counts: The counts of each pair that has any in this bucket.
         call_count: Dependency calls that ended.
-        failed_call_count: Those of them that failed.
+        failed_call_count: Dependency calls that failed.
         max_memory_fraction: Largest sample of the used memory; 0 if there is none.
         weight_sum: Sum of the samples of the advertised weight.
         weight_sample_count: Number of those samples.
@@ -88,7 +88,7 @@
         self.clear(number)
 
     def clear(self, number: int) -> None:
-        """Empty the bucket and reuse it for another number."""
+        """Clear the bucket for reuse under another number."""
         self.number = number
         self.counts: dict[ClassTenantPair, RequestCounts] = {}
         self.call_count = 0
@@ -101,11 +101,11 @@
 
 
 class RequestMetrics:
-    """The buckets of the most recent span of time.
+    """The metrics of the most recent time span, in buckets.
 
     Args:
-        span_ms: How far back the buckets are kept.
-        latency_objectives_ms: The latency objective of each traffic class, by name.
+        span_ms: How long the buckets are kept.
+        latency_objectives_ms: The latency objective of each traffic class, keyed by its name.
     """
 
     def __init__(self, span_ms: float, latency_objectives_ms: Mapping[str, float]) -> None:
@@ -115,7 +115,7 @@
         self._latency_objectives_ms: Mapping[str, float] = latency_objectives_ms
 
     def set_latency_objectives(self, latency_objectives_ms: Mapping[str, float]) -> None:
-        """Classify requests that end from now on by these latency objectives."""
+        """Set the latency objectives by which completed requests are classified from now on."""
         self._latency_objectives_ms = latency_objectives_ms
 
     @property
@@ -124,7 +124,7 @@
         return self._latency_objectives_ms
 
     def _bucket(self, now_ms: float) -> MetricsBucket:
-        """Return the bucket of this moment; a moment before the current bucket counts in the current one."""
+        """Return the bucket for this time; a time before the current bucket is assigned to the current one."""
         number = int(now_ms // BUCKET_MS)
         if number > self._current.number:
             self._current = self._ring[number % len(self._ring)]
@@ -132,7 +132,7 @@
         return self._current
 
     def _counts(self, now_ms: float, traffic_class: str, tenant: str | None) -> RequestCounts:
-        """Return the counts to which an event of this class and tenant belongs."""
+        """Return the counts that an event of this class and tenant updates."""
         counts_by_pair = self._bucket(now_ms).counts
         pair = (traffic_class, tenant or "")
         counts = counts_by_pair.get(pair)
@@ -145,7 +145,7 @@
         return counts_by_pair.setdefault(pair, RequestCounts())
 
     def request_received(self, now_ms: float, traffic_class: str, tenant: str | None) -> None:
-        """Record a first attempt that was read."""
+        """Record the receipt of a first attempt."""
         self._counts(now_ms, traffic_class, tenant).received += 1
 
     def request_ended(
@@ -160,12 +160,12 @@
         """Record the end of a request.
 
         Args:
-            now_ms: The moment at which it ended.
+            now_ms: When it ended.
             traffic_class: Name of its traffic class.
             tenant: Name of its tenant, if it has one.
-            state: Its final state; one other than COMPLETED, REJECTED and FAILED counts as cancelled.
+            state: Its final state. Any state other than COMPLETED, REJECTED and FAILED counts as cancelled.
             elapsed_ms: Time since the request reached this machine.
-            work_ms: CPU time that its run took.
+            work_ms: CPU time used by its run.
         """
         counts = self._counts(now_ms, traffic_class, tenant)
         if state is RequestState.COMPLETED:
@@ -197,9 +197,9 @@
         """Record one sample of the server's own state.
 
         Args:
-            now_ms: The moment of the sample.
+            now_ms: The time of the sample.
             weight: The advertised weight as a fraction of the full weight.
-            memory_fraction: Used part of the memory, if known.
+            memory_fraction: Used fraction of the memory, if known.
             cpu_fraction: Utilization of the cores, if known.
         """
         bucket = self._bucket(now_ms)
@@ -211,9 +211,9 @@
             bucket.cpu_sample_count += 1
 
     def between(self, begin_at_ms: float, end_at_ms: float) -> Iterator[MetricsBucket]:
-        """Yield the buckets that lie wholly in this span, the oldest first.
+        """Yield the buckets that lie entirely within this time span, oldest first.
 
-        A bucket in which nothing was recorded is yielded empty; one that is no longer kept is left out.
+        A bucket without recorded events is yielded empty. A bucket that is no longer kept is skipped.
         """
         first = -int(-begin_at_ms // BUCKET_MS)
         end = int(end_at_ms // BUCKET_MS)
