--- a/nickelslip/configuration/history.py
+++ b/nickelslip/configuration/history.py
@@ -1,8 +1,8 @@
-"""Byte format of the configuration history: its records, its file, and what a file says at the next start.
+"""Byte format of the configuration history: its records, its file, and the selection of records at a start.
 
 The file begins with a magic line. Each record is a header (body length, 4 bytes, and the XXH3-64 of the body, 8 bytes,
-both big-endian) and a body in JSON. Decoding stops at the first record that is truncated, fails its checksum or does
-not follow the one before it in sequence; everything up to there is valid. This module does no I/O.
+both big-endian) and a body in JSON. Decoding stops at the first record that is truncated, fails its checksum or has no
+higher sequence number than the record before it. All records before that one are valid. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class HistoryEvent(Enum):
-    """What a record reports of its generation."""
+    """The event of a generation that a record reports."""
 
-    APPLIED = "applied"  # in its canary period: not restored at a start
+    APPLIED = "applied"  # not confirmed yet, so not restored at a start
     CONFIRMED = "confirmed"
     ROLLED_BACK = "rolled back"
     REJECTED = "refused"
-    STARTED = "started"  # a start from files that the history did not know: counts as confirmed
+    STARTED = "started"  # a start from files that are not in the history; counts as confirmed
 
 
-# Stored words and names, and their order in the body, stay as they are when a name in the code changes.
+# Stored event names. They, the keys of the body and the order of the keys must not change when the code is renamed.
 STORED_EVENTS = {
     HistoryEvent.APPLIED: "applied",
     HistoryEvent.CONFIRMED: "confirmed",
@@ -52,16 +52,16 @@
     """One event of one generation.
 
     Attributes:
-        sequence_number: Position in the file, from 1 up; kept when the file is compacted.
-        event: What happened.
-        generation: Number of the generation; 0 where the change had none yet.
+        sequence_number: Rises from record to record, starting at 1; kept when the file is compacted.
+        event: The event.
+        generation: Number of the generation; 0 if the change had none yet.
         digest: Digest of the generation's document.
         origin: Where the document came from.
         recorded_at_ms: Unix time of the event.
         reason: Why it happened.
-        document: The whole document, where the generation may be restored at a start.
-        file_digest: Digest of the document in the configuration files at the time; other files take precedence over
-            the history at a start.
+        document: The complete document, if the generation may be restored at a start.
+        file_digest: Digest of the document in the configuration files at that time. If the files differ from it at a
+            start, they take precedence over the history.
     """
 
     sequence_number: int
@@ -76,21 +76,21 @@
 
 
 class DecodedHistory(NamedTuple):
-    """The valid records of a file, and the offset at which the next one is written."""
+    """The valid records of a file, and the offset at which the next record is to be written."""
 
     records: list[HistoryRecord]
     end_offset: int
 
 
 class _DecodedRecord(NamedTuple):
-    """One valid record, and the offset of its end."""
+    """A valid record and the offset of its end."""
 
     record: HistoryRecord
     end_offset: int
 
 
 def _stored_from_record(record: HistoryRecord) -> dict[str, Any]:
-    """Return the JSON object that is stored for a record."""
+    """Return the JSON object to store for a record."""
     return {
         "at": record.sequence_number,
         "event": STORED_EVENTS[record.event],
@@ -105,10 +105,10 @@
 
 
 def _record_from_stored(stored: dict[str, Any]) -> HistoryRecord:
-    """Return the record of a stored JSON object, ignoring names that this version does not know.
+    """Return the record of a stored JSON object, ignoring keys that this version does not know.
 
     Raises:
-        KeyError: A required name is missing, or the event is unknown.
+        KeyError: A required key is missing, or the event is unknown.
         TypeError: The body is not a JSON object.
     """
     return HistoryRecord(
@@ -130,7 +130,7 @@
     Raises:
         RecordTooLargeError: The body exceeds MAX_RECORD_BYTES.
     """
-    import xxhash  # an optional dependency: only needed where changes are enabled
+    import xxhash  # an optional dependency, only needed if changes are enabled
 
     body = orjson.dumps(_stored_from_record(record))
     if len(body) > MAX_RECORD_BYTES:
@@ -146,7 +146,7 @@
 def decode_file(data: bytes) -> DecodedHistory:
     """Return the valid records of a file, in order.
 
-    A file without the magic line of this version has no records and an end offset of 0: it has to be written anew.
+    A file without the magic line of this version yields no records and an end offset of 0: it must be rewritten.
     """
     if not data.startswith(MAGIC):
         return DecodedHistory([], 0)
@@ -161,7 +161,7 @@
 
 
 def _decode_record(data: bytes, offset: int) -> _DecodedRecord | None:
-    """Return the record at an offset, or None where there is no valid one."""
+    """Return the record at an offset, or None if there is no valid one."""
     import xxhash
 
     body_offset = offset + RECORD_HEADER.size
@@ -191,8 +191,8 @@
 def compact(records: list[HistoryRecord]) -> list[HistoryRecord]:
     """Return the records that a compacted file keeps.
 
-    These are the latest COMPACTED_RECORD_COUNT, and in any case the last confirmed generation and the one confirmed
-    before it, to which an operator may go back. Only these two keep their documents.
+    These are the latest COMPACTED_RECORD_COUNT records, and always those of the last confirmed generation and of the
+    one confirmed before it, to which an operator may return. Only these two records keep their documents.
     """
     current = last_confirmed(records)
     previous = last_confirmed(records[: records.index(current)]) if current else None
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -1,8 +1,11 @@
-"""The state machine of a staged rollout: a canary, then waves, rolled back at the first target that rolls back.
+"""The state machine of a staged rollout, which applies a document to a canary target and then to waves of targets.
 
-``Rollout`` decides what is done next with each target (the control socket of one server) and what follows from each
-reply. It has no clock and does no I/O: ``rollout_runner`` carries its instructions out and records the replies. A
-target that is down or answers late is neither counted as confirmed nor waited for without a bound.
+If a target rolls the document back or rejects it, or too many targets are unreachable, all targets are rolled back. A
+target is the control socket of one server. One that is down or replies late never counts as confirmed, and the time to
+wait for it is bounded.
+
+``Rollout`` decides on the next action for each target and evaluates the replies. It has no clock and does no I/O:
+``rollout_runner`` carries out its instructions and records the replies.
 """
 
 from __future__ import annotations
@@ -19,7 +22,7 @@
 
     PENDING = "its wave has not begun"
     APPLYING = "it is asked to apply the document"
-    IN_CANARY_PERIOD = "it has applied the document and watches it"
+    IN_CANARY_PERIOD = "it has applied the document and observes the effect"
     CONFIRMED = "it has confirmed the document"
     FAILED = "it has rolled back or rejected the document"
     UNREACHABLE = "it did not answer in time"
@@ -40,7 +43,7 @@
 
 
 class Action(Enum):
-    """What is to be done with a target."""
+    """An action to carry out at a target."""
 
     APPLY = "apply the document"
     CHECK_STATUS = "ask for the status"
@@ -74,20 +77,20 @@
     TargetState.ROLLED_BACK: (),
     TargetState.ROLLBACK_FAILED: (),
 }
-ACTIONS: dict[TargetState, Action] = {
+ACTION_BY_STATE: dict[TargetState, Action] = {
     TargetState.APPLYING: Action.APPLY,
     TargetState.IN_CANARY_PERIOD: Action.CHECK_STATUS,
     TargetState.ROLLBACK_PENDING: Action.ROLL_BACK,
 }
-UNDECIDED = (TargetState.APPLYING, TargetState.IN_CANARY_PERIOD)
-MAY_HAVE_DOCUMENT = (TargetState.CONFIRMED, TargetState.UNREACHABLE, *UNDECIDED)
-DONE_WITH_ROLLBACK = (
+UNDECIDED_STATES = (TargetState.APPLYING, TargetState.IN_CANARY_PERIOD)
+STATES_WITH_POSSIBLE_DOCUMENT = (TargetState.CONFIRMED, TargetState.UNREACHABLE, *UNDECIDED_STATES)
+STATES_DONE_WITH_ROLLBACK = (
     TargetState.PENDING,
     TargetState.FAILED,
     TargetState.ROLLED_BACK,
     TargetState.ROLLBACK_FAILED,
 )
-FINISHED = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK, RolloutStatus.ROLLBACK_FAILED)
+FINISHED_STATUSES = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK, RolloutStatus.ROLLBACK_FAILED)
 
 # Codes of the control protocol
 REJECTION_CODES = ("faulty", "restart", "undone", "unproven", "improper", "leaving", "history", "none")
@@ -95,22 +98,22 @@
 TOO_LATE_CODE = "late"
 NOT_IN_FORCE_CODES = ("overtaken", "none")
 
-MAX_REASON_LENGTH = 200  # characters of a target's own words
+MAX_REASON_LENGTH = 200  # characters of a reason given by a target
 MAX_LISTED_TARGETS = 5
 
 
 @dataclass(frozen=True)
 class RolloutPolicy:
-    """How a rollout proceeds.
+    """The waves, limits and timeouts of a rollout.
 
     Attributes:
-        wave_fractions: Rising fractions of all targets that have been asked by the end of each wave. A wave has at
-            least one target, so the first of 0 is a canary.
-        max_unreachable_count: Targets that may be unreachable before all are rolled back.
+        wave_fractions: Increasing fractions of the targets asked to apply the document by the end of each wave. Every
+            wave has at least one target, so a first fraction of 0 means a single canary.
+        max_unreachable_count: The number of unreachable targets above which all targets are rolled back.
         reply_timeout_ms: Timeout of one reply.
-        unreachable_after_ms: Time without a reply after which a target is unreachable.
+        unreachable_after_ms: Time without a reply after which a target counts as unreachable.
         status_check_interval_ms: Time between two status checks of a target.
-        max_canary_period_ms: Time after which a target that is still in its canary period counts as unreachable.
+        canary_timeout_ms: Time after which a target that is still in its canary period counts as unreachable.
         rollback_timeout_ms: Timeout of the whole rollback.
     """
 
@@ -125,14 +128,14 @@
 
 @dataclass(frozen=True)
 class Instruction:
-    """One action to be carried out now at one target."""
+    """An action to carry out at a target now."""
 
     target: str
     action: Action
 
 
 class TargetReport(NamedTuple):
-    """The state of a target, and the reason for it where there is one."""
+    """The state of a target and the reason for it, if there is one."""
 
     state: TargetState
     reason: str
@@ -140,16 +143,16 @@
 
 @dataclass
 class _Target:
-    """What is known of one target.
+    """The progress of one target.
 
     Attributes:
         name: Path of its control socket.
-        state: Its state.
-        reason: Why it is in this state, if there is more to say.
+        state: Its current state.
+        reason: Why it is in this state; may be empty.
         entered_at_ms: When it entered this state.
-        last_reply_at_ms: When it last replied, or was first asked.
+        last_reply_at_ms: When it last replied; before the first reply, when it was first asked.
         next_action_at_ms: When the next action is due.
-        is_action_pending: Whether an action is being carried out.
+        is_action_pending: Whether an action is being carried out at it.
     """
 
     name: str
@@ -162,7 +165,7 @@
 
 
 def wave_ends(target_count: int, wave_fractions: Sequence[float]) -> list[int]:
-    """Return how many targets have been asked by the end of each wave; the last wave takes in all."""
+    """Return how many targets have been asked by the end of each wave. The last wave includes all targets."""
     ends: list[int] = []
     for fraction in (*wave_fractions, 1.0):
         end = min(target_count, max(1, ceil(fraction * target_count)))
@@ -176,16 +179,16 @@
 
     Args:
         targets: The paths of the control sockets, in the order of the waves.
-        policy: How to proceed.
-        now_ms: The present moment.
+        policy: The waves, limits and timeouts.
+        now_ms: The current time.
 
     Attributes:
-        wave: Index of the present wave.
-        status: Status of the whole.
-        reason: Why all are rolled back.
+        wave: Index of the current wave.
+        status: Status of the whole rollout.
+        reason: Why all targets are rolled back; empty while they are not.
 
     Raises:
-        ValueError: There is no target, or one is named twice.
+        ValueError: There is no target, or a target is given twice.
     """
 
     def __init__(self, targets: Sequence[str], policy: RolloutPolicy, now_ms: float) -> None:
@@ -201,7 +204,7 @@
         self._begin_next_wave(now_ms)
 
     def _enter(self, target: _Target, state: TargetState, now_ms: float, reason: str = "") -> None:
-        """Move a target to another state; the only place that does so."""
+        """Move a target to another state. No other code sets the state."""
         if state not in TRANSITIONS[target.state]:
             raise RuntimeError(f"{target.name} cannot go from {target.state.name} to {state.name}")
         target.state = state
@@ -214,11 +217,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to be done."""
-        return self.status in FINISHED
+        """Whether the rollout has ended, successfully or not."""
+        return self.status in FINISHED_STATUSES
 
     def _asked_targets(self) -> list[_Target]:
-        """Return the targets of all waves up to the present one."""
+        """Return the targets of all waves up to the current one."""
         return list(self._targets.values())[: self._wave_ends[self.wave]]
 
     def _begin_next_wave(self, now_ms: float) -> None:
@@ -229,12 +232,10 @@
                 target.last_reply_at_ms = now_ms
                 target.next_action_at_ms = now_ms
 
-    # The passing of time
-
     def advance(self, now_ms: float) -> list[Instruction]:
-        """Apply what follows from the time alone and return what is to be done now.
+        """Apply timeouts, update the wave or the rollback, and return the instructions to carry out now.
 
-        Each instruction has to be answered by one call of ``record_reply``.
+        The caller must call ``record_reply`` exactly once for each instruction.
         """
         for target in self._targets.values():
             self._check_timeouts(target, now_ms)
@@ -245,9 +246,9 @@
         if self.is_finished:
             return []
         return [
-            self._instruct(target, ACTIONS[target.state], now_ms)
+            self._instruct(target, ACTION_BY_STATE[target.state], now_ms)
             for target in self._targets.values()
-            if not target.is_action_pending and now_ms >= target.next_action_at_ms and target.state in ACTIONS
+            if not target.is_action_pending and now_ms >= target.next_action_at_ms and target.state in ACTION_BY_STATE
         ]
 
     def _instruct(self, target: _Target, action: Action, now_ms: float) -> Instruction:
@@ -258,16 +259,16 @@
         return Instruction(target.name, action)
 
     def _check_timeouts(self, target: _Target, now_ms: float) -> None:
-        """Declare a target unreachable that has not replied, or not come to a decision, in time."""
-        silent_ms = now_ms - target.last_reply_at_ms
+        """Mark a target as unreachable if it has not replied or not finished its canary period in time."""
+        since_reply_ms = now_ms - target.last_reply_at_ms
         in_state_ms = now_ms - target.entered_at_ms
-        if target.state in UNDECIDED and silent_ms > self._policy.unreachable_after_ms:
+        if target.state in UNDECIDED_STATES and since_reply_ms > self._policy.unreachable_after_ms:
             self._enter(target, TargetState.UNREACHABLE, now_ms, "no answer in time")
         elif target.state is TargetState.IN_CANARY_PERIOD and in_state_ms > self._policy.canary_timeout_ms:
             self._enter(target, TargetState.UNREACHABLE, now_ms, "its probation does not end")
 
     def _check_wave(self, now_ms: float) -> None:
-        """Roll back where a target failed or too many are unreachable; go on once the wave is decided."""
+        """Begin the rollback if a target failed or too many are unreachable. Else continue once the wave is decided."""
         asked = self._asked_targets()
         failed = next((target for target in asked if target.state is TargetState.FAILED), None)
         if failed is not None:
@@ -277,10 +278,10 @@
         if len(unreachable) > self._policy.max_unreachable_count:
             self._roll_back(now_ms, f"{len(unreachable)} lost: {', '.join(unreachable[:MAX_LISTED_TARGETS])}")
             return
-        if any(target.state in UNDECIDED for target in asked):
+        if any(target.state in UNDECIDED_STATES for target in asked):
             return
-        new_in_wave = asked[self._wave_ends[self.wave - 1] if self.wave else 0 :]
-        if not any(target.state is TargetState.CONFIRMED for target in new_in_wave):
+        added_in_wave = asked[self._wave_ends[self.wave - 1] if self.wave else 0 :]
+        if not any(target.state is TargetState.CONFIRMED for target in added_in_wave):
             self._roll_back(now_ms, "a whole wave is lost")
         elif self.wave + 1 < len(self._wave_ends):
             self._begin_next_wave(now_ms)
@@ -288,36 +289,34 @@
             self.status = RolloutStatus.COMPLETED
 
     def _roll_back(self, now_ms: float, reason: str) -> None:
-        """Begin to roll back every target that has the document, or may have it."""
+        """Begin to roll back every target that has the document or may have it."""
         self.status = RolloutStatus.ROLLING_BACK
         self.reason = reason
         self._rollback_began_at_ms = now_ms
         for target in self._targets.values():
-            if target.state in MAY_HAVE_DOCUMENT:
+            if target.state in STATES_WITH_POSSIBLE_DOCUMENT:
                 self._enter(target, TargetState.ROLLBACK_PENDING, now_ms, target.reason)
                 target.next_action_at_ms = now_ms
 
     def _check_rollback(self, now_ms: float) -> None:
-        """End the rollback once every target is done with it, or its time is over."""
+        """End the rollback once every target is done or the timeout has expired."""
         if now_ms - self._rollback_began_at_ms > self._policy.rollback_timeout_ms:
             for target in self._targets.values():
-                self._give_up_rollback(target, now_ms)
+                self._abort_rollback(target, now_ms)
         states = [target.state for target in self._targets.values()]
-        if not all(state in DONE_WITH_ROLLBACK for state in states):
+        if not all(state in STATES_DONE_WITH_ROLLBACK for state in states):
             return
         if TargetState.ROLLBACK_FAILED in states:
             self.status = RolloutStatus.ROLLBACK_FAILED
         else:
             self.status = RolloutStatus.ROLLED_BACK
 
-    def _give_up_rollback(self, target: _Target, now_ms: float) -> None:
+    def _abort_rollback(self, target: _Target, now_ms: float) -> None:
         if target.state is TargetState.ROLLBACK_PENDING:
             self._enter(target, TargetState.ROLLING_BACK, now_ms)
         if target.state is TargetState.ROLLING_BACK:
             self._enter(target, TargetState.ROLLBACK_FAILED, now_ms, "no answer while going back")
 
-    # Replies
-
     def record_reply(
         self,
         now_ms: float,
@@ -326,14 +325,14 @@
         reply: dict[str, Any] | None,
         digest: str,
     ) -> None:
-        """Record what came of an instruction.
+        """Record the outcome of an instruction.
 
         Args:
-            now_ms: The present moment.
+            now_ms: The current time.
             name: The target of the instruction.
             action: The action of the instruction.
-            reply: The target's reply, or None if none came in time.
-            digest: Digest of the document at this target, as its reply to ``Action.APPLY`` gave it.
+            reply: The reply of the target, or None if there was none in time.
+            digest: Digest of the document at this target, taken from its reply to ``Action.APPLY``.
         """
         target = self._targets[name]
         target.is_action_pending = False
@@ -360,7 +359,7 @@
             self._enter(target, TargetState.UNREACHABLE, now_ms, "it answered too late")
         elif code in REJECTION_CODES:
             self._enter(target, TargetState.FAILED, now_ms, str(reply.get("text", "refused"))[:MAX_REASON_LENGTH])
-        else:  # busy: asked again until it is unreachable
+        else:  # busy: ask again until the target counts as unreachable
             target.reason = str(reply.get("text", "busy"))[:MAX_REASON_LENGTH]
             if now_ms - target.entered_at_ms > self._policy.unreachable_after_ms:
                 self._enter(target, TargetState.UNREACHABLE, now_ms, target.reason)
@@ -370,13 +369,13 @@
             return
         current = reply.get("current") or {}
         if reply.get("digest") != digest:
-            verdict = (reply.get("verdict") or {}).get("reason", "it is not in force any more")
-            self._enter(target, TargetState.FAILED, now_ms, str(verdict)[:MAX_REASON_LENGTH])
+            reason = (reply.get("verdict") or {}).get("reason", "it is not in force any more")
+            self._enter(target, TargetState.FAILED, now_ms, str(reason)[:MAX_REASON_LENGTH])
         elif reply.get("step") == "confirmed" and current.get("step") != "on_probation":
             self._enter(target, TargetState.CONFIRMED, now_ms)
 
     def _record_rollback(self, target: _Target, now_ms: float, reply: dict[str, Any]) -> None:
-        """Record a rollback; that another document is in force by now is as good."""
+        """Record the reply to a rollback. It also succeeded if another document is in force by now."""
         if reply.get("ok") is True or reply.get("code") in NOT_IN_FORCE_CODES:
             self._enter(target, TargetState.ROLLED_BACK, now_ms)
         else:
--- a/nickelslip/configuration/rollout_runner.py
+++ b/nickelslip/configuration/rollout_runner.py
@@ -1,4 +1,4 @@
-"""Carries out a rollout: asks the targets what ``Rollout`` instructs and records their replies."""
+"""Carries out a rollout: sends the commands that ``Rollout`` instructs to the targets and records their replies."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 MAX_CONCURRENT_TARGETS = 16
 POLL_INTERVAL_S = 0.05
-MARK_BYTES = 4
+ORIGIN_TOKEN_BYTES = 4
 
-# The words and texts that `nickelslip config rollout` prints: scripts read them, so they stay when a name in the code
-# changes.
+# State names and texts that `nickelslip config rollout` prints. Scripts read them, so they must stay the same when an
+# enum member is renamed.
 TARGET_STATE_WORDS = {
     TargetState.PENDING: "waiting",
     TargetState.APPLYING: "asked",
@@ -61,11 +61,12 @@
     """Runs one rollout to its end.
 
     Attributes:
-        rollout: The state machine that decides.
-        policy: Its policy, of which the timeout of a reply is used here.
-        document: The document that is rolled out.
-        origin: The origin that the targets record; it carries a random mark, by which a target knows what to roll back.
-        report: Takes one line of text for each change of a target's state.
+        rollout: The state machine of the rollout.
+        policy: The policy of the rollout; only the reply timeout is used here.
+        document: The document to roll out.
+        origin: The origin that the targets record. It contains a random token, by which a target recognizes the change
+            to roll back.
+        report: Called with one line of text for each state change of a target.
         ask: Sends a command to a control socket and returns the reply.
     """
 
@@ -119,14 +120,14 @@
         return reply
 
     def _report_states(self) -> None:
-        """Report the targets whose state is another than the one last reported."""
+        """Report each target whose state differs from the one reported last."""
         for name, (state, reason) in self.rollout.target_states().items():
             if self._reported.get(name) is state:
                 continue
             self._reported[name] = state
             if state is not TargetState.PENDING:
-                words = TARGET_STATE_WORDS[state].replace("_", " ")
-                self.report(f"wave {self.rollout.wave + 1}: {name}: {words} {reason}".rstrip())
+                state_name = TARGET_STATE_WORDS[state].replace("_", " ")
+                self.report(f"wave {self.rollout.wave + 1}: {name}: {state_name} {reason}".rstrip())
 
 
 async def run_rollout(
@@ -137,15 +138,15 @@
     report: Callable[[str], None],
     ask: Ask = ask_once,
 ) -> None:
-    """Run a rollout to its end, with a bound on each reply and on the targets asked at once.
+    """Run a rollout to its end, with a timeout for each reply and a limit on the number of targets asked at once.
 
     Args:
-        rollout: The rollout, not yet begun.
-        policy: Its policy.
+        rollout: The rollout, not started yet.
+        policy: The policy of the rollout.
         document: The document to apply.
-        source: Name of the document, for the history of the targets.
-        report: Takes one line of text for each change of a target's state.
+        source: Name of the document, recorded in the history of the targets.
+        report: Called with one line of text for each state change of a target.
         ask: Sends a command to a control socket and returns the reply.
     """
-    origin = f"roll-out {secrets.token_hex(MARK_BYTES)}: {source}"
+    origin = f"roll-out {secrets.token_hex(ORIGIN_TOKEN_BYTES)}: {source}"
     await RolloutRunner(rollout, policy, document, origin, report, ask).run()
