--- a/nickelslip/configuration/generations.py
+++ b/nickelslip/configuration/generations.py
@@ -1,7 +1,7 @@
-"""Generations: one immutable value for each configuration that was in force.
+"""Generations: an immutable object for each configuration that is or was in force.
 
-A generation caches what a server derives from its configuration, so that a request can keep the generation under which
-it was read until its end. It holds no state of the server.
+A generation caches the values that a server derives from its configuration. A request keeps the generation under which
+it was read until it ends. A generation holds no state of the server.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from nickelslip.configuration.config import Config
 from nickelslip.configuration.descriptors import CONTROL_DESCRIPTORS, DescriptorShares, descriptor_shares
 
-CACHED_RESPONSES_MEMORY_FRACTION = 1 / 4  # of this process's memory, for responses that retries may still ask for
-CACHED_RESPONSE_KB = 6.0  # an idempotency record in this process, with a response of the maximum size
+CACHED_RESPONSES_MEMORY_FRACTION = 1 / 4  # of this process's memory, for responses kept for retries
+CACHED_RESPONSE_KB = 6.0  # size of an idempotency record in this process with a response of maximum size
 KB_PER_MB = 1024
 
 
 @dataclass(frozen=True, eq=False)
 class Generation:
-    """One configuration in force.
+    """One configuration that is or was in force.
 
     Attributes:
-        number: Counts from 1 up over the life of the history.
+        number: Number of the generation, starting at 1 and rising over the whole history.
         config: The configuration.
         origin: Where the configuration came from.
-        created_at_ms: Unix time at which the generation was made.
+        created_at_ms: Unix time at which the generation was created.
     """
 
     number: int
@@ -42,7 +42,8 @@
     def settings(self) -> Settings:
         """The settings for the admission controller.
 
-        An idempotency record is counted large enough for the bound on the table to keep this process's memory, too.
+        The size of an idempotency record is raised where necessary, so that the limit of the idempotency table also
+        bounds the memory that this process uses for cached responses.
         """
         config = self.config
         max_records = config.memory_mb * KB_PER_MB * CACHED_RESPONSES_MEMORY_FRACTION / CACHED_RESPONSE_KB
@@ -53,7 +54,7 @@
 
     @cached_property
     def retry_safety_by_class(self) -> Mapping[str, RetrySafety]:
-        """Whether requests of a traffic class may be executed twice, by the name of the class."""
+        """Whether requests may be executed twice, keyed by the name of their traffic class."""
         classes = self.config.settings.traffic_classes
         return MappingProxyType({traffic_class.name: traffic_class.retry_safety for traffic_class in classes})
 
@@ -64,25 +65,25 @@
 
     @cached_property
     def longest_timeout_ms(self) -> float:
-        """The longest timeout of any traffic class."""
+        """The longest timeout of all traffic classes."""
         return max(traffic_class.timeout_ms for traffic_class in self.config.settings.traffic_classes)
 
     @cached_property
     def descriptor_shares(self) -> DescriptorShares:
-        """How this process's file descriptors are divided."""
+        """How the file descriptors of this process are divided."""
         reserved = CONTROL_DESCRIPTORS if self.config.changes.accepts_changes else 0
         return descriptor_shares(self.config.descriptors - reserved, self.config.settings.dependency_concurrency_share)
 
     @cached_property
     def latency_objectives_ms(self) -> Mapping[str, float]:
-        """The latency objective of each traffic class, by its name."""
+        """The latency objective of each traffic class, keyed by its name."""
         classes = self.config.settings.traffic_classes
         return MappingProxyType({traffic_class.name: traffic_class.latency_objective_ms for traffic_class in classes})
 
 
 def canonical_bytes(document: Mapping[str, Any]) -> bytes:
-    """Return the canonical text of a whole document, without the fields that are never compared."""
-    from nickelslip.configuration.schema import NEVER_COMPARED  # only needed where changes are enabled
+    """Return the canonical text of a complete document, without the fields that are never compared."""
+    from nickelslip.configuration.schema import NEVER_COMPARED  # only needed if changes are enabled
 
     compared = {
         section: {name: value for name, value in inner.items() if (section, name) not in NEVER_COMPARED}
@@ -92,7 +93,7 @@
 
 
 def digest_of(document: Mapping[str, Any]) -> str:
-    """Return the digest that identifies a document: 32 hex digits of XXH3-128 over its canonical text."""
-    import xxhash  # an optional dependency: only needed where changes are enabled
+    """Return the digest that identifies a document: the XXH3-128 of its canonical text as 32 hex digits."""
+    import xxhash  # an optional dependency, only needed if changes are enabled
 
     return str(xxhash.xxh3_128_hexdigest(canonical_bytes(document)))
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -1,6 +1,6 @@
-"""The plan of a change: how two whole documents differ, when each difference takes effect, and what needs a restart.
+"""The plan of a change: how two complete documents differ, when each difference takes effect, and what needs a restart.
 
-A dry run and a real change compute the same plan; computing it changes nothing.
+A dry run and a real change compute the same plan. Computing a plan has no side effects.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from nickelslip.configuration.schema import NAME_EFFECTS, NAMED_SECTIONS, NEVER_COMPARED, Effect, field_at
 from nickelslip.configuration.validation import Path
 
-# The words of the control protocol and of `--json`: they stay when a name in the code changes.
+# Names in the control protocol and in `--json` output. They must stay the same when a member of Effect is renamed.
 EFFECT_WORDS = {
     Effect.AT_ONCE: "at_once",
     Effect.NEW: "new",
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """One field, or one name of a named section, that differs.
+    """A difference in one field, or in one name of a named section.
 
     Attributes:
-        path: Where it is in the document.
-        old: The value before; None where it was absent.
-        new: The value after; None where it is absent.
+        path: The path in the document.
+        old: The value before the change; None if it was absent.
+        new: The value after the change; None if it is absent.
         effect: When the difference takes effect.
-        restart_reason: Why this one needs a restart although fields of its kind do not; empty if it does not.
+        restart_reason: Why this difference needs a restart although the field usually does not; empty if it needs none.
     """
 
     path: Path
@@ -49,7 +49,7 @@
         return f"{line}; {self.restart_reason}" if self.restart_reason else line
 
     def as_dict(self) -> dict[str, Any]:
-        """Return it with the keys of the control protocol."""
+        """Return the difference under the keys of the control protocol."""
         return {
             "path": ".".join(self.path),
             "old": self.old,
@@ -61,13 +61,13 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """All differences, in the order of the schema."""
+    """All differences between two documents, in the order of the schema."""
 
     differences: tuple[Difference, ...]
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing differs."""
+        """Whether there are no differences."""
         return not self.differences
 
     @property
@@ -81,16 +81,16 @@
 
     @property
     def changes_peers_only(self) -> bool:
-        """Whether only addresses of peers differ: such a change needs no canary period."""
+        """Whether only peer addresses differ. Such a change needs no canary period."""
         return bool(self.differences) and all(difference.effect is Effect.LINKS for difference in self.differences)
 
     @property
     def changes_rules_only(self) -> bool:
-        """Whether only the rules for changes differ, which no request is affected by."""
+        """Whether only the change rules differ. These affect no request."""
         return bool(self.differences) and all(difference.path[0] == RULES_SECTION for difference in self.differences)
 
     def as_dict(self) -> dict[str, Any]:
-        """Return it with the keys of the control protocol."""
+        """Return the plan under the keys of the control protocol."""
         return {
             "differences": [difference.as_dict() for difference in self.differences],
             "restart": bool(self.needing_restart),
@@ -99,7 +99,7 @@
 
 
 def shown(value: Any) -> str:
-    """Return a value as an operator would write it."""
+    """Return a value as text, as an operator would write it."""
     if value is None:
         return "absent"
     if isinstance(value, bool):
@@ -114,12 +114,12 @@
 
 
 def plan_of(old: Document, new: Document) -> Plan:
-    """Return the plan that leads from one whole document to another."""
+    """Return the plan of the change from one complete document to another."""
     return Plan((*_named_differences(old, new), *_field_differences(old, new)))
 
 
 def _named_differences(old: Document, new: Document) -> list[Difference]:
-    """Return a difference for each name that only one of the documents has in a named section."""
+    """Return a difference for each name of a named section that only one of the documents has."""
     differences: list[Difference] = []
     for section in NAMED_SECTIONS:
         before = old[section]
@@ -133,7 +133,7 @@
 
 
 def _field_differences(old: Document, new: Document) -> list[Difference]:
-    """Return a difference for each field that both documents have with different values."""
+    """Return a difference for each field that both documents have, but with different values."""
     differences: list[Difference] = []
     old_values = values_by_path(old)
     for path, after in values_by_path(new).items():
@@ -147,12 +147,12 @@
 
 
 def _comparable(value: Any) -> Any:
-    """Return a value in a form in which a list equals a tuple of the same items."""
+    """Return a value for comparison, with a list converted to a tuple so that the two compare equal."""
     return tuple(value) if isinstance(value, list) else value
 
 
 def _restart_reason(path: Path, before: Any, after: Any) -> str:
-    """Return why this difference needs a restart although fields of its kind do not, or an empty string."""
+    """Return why this difference needs a restart although the field usually does not, or an empty string."""
     if path == RECORDS_SERVICE_PATH and (before is None) is not (after is None):
         return "whether there is a records service is known at the start only"
     if path == DEPENDENCY_SHARE_PATH and (before == 0) is not (after == 0):
--- a/nickelslip/configuration/rolled_back_documents.py
+++ b/nickelslip/configuration/rolled_back_documents.py
@@ -1,27 +1,31 @@
-"""Documents that were rolled back recently, and are rejected for a time unless they are forced."""
+"""Recently rolled back documents, which are rejected for a time unless the operator forces them."""
 
 from __future__ import annotations
 
-MAX_DOCUMENTS = 64  # above it the oldest is forgotten
+MAX_DOCUMENTS = 64  # above this number, the oldest document is dropped
 
 
 class RolledBackDocuments:
-    """Rolled back documents, by their digests, with the time up to which each is rejected."""
+    """Recently rolled back documents, identified by digest, and the time until which each is rejected."""
 
     def __init__(self) -> None:
         self._expires_at_ms: dict[str, float] = {}
 
     def add(self, digest: str, expires_at_ms: float) -> None:
-        """Reject a document up to a time."""
+        """Reject a document until the given time."""
         self._expires_at_ms.pop(digest, None)
         self._expires_at_ms[digest] = expires_at_ms
         while len(self._expires_at_ms) > MAX_DOCUMENTS:
             del self._expires_at_ms[next(iter(self._expires_at_ms))]
 
     def remaining_ms(self, digest: str, now_ms: float) -> float:
-        """Return how much longer a document is rejected; 0 or less if it is not."""
+        """Return how much longer a document is rejected; 0 or less if it is no longer rejected."""
         return self._expires_at_ms.get(digest, now_ms) - now_ms
 
     def all_remaining_ms(self, now_ms: float) -> dict[str, float]:
-        """Return how much longer each document that is still rejected is rejected, by its digest."""
-        return {digest: at_ms - now_ms for digest, at_ms in self._expires_at_ms.items() if at_ms > now_ms}
+        """Return the remaining time of each document that is still rejected, keyed by digest."""
+        return {
+            digest: expires_at_ms - now_ms
+            for digest, expires_at_ms in self._expires_at_ms.items()
+            if expires_at_ms > now_ms
+        }
--- a/nickelslip/configuration/start_selection.py
+++ b/nickelslip/configuration/start_selection.py
@@ -1,4 +1,4 @@
-"""Which configuration a server starts with: that of its files, or the last confirmed one of the history."""
+"""Selects the configuration with which a server starts: that of its files or the last confirmed one in the history."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True)
 class StartSelection:
-    """What a server starts with.
+    """The document and the generation number with which a server starts.
 
     Attributes:
-        document: The whole document.
+        document: The complete document.
         number: The number of its generation.
-        origin: Where it came from.
-        record: The record to write for this start; None where the history already has it.
+        origin: Where the document came from.
+        record: The record to write for this start; None if the history already contains the generation.
     """
 
     document: Document
@@ -29,11 +29,11 @@
 
 
 def select_start(records: list[HistoryRecord], file_document: Document, now_ms: float) -> StartSelection:
-    """Return what a server starts with.
+    """Return the selection of the document with which a server starts.
 
-    The last confirmed generation is restored as long as the files are those it was confirmed over: other files are
-    newer, and take precedence. A document that was rolled back, or applied and never confirmed, is not started with,
-    even if the files contain it.
+    The last confirmed generation is restored if the files have not changed since its confirmation. Files that differ
+    are newer and take precedence. However, a document whose last change was rolled back, rejected or never confirmed
+    is not used, even if the files contain it.
     """
     confirmed = last_confirmed(records)
     if confirmed is None or confirmed.document is None:
@@ -46,7 +46,7 @@
 
 
 def start_from_files(records: list[HistoryRecord], file_document: Document, now_ms: float) -> StartSelection:
-    """Return a start from the files, as a new generation behind all those of the history."""
+    """Return the selection of the document in the files, as a new generation after all those in the history."""
     digest = digest_of(file_document)
     number = max((record.generation for record in records), default=0) + 1
     started = HistoryRecord(
@@ -63,7 +63,7 @@
 
 
 def _failed_last(records: list[HistoryRecord], digest: str) -> bool:
-    """Whether the last record of a document says that it was not confirmed."""
+    """Return whether the last record of a document shows that it was not confirmed."""
     for record in reversed(records):
         if record.digest == digest:
             return record.event in FAILED_EVENTS
