--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -1,4 +1,4 @@
-"""Changes of configuration in a running server: requests in progress, crashes at each step, misbehaving peers."""
+"""Configuration changes in a running server: requests in progress, crashes at each step, malformed control messages."""
 
 import errno
 import json
@@ -55,88 +55,95 @@
 
 
 @pytest.fixture
-def witness(monkeypatch):
-    """A witness of every event of every request."""
-    for part, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
-        monkeypatch.setattr(part, name, getattr(part, name))  # put back at the end
-    seen = GenerationWatch()
-    install(seen)
-    return seen
+def generation_watch(monkeypatch):
+    """Return a watch that records under which generations each request is processed."""
+    for patched_class, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
+        monkeypatch.setattr(patched_class, name, getattr(patched_class, name))  # restored after the test
+    watch = GenerationWatch()
+    install(watch)
+    return watch
 
 
 async def send_command(path, do, wait_ms=3000.0, **fields):
-    """One command as another process would send it."""
+    """Send a command to the control socket as another process would, and return the reply."""
     return await anyio.to_thread.run_sync(
         partial(anyio.run, partial(control_client.ask_once, path, do, wait_ms, **fields))
     )
 
 
-# What is in hand
+# Requests in progress
 
 
-async def test_requests_in_every_state_end_under_the_generation_they_were_read_under(witness):
+async def test_requests_in_every_state_keep_the_generation_under_which_they_were_read(generation_watch):
     async with ServerRig(change_rules=RULES, cpus=1) as rig:
         client = await (await rig.up()).caller()
-        await rig.calling(client, A, "pay")  # at a call
+        await rig.calling(client, A, "pay")  # with a call in flight
         await rig.running(client, B, "book", opkey="k1")
         await client.ask(C, "book", opkey="k1", resent=1)  # coalesced with its original
-        held = "00000000000000d4"
-        await client.ask(held, "pay")
+        queued_id = "00000000000000d4"
+        await client.ask(queued_id, "pay")
         await wait_until(lambda: len(rig.node.requests) == 4)
-        states = {one.state for one in rig.node.requests.values()}
+        states = {request.state for request in rig.node.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
         reply = await rig.push(CHANGED_DOCUMENT)
         assert reply["change"]["step"] == "on_probation" and rig.node.generation.number == 2
-        assert "book" not in rig.node.generation.retry_safety_by_class  # gone, yet what was read of it goes on
+        assert "book" not in rig.node.generation.retry_safety_by_class  # removed, but its earlier requests continue
         await rig.records.reply(A, "DONE", b"reply")
         await wait_until(lambda: rig.pool.told("supply", A))
         await rig.pool.finish(A)
         await rig.pool.finish(B, body=b"booked")
-        await wait_until(lambda: rig.pool.told("spawn", held))
-        await rig.pool.finish(held)
-        ends = dict([(await client.answer())[:2] for _ in range(4)])
-        assert ends == {1: "done", 2: "done", 3: "done", 4: "done"}
+        await wait_until(lambda: rig.pool.told("spawn", queued_id))
+        await rig.pool.finish(queued_id)
+        outcomes = dict([(await client.answer())[:2] for _ in range(4)])
+        assert outcomes == {1: "done", 2: "done", 3: "done", 4: "done"}
         assert len(rig.pool.told("spawn", A)) == 1 and not rig.pool.told("spawn", C)
         await client.ask("00000000000000e5", "book", opkey="k2")
         assert (await client.answer())[:2] == (5, "error")
-        assert not witness.mixed_requests and witness.events_across_generations >= 4 and len(witness.first_seen) == 4
+        assert (
+            not generation_watch.mixed_requests
+            and generation_watch.events_across_generations >= 4
+            and len(generation_watch.first_seen) == 4
+        )
 
 
-async def test_the_witness_catches_a_request_that_is_moved_to_another_generation(witness):
+async def test_the_generation_watch_detects_a_request_that_changes_generation(generation_watch):
     async with ServerRig(change_rules=RULES) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
         await rig.push(CHANGED_DOCUMENT)
-        control = rig.node.decision_executor.controller
-        control._requests.by_id[int(A, 16)].statistics = control._classes["pay"]  # as one would by looking it up anew
+        controller = rig.node.decision_executor.controller
+        # The fault to detect: the class statistics are looked up again after the change.
+        controller._requests.by_id[int(A, 16)].statistics = controller._classes["pay"]
         await rig.pool.finish(A)
         await client.answer()
-        assert witness.mixed_requests == {int(A, 16)}
+        assert generation_watch.mixed_requests == {int(A, 16)}
 
 
-async def test_the_controller_keeps_its_measurements_and_advertised_weight_over_a_change():
+async def test_the_controller_keeps_its_statistics_and_advertised_weight_across_a_change():
     async with ServerRig(change_rules=RULES) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
         await rig.pool.finish(A)
         await client.answer()
-        control = rig.node.decision_executor.controller
-        control._weight.weight, mean = 0.5, control._classes["pay"].run_ms
+        controller = rig.node.decision_executor.controller
+        controller._weight.weight, mean = 0.5, controller._classes["pay"].run_ms
         await rig.push(CHANGED_DOCUMENT)
-        assert control._classes["pay"].run_ms is mean and mean._sample_count == 1 and control._weight.weight <= 0.6
-        statistics = control._classes["pay"]
+        assert (
+            controller._classes["pay"].run_ms is mean and mean._sample_count == 1 and controller._weight.weight <= 0.6
+        )
+        statistics = controller._classes["pay"]
         assert statistics.latency_objective_ms == 400.0 and isinstance(statistics, ClassStatistics)
-        assert control._concurrency._max_concurrency == 2
+        assert controller._concurrency._max_concurrency == 2
 
 
-# Courses of changes
+# Sequences of changes
 
 
-async def test_ten_changes_in_a_row_are_applied_one_after_the_other():
+async def test_ten_consecutive_changes_are_applied_and_each_blocks_others_until_confirmed():
     async with ServerRig(change_rules=RULES) as rig:
         await rig.up()
-        for at in range(10):
-            await rig.push({"machine": {"cores": 3 + at}})
+        for index in range(10):
+            await rig.push({"machine": {"cores": 3 + index}})
             with pytest.raises(ChangeRejectedError) as caught:
                 await rig.push({"machine": {"cores": 50}})
             assert caught.value.reason is RejectionReason.BUSY
@@ -150,31 +157,31 @@
     rules = replace(RULES, history=str(tmp_path))
     async with ServerRig(change_rules=rules) as rig:
         await rig.up()
-        ends, slow = [], HistoryStore.append
+        accepted_commands, append = [], HistoryStore.append
 
-        def slowly(self, record):  # the disk takes its time
+        def append_slowly(self, record):  # simulates a slow disk
             time.sleep(0.05)
-            slow(self, record)
+            append(self, record)
 
-        monkeypatch.setattr(HistoryStore, "append", slowly)
+        monkeypatch.setattr(HistoryStore, "append", append_slowly)
 
-        async def ask(**request):
+        async def send(**command):
             with suppress(ChangeRejectedError):
-                await rig.configuration_manager.command(request)
-                ends.append(request)
+                await rig.configuration_manager.command(command)
+                accepted_commands.append(command)
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(lambda: ask(do="apply", document={"machine": {"cores": 3}}))
-            tasks.start_soon(lambda: ask(do="apply", document={"callers": {"idle_ms": 7.0}}))
-        assert len(ends) == 1
+            tasks.start_soon(lambda: send(do="apply", document={"machine": {"cores": 3}}))
+            tasks.start_soon(lambda: send(do="apply", document={"callers": {"idle_ms": 7.0}}))
+        assert len(accepted_commands) == 1
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(lambda: ask(do="rollback"))
-            tasks.start_soon(lambda: ask(do="apply", document={"machine": {"cores": 5}}))
+            tasks.start_soon(lambda: send(do="rollback"))
+            tasks.start_soon(lambda: send(do="apply", document={"machine": {"cores": 5}}))
         assert (
             rig.node.generation.settings.core_count == 5
             and rig.node.generation.settings.idle_connection_timeout_ms == 15000.0
         )
-        assert [each.event.value for each in rig.configuration_manager.changes.records] == [
+        assert [record.event.value for record in rig.configuration_manager.changes.records] == [
             "started",
             "applied",
             "rolled back",
@@ -182,7 +189,7 @@
         ]
 
 
-async def test_changes_while_the_worker_pool_is_down_while_links_move_and_while_draining():
+async def test_changes_during_a_worker_pool_outage_a_peer_address_change_and_a_drain():
     async with ServerRig(change_rules=RULES) as rig:
         rig.pool.up.set()
         await wait_until(lambda: rig.node.phase is Phase.SERVING)
@@ -190,9 +197,10 @@
         await rig.pool.down()
         await wait_until(lambda: not rig.node.worker_pool.is_up)
         await rig.push({"machine": {"cores": 7}})
-        await anyio.sleep(1.8)  # longer than any probation: what nobody could see is not confirmed
+        # Longer than the maximum canary period, but a change that could not be observed is not confirmed.
+        await anyio.sleep(1.8)
         assert rig.configuration_manager.changes.current is not None
-        await rig.move()  # SIGHUP with other addresses, amid a probation
+        await rig.move()  # like SIGHUP with new peer addresses, here during a canary period
         await wait_until(lambda: rig.node.worker_pool.is_up)
         assert rig.node.generation.settings.core_count == 7
         await rig.running(client, A, "pay")
@@ -210,45 +218,47 @@
 async def test_a_harmful_change_is_rolled_back_and_a_harmless_one_confirmed():
     async with ServerRig(change_rules=replace(RULES, max_canary_period_ms=6000.0)) as rig:
         await rig.up()
-        chance, begin = random.Random(3), rig.node.clock() - 14_500
+        rng, begin_at_ms = random.Random(3), rig.node.clock() - 14_500
         objectives_ms = {"payout": 100.0, "balance": 100.0}
         rig.configuration_manager.observation.request_metrics = rig.node.request_metrics = RequestMetrics(
             16_000.0, objectives_ms
         )
-        fill(rig.configuration_manager.observation.request_metrics, chance, begin, rig.node.clock(), lambda pair: 0.97)
+        fill(
+            rig.configuration_manager.observation.request_metrics, rng, begin_at_ms, rig.node.clock(), lambda pair: 0.97
+        )
         await rig.push({"machine": {"cores": 6}})
-        number = rig.node.generation.number
-        meter = rig.configuration_manager.observation.request_metrics
+        generation_number = rig.node.generation.number
+        metrics = rig.configuration_manager.observation.request_metrics
 
-        async def go_on(kept, over):
-            at = rig.node.clock()
+        async def simulate_traffic(in_time_fraction, is_over):
+            filled_until_ms = rig.node.clock()
             with anyio.fail_after(8):
-                while not over():
+                while not is_over():
                     await anyio.sleep(0.26)
-                    upto = rig.node.clock() - 1
-                    fill(meter, chance, at, upto, kept)
-                    at = (upto // 250) * 250
+                    end_at_ms = rig.node.clock() - 1
+                    fill(metrics, rng, filled_until_ms, end_at_ms, in_time_fraction)
+                    filled_until_ms = (end_at_ms // 250) * 250
 
-        meter.set_latency_objectives(objectives_ms)
-        await go_on(lambda pair: 0.97, lambda: rig.configuration_manager.changes.current is None)
-        assert rig.node.generation.number == number  # confirmed
+        metrics.set_latency_objectives(objectives_ms)
+        await simulate_traffic(lambda pair: 0.97, lambda: rig.configuration_manager.changes.current is None)
+        assert rig.node.generation.number == generation_number  # confirmed
         await rig.push({"machine": {"cores": 1}})
-        meter.set_latency_objectives(objectives_ms)
-        await go_on(lambda pair: 0.1, lambda: rig.configuration_manager.changes.current is None)
+        metrics.set_latency_objectives(objectives_ms)
+        await simulate_traffic(lambda pair: 0.1, lambda: rig.configuration_manager.changes.current is None)
         assert rig.node.generation.settings.core_count == 6
-        last = rig.configuration_manager.changes.records[-1]
-        assert last.event is history.HistoryEvent.ROLLED_BACK and "quoted time" in last.reason
+        last_record = rig.configuration_manager.changes.records[-1]
+        assert last_record.event is history.HistoryEvent.ROLLED_BACK and "quoted time" in last_record.reason
         with pytest.raises(ChangeRejectedError) as caught:
             await rig.push({"machine": {"cores": 1}})
         assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
 
 
-async def test_sighup_moves_peers_at_once_and_applies_the_rest_as_a_change():
+async def test_sighup_applies_peer_addresses_immediately_and_the_rest_as_a_change():
     async with ServerRig(change_rules=RULES) as rig:
         await rig.up()
         await rig.push({"machine": {"cores": 5}})
         await rig.configuration_manager.command({"do": "confirm"})
-        rig.node.reload_handler.reload()  # the file says what it said: the change stays
+        rig.node.reload_handler.reload()  # the file has not changed, so the change stays in force
         await anyio.sleep(0.1)
         assert rig.node.generation.settings.core_count == 5
         rig.config["pool"] = "nowhere"
@@ -261,76 +271,76 @@
         assert rig.configuration_manager.changes.current is not None and rig.node.generation.settings.core_count == 2
 
 
-# Files
+# Files and the history
 
 
 async def test_a_file_replaced_or_written_while_it_is_read_is_never_applied_in_part(tmp_path, monkeypatch):
     file = tmp_path / "c.json5"
     file.write_text(OURS)
-    real, writes = os.fstat, []
+    real_fstat, writes = os.fstat, []
 
-    def fstat(descriptor):
+    def write_twice_and_fstat(descriptor):
         if len(writes) < 2:
             writes.append(file.write_text(OURS + " " * (len(writes) + 1)))
-        return real(descriptor)
+        return real_fstat(descriptor)
 
-    monkeypatch.setattr(loading.os, "fstat", fstat)
+    monkeypatch.setattr(loading.os, "fstat", write_twice_and_fstat)
     assert loading.read_file(str(file)) == (OURS + "  ").encode()
     monkeypatch.setattr(
         loading.os,
         "fstat",
-        lambda descriptor: (writes.append(1), file.write_text(OURS + " " * len(writes)), real(descriptor))[-1],
+        lambda descriptor: (writes.append(1), file.write_text(OURS + " " * len(writes)), real_fstat(descriptor))[-1],
     )
     with pytest.raises(InvalidDocumentError, match="being written"):
         loading.read_file(str(file))
     monkeypatch.undo()
-    with (tmp_path / "big").open("wb") as big:
-        big.truncate(60 << 20)
-    begun = time.monotonic()
+    with (tmp_path / "big").open("wb") as large_file:
+        large_file.truncate(60 << 20)
+    started_at_s = time.monotonic()
     with pytest.raises(InvalidDocumentError, match="over"):
         loading.read_file(str(tmp_path / "big"))
-    assert time.monotonic() - begun < 0.5
+    assert time.monotonic() - started_at_s < 0.5
 
 
-CALLS = ("open", "ftruncate", "pwrite", "fsync", "write", "replace", "truncate")
+SYSTEM_CALLS = ("open", "ftruncate", "pwrite", "fsync", "write", "replace", "truncate")
 
 
-class Killed(BaseException):
-    """The process ends here."""
+class ProcessKilled(BaseException):
+    """Raised in place of a system call at which the simulated process is killed."""
 
 
-def test_killed_at_any_step_of_writing_the_last_confirmed_document_is_in_force(tmp_path, monkeypatch):
-    """Every call to the system in turn is the last one; of a write, any part may have reached the disk."""
-    document, real = ours().document, {name: getattr(os, name) for name in CALLS}
-    made = 0
+def test_a_kill_at_any_system_call_preserves_the_last_confirmed_document(tmp_path, monkeypatch):
+    """Kills the process at each system call in turn, with only a part of an interrupted write on the disk."""
+    document, real_calls = ours().document, {name: getattr(os, name) for name in SYSTEM_CALLS}
+    max_call_count = 0
     for step in range(200):
         folder = tmp_path / str(step)
-        begun = HistoryStore(str(folder), 6.0)  # so small that it is written anew on the way
-        confirmed, count, done = 0, 0, False
-        first = select_start([], document, 0.0)
-        begun.append(first.record)
-        confirmed = first.number
-
-        def dies(name, step=step):
-            def call(*values):
-                nonlocal count
-                count += 1
-                if count > step:
+        history_store = HistoryStore(str(folder), 6.0)  # small enough to be compacted during the test
+        confirmed, call_count, is_done = 0, 0, False
+        start = select_start([], document, 0.0)
+        history_store.append(start.record)
+        confirmed = start.number
+
+        def killing_call(name, step=step):
+            def call(*arguments):
+                nonlocal call_count
+                call_count += 1
+                if call_count > step:
                     if name in ("pwrite", "write"):
-                        part = len(values[1]) * (step % 7) // 7
-                        real[name](values[0], values[1][:part], *values[2:])
-                    raise Killed
-                return real[name](*values)
+                        written_length = len(arguments[1]) * (step % 7) // 7
+                        real_calls[name](arguments[0], arguments[1][:written_length], *arguments[2:])
+                    raise ProcessKilled
+                return real_calls[name](*arguments)
 
             return call
 
         with monkeypatch.context() as patch:
-            for name in CALLS:
-                patch.setattr(store.os, name, dies(name))
-            with suppress(Killed):
+            for name in SYSTEM_CALLS:
+                patch.setattr(store.os, name, killing_call(name))
+            with suppress(ProcessKilled):
                 for number in range(2, 7):
                     for event in (history.HistoryEvent.APPLIED, history.HistoryEvent.CONFIRMED):
-                        begun.append(
+                        history_store.append(
                             history.HistoryRecord(
                                 2 * number + (event is history.HistoryEvent.CONFIRMED),
                                 event,
@@ -340,51 +350,51 @@
                                 0.0,
                                 "",
                                 document,
-                                first.record.file_digest,
+                                start.record.file_digest,
                             )
                         )
                     confirmed = number
-                done = True
-        begun.close()
+                is_done = True
+        history_store.close()
         reopened = HistoryStore(str(folder), 6.0)
-        kept = history.last_confirmed(reopened.records)
-        # the record that was being written may be whole already, or not be there; nothing in between
-        assert kept is not None and kept.generation in (confirmed, confirmed + 1), (step, confirmed)
+        last_confirmed = history.last_confirmed(reopened.records)
+        # The interrupted record is either complete or absent, never partial.
+        assert last_confirmed is not None and last_confirmed.generation in (confirmed, confirmed + 1), (step, confirmed)
         assert select_start(reopened.records, document, 1.0).document == json.loads(json.dumps(document))
         reopened.append(history.HistoryRecord(999, history.HistoryEvent.REJECTED, 9, "d", "test", 0.0))
         reopened.close()
-        made = max(made, count)
-        if done:
+        max_call_count = max(max_call_count, call_count)
+        if is_done:
             break
-    assert done and made > 20
+    assert is_done and max_call_count > 20
 
 
 async def test_an_unwritable_history_rejects_a_change_and_keeps_the_order_of_records(tmp_path):
     async with ServerRig(change_rules=replace(RULES, history=str(tmp_path))) as rig:
         await rig.up()
-        real = rig.configuration_manager.history.store.append
+        append = rig.configuration_manager.history.store.append
 
-        def full(record):
+        def append_to_full_disk(record):
             raise OSError(errno.ENOSPC, "no space")
 
-        rig.configuration_manager.history.store.append = full
+        rig.configuration_manager.history.store.append = append_to_full_disk
         with pytest.raises(ChangeRejectedError) as caught:
             await rig.push({"machine": {"cores": 3}})
         assert (
             caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE and rig.node.generation.settings.core_count == 2
         )
-        rig.configuration_manager.history.store.append = real
+        rig.configuration_manager.history.store.append = append
         await rig.push({"machine": {"cores": 4}})
-        rig.configuration_manager.history.store.append = full
+        rig.configuration_manager.history.store.append = append_to_full_disk
         await rig.configuration_manager.command({"do": "confirm"})
         assert (await rig.configuration_manager.command({"do": "status"}))["history_behind"] >= 1
-        rig.configuration_manager.history.store.append = real
+        rig.configuration_manager.history.store.append = append
         await wait_until(lambda: not rig.configuration_manager.history.unwritten)
         assert (
             history.last_confirmed(rig.configuration_manager.history.store.records).generation
             == rig.node.generation.number
         )
-        with pytest.raises(OSError):  # one server at a time
+        with pytest.raises(OSError):  # the folder is locked by the server
             HistoryStore(str(tmp_path), 64.0)
         rig.configuration_manager.history.store.close()
 
@@ -393,7 +403,7 @@
 
 
 class ShiftedTime:
-    """The time module as the control socket sees it, with a monotonic clock that a test moves forward."""
+    """Replaces the time module in the control socket, with a monotonic clock that the test can advance."""
 
     def __init__(self) -> None:
         self.ahead_s = 0.0
@@ -402,44 +412,45 @@
         return time.monotonic() + self.ahead_s
 
 
-async def test_a_control_message_in_pieces_from_an_idle_peer_is_answered(tmp_path, monkeypatch):
-    shifted, pieces = ShiftedTime(), []
+async def test_a_control_message_sent_byte_by_byte_after_idle_time_is_answered(tmp_path, monkeypatch):
+    shifted_time, received_pieces = ShiftedTime(), []
 
-    class Watched(FrameDecoder):
+    class RecordingFrameDecoder(FrameDecoder):
         def feed(self, data):
-            pieces.append(data)
+            received_pieces.append(data)
             return super().feed(data)
 
-    monkeypatch.setattr(control_socket, "time", shifted)
-    monkeypatch.setattr(control_socket, "FrameDecoder", Watched)
+    monkeypatch.setattr(control_socket, "time", shifted_time)
+    monkeypatch.setattr(control_socket, "FrameDecoder", RecordingFrameDecoder)
     path = str(tmp_path / "control")
     async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
         await rig.up()
         await wait_until(lambda: os.path.exists(path))
         message = encode_frame({"protocol": 1, "id": 1, "do": "status"})
         async with await anyio.connect_unix(path) as stream:
-            frames, replies = FrameDecoder(), []
+            decoder, replies = FrameDecoder(), []
             with anyio.fail_after(2):
                 while not replies:  # the greeting
-                    replies += frames.feed(await stream.receive())
-                shifted.ahead_s += control_socket.MESSAGE_TIMEOUT_S + 1.0
-                for at in range(len(message)):
-                    await stream.send(message[at : at + 1])
-                    await wait_until(lambda at=at: len(pieces) == at + 1)  # each is read before the next one is sent
+                    replies += decoder.feed(await stream.receive())
+                shifted_time.ahead_s += control_socket.MESSAGE_TIMEOUT_S + 1.0
+                for index in range(len(message)):
+                    await stream.send(message[index : index + 1])
+                    # Each byte must be read before the next one is sent.
+                    await wait_until(lambda index=index: len(received_pieces) == index + 1)
                 while len(replies) < 2:
-                    replies += frames.feed(await stream.receive())
+                    replies += decoder.feed(await stream.receive())
         assert replies[1]["ok"]
 
 
-async def test_partial_malformed_and_too_many_control_messages_block_nobody(tmp_path, monkeypatch):
+async def test_invalid_messages_and_excess_connections_do_not_block_the_control_socket(tmp_path, monkeypatch):
     monkeypatch.setattr(control_socket, "MESSAGE_TIMEOUT_S", 0.3)
     path = str(tmp_path / "control")
     async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
         await rig.up()
         await wait_until(lambda: os.path.exists(path) and os.stat(path).st_mode & 0o777 == 0o600)
-        half = await anyio.connect_unix(path)  # of which one message begins and never ends
-        await half.send(encode_frame({"protocol": 1, "id": 1, "do": "status"})[:9])
-        for junk in (
+        incomplete = await anyio.connect_unix(path)  # sends a message that never ends
+        await incomplete.send(encode_frame({"protocol": 1, "id": 1, "do": "status"})[:9])
+        for malformed in (
             struct.pack(">I", 1 << 30),
             b"GET / HTTP/1.0\r\n\r\n",
             struct.pack(">I", 3) + b"[1]",
@@ -447,8 +458,8 @@
             b"",
         ):
             async with await anyio.connect_unix(path) as stream:
-                await stream.send(junk)
-                if junk:
+                await stream.send(malformed)
+                if malformed:
                     with anyio.fail_after(2), suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                         while True:
                             await stream.receive()
@@ -458,68 +469,68 @@
         assert (await send_command(path, "sing"))["code"] == "none"
         assert (await send_command(path, "apply", document={"machine": {"cores": 9}}, until_ms=1))["code"] == "late"
         async with await anyio.connect_unix(path) as stream:
-            frames, replies = FrameDecoder(), []
+            decoder, replies = FrameDecoder(), []
             await stream.send(encode_frame({"protocol": 99, "id": 5, "do": "status"}) + encode_frame({"do": 4}))
             with anyio.fail_after(2):
                 while len(replies) < 3:
-                    replies += frames.feed(await stream.receive())
-            assert replies[0]["protocol"] == [1, 1] and [each["code"] for each in replies[1:]] == ["improper"] * 2
+                    replies += decoder.feed(await stream.receive())
+            assert replies[0]["protocol"] == [1, 1] and [reply["code"] for reply in replies[1:]] == ["improper"] * 2
         with anyio.fail_after(2), suppress(anyio.BrokenResourceError), pytest.raises(anyio.EndOfStream):
             while True:
-                await half.receive()  # its first words, and then its end
-        crowd = [await anyio.connect_unix(path) for _ in range(control_socket.MAX_CONNECTIONS)]
-        for each in crowd:
-            await each.receive()
+                await incomplete.receive()  # the greeting, then the end of the stream
+        connections = [await anyio.connect_unix(path) for _ in range(control_socket.MAX_CONNECTIONS)]
+        for connection in connections:
+            await connection.receive()
         with pytest.raises(control_client.ServerUnreachableError):
             await send_command(path, "status", 500.0)
-        for each in crowd:
-            await each.aclose()
+        for connection in connections:
+            await connection.aclose()
         await wait_until(lambda: not rig.node.background_tasks[-1].__self__.open_connection_count)
         assert (await send_command(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
             control_socket.remove_stale_socket(path)
 
 
-# The whole program
+# Rollouts and the complete program
 
 
-async def test_a_roll_out_rolls_back_by_its_own_mark_what_it_applied_and_nothing_else():
-    """The shell over nodes that are here: the second wave meets one that undoes, and one that never answers."""
+async def test_a_rollout_rolls_back_only_changes_of_its_own_origin():
+    """Runs a rollout over simulated targets. In its second wave, one rolls back and another never replies."""
     origins, commands = {}, []
 
-    async def ask(node, do, wait_ms, **fields):
-        commands.append((node, do))
-        if node == "n2":
+    async def ask(target, do, wait_ms, **fields):
+        commands.append((target, do))
+        if target == "n2":
             await anyio.sleep(0.05)
             raise control_client.ServerUnreachableError("no answer in time")
         if do == "apply":
             assert fields["until_ms"] > time.time() * 1000
-            origins[node] = fields["origin"]
-            return {"ok": True, "change": {"step": "on_probation", "digest": f"d-{node}"}}
+            origins[target] = fields["origin"]
+            return {"ok": True, "change": {"step": "on_probation", "digest": f"d-{target}"}}
         if do == "rollback":
-            good = origins.get(node) == fields["from"]
-            return {"ok": good, "code": "overtaken"}
-        undone = node == "n1" and commands.count((node, "status")) > 1
+            is_own = origins.get(target) == fields["from"]
+            return {"ok": is_own, "code": "overtaken"}
+        is_rolled_back = target == "n1" and commands.count((target, "status")) > 1
         return {
             "ok": True,
-            "digest": "d0" if undone else f"d-{node}",
+            "digest": "d0" if is_rolled_back else f"d-{target}",
             "current": None,
-            "step": "on_probation" if node == "n1" and not undone else "confirmed",
+            "step": "on_probation" if target == "n1" and not is_rolled_back else "confirmed",
             "verdict": {"reason": "grade payout"},
         }
 
-    terms = RolloutPolicy(
+    policy = RolloutPolicy(
         wave_fractions=(0.0, 1.0),
         status_check_interval_ms=50.0,
         unreachable_after_ms=400.0,
         reply_timeout_ms=50.0,
         rollback_timeout_ms=600.0,
     )
-    plan = Rollout(["n0", "n1", "n2", "n3"], terms, 0.0)
+    rollout = Rollout(["n0", "n1", "n2", "n3"], policy, 0.0)
     with anyio.fail_after(8):
-        await run_rollout(plan, terms, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
-    places = {name: state for name, (state, _) in plan.target_states().items()}
-    assert plan.status is RolloutStatus.ROLLBACK_FAILED and places == {
+        await run_rollout(rollout, policy, {"machine": {"cores": 3}}, "f.json5", lambda line: None, ask)
+    states = {name: state for name, (state, _) in rollout.target_states().items()}
+    assert rollout.status is RolloutStatus.ROLLBACK_FAILED and states == {
         "n0": TargetState.ROLLED_BACK,
         "n1": TargetState.FAILED,
         "n2": TargetState.ROLLBACK_FAILED,
@@ -529,11 +540,11 @@
 
 
 def start_program(tmp_path, port, **changes):
-    """Start the program without its peers: it waits for them, and applies changes meanwhile."""
-    base, extra = tmp_path / "base.json5", tmp_path / "extra.json"
+    """Start the program without its peers. It waits for them and applies changes meanwhile."""
+    base, overlay = tmp_path / "base.json5", tmp_path / "extra.json"
     if not base.exists():
         base.write_text(OURS)
-    extra.write_text(
+    overlay.write_text(
         json.dumps(
             {
                 "node": {"listen": f"127.0.0.1:{port}"},
@@ -543,61 +554,63 @@
     )
     environment = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
     process = subprocess.Popen(
-        [sys.executable, "-m", "nickelslip.server", "serve", "--config", str(base), "--config", str(extra)],
+        [sys.executable, "-m", "nickelslip.server", "serve", "--config", str(base), "--config", str(overlay)],
         env=environment,
         stdout=subprocess.PIPE,
     )
-    for line in process.stdout:  # bounded by the server's own start
+    for line in process.stdout:  # bounded by the start-up time of the server
         if b'"control_socket_listening"' in line:
             break
     return process, base
 
 
 def test_operators_apply_confirm_and_roll_back_and_the_history_survives_a_kill(tmp_path):
-    run, path = CliRunner(), ["--socket", str(tmp_path / "s")]
+    runner, socket_option = CliRunner(), ["--socket", str(tmp_path / "s")]
 
-    def ask(*words, code=0):
-        result = run.invoke(config_command, [*words])
-        assert result.exit_code == code, result.output
+    def run_command(*arguments, exit_code=0):
+        result = runner.invoke(config_command, [*arguments])
+        assert result.exit_code == exit_code, result.output
         return result.output
 
-    overlay, bad = tmp_path / "more.json5", tmp_path / "bad.json5"
-    overlay.write_text("{machine: {cores: 6}, // as measured on Friday\n}")
-    bad.write_text("{machine: {cores: 0,\n running_mots: 3}, grades: {payout: {repeat: 'often'}}}")
+    overlay, invalid = tmp_path / "more.json5", tmp_path / "bad.json5"
+    overlay.write_text("{machine: {cores: 6}, // a comment\n}")
+    invalid.write_text("{machine: {cores: 0,\n running_mots: 3}, grades: {payout: {repeat: 'often'}}}")
     port = free_port()
     process, base = start_program(tmp_path, port)
     try:
-        assert "in order" in ask("check", str(base))
-        faults = ask("check", str(base), str(bad), code=2)
-        assert f"{bad}:1:12: machine.cores" in faults and "running_most" in faults and "payout.repeat" in faults
-        assert "machine.cores: 2 -> 6 (taken at once)" in ask("diff", *path, str(overlay))
-        assert "machine.cores: 2 -> 6" in ask("diff", "--from", str(base), str(overlay))
-        assert "is staged" in ask("stage", *path, str(overlay))
-        assert "another change" in ask("stage", *path, str(overlay), "--force", code=3)
-        assert "on probation" in ask("apply", *path)
+        assert "in order" in run_command("check", str(base))
+        faults = run_command("check", str(base), str(invalid), exit_code=2)
+        assert f"{invalid}:1:12: machine.cores" in faults and "running_most" in faults and "payout.repeat" in faults
+        assert "machine.cores: 2 -> 6 (taken at once)" in run_command("diff", *socket_option, str(overlay))
+        assert "machine.cores: 2 -> 6" in run_command("diff", "--from", str(base), str(overlay))
+        assert "is staged" in run_command("stage", *socket_option, str(overlay))
+        assert "another change" in run_command("stage", *socket_option, str(overlay), "--force", exit_code=3)
+        assert "on probation" in run_command("apply", *socket_option)
         process.send_signal(signal.SIGKILL)  # before it was confirmed
         process.wait()
         process, _ = start_program(tmp_path, port)
-        assert json.loads(ask("status", *path, "--json"))["generation"] == 1
-        ask("apply", *path, str(overlay))
-        ask("confirm", *path)
+        assert json.loads(run_command("status", *socket_option, "--json"))["generation"] == 1
+        run_command("apply", *socket_option, str(overlay))
+        run_command("confirm", *socket_option)
         process.send_signal(signal.SIGKILL)
         process.wait()
         process, _ = start_program(tmp_path, port)
-        status = json.loads(ask("status", *path, "--json"))
+        status = json.loads(run_command("status", *socket_option, "--json"))
         assert status["generation"] == 3 and status["origin"] == "history, confirmed"
-        assert "nothing differs" in ask("diff", *path, str(overlay))
-        assert "nothing differs" in ask("apply", *path, str(overlay), code=3)
-        assert "confirmed" in ask("history", *path)
-        assert "needs a restart" in ask("apply", *path, str(bad.write_text("{node: {name: 'x'}}") and bad), code=3)
-        assert ask("status", "--socket", str(tmp_path / "none"), code=5)
-        rolled = json.loads(ask("rollout", str(bad), str(tmp_path / "s"), "--json", code=4))
-        assert rolled["course"] == "undone" and rolled["nodes"][str(tmp_path / "s")]["place"] == "bad"
-        base.write_text(OURS.replace("cores: 2", "cores: 3"))  # another file is a later word
+        assert "nothing differs" in run_command("diff", *socket_option, str(overlay))
+        assert "nothing differs" in run_command("apply", *socket_option, str(overlay), exit_code=3)
+        assert "confirmed" in run_command("history", *socket_option)
+        assert "needs a restart" in run_command(
+            "apply", *socket_option, str(invalid.write_text("{node: {name: 'x'}}") and invalid), exit_code=3
+        )
+        assert run_command("status", "--socket", str(tmp_path / "none"), exit_code=5)
+        result = json.loads(run_command("rollout", str(invalid), str(tmp_path / "s"), "--json", exit_code=4))
+        assert result["course"] == "undone" and result["nodes"][str(tmp_path / "s")]["place"] == "bad"
+        base.write_text(OURS.replace("cores: 2", "cores: 3"))  # a changed file takes precedence over the history
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
         process, _ = start_program(tmp_path, port)
-        assert json.loads(ask("status", *path, "--json"))["origin"] == "file"
+        assert json.loads(run_command("status", *socket_option, "--json"))["origin"] == "file"
     finally:
         process.kill()
         process.wait()
