--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -2,8 +2,7 @@
 
 ``CanaryAnalysis.evaluate`` is called a few times a second during the canary period and compares the metrics since the
 change with a ``Baseline``. It runs the tests below in this order; the first one that finds harm determines the verdict.
-A change is rolled back once ``REQUIRED_CONSECUTIVE_FINDINGS`` evaluations in a row have found harm of the
-same kind.
+A change is rolled back once ``REQUIRED_CONSECUTIVE_FINDINGS`` evaluations in a row have found harm of the same kind.
 
 To find out why a change was rolled back, look up the start of the reason (in the log, the status and the history):
 
@@ -16,12 +15,14 @@
 ``calls:``                           ``check_failed_calls``       failed and ended calls, sigmas, load
 ===================================  ===========================  ==========================================
 
-``sigmas`` is the difference in standard errors, ``load`` the received requests over those of the baseline. The words of
-reasons and the keys of figures are stored and read by clients, so they differ from the names in the code.
+``sigmas`` is the difference in standard errors. ``load`` is the ratio of the request rate to that of the baseline. The
+texts of the reasons and the keys of the figures are stored and read by clients, so they differ from the names in the
+code.
 
-The expectation for a traffic class or a tenant is what the old configuration would have achieved at the present load:
-a rise of the load alone is no harm, and a good total does not hide one class or tenant that is starved. The module has
-no clock and does no I/O.
+The expectation for each traffic class and tenant is what the old configuration would have achieved under the current
+load. A rise in load alone therefore is no harm, and a good total cannot hide that one class or tenant is starved.
+
+This module has no clock and does no I/O.
 """
 
 from __future__ import annotations
--- a/nickelslip/configuration/metrics_window.py
+++ b/nickelslip/configuration/metrics_window.py
@@ -9,7 +9,7 @@
 
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
-# Load bursts are excluded from a baseline.
+# Load bursts, which are excluded from a baseline
 BURST_SPAN_BUCKET_COUNT = 4
 BURST_LOAD_RATIO = 1.5  # of the median load of a span
 BURST_STANDARD_DEVIATIONS = 3  # of a Poisson count
@@ -146,7 +146,7 @@
         residuals = self._batch_residuals(pairs, batch_count, total.completed_in_time / total.received)
         residuals = _clip_outliers(residuals)
         variance = sum(residual * residual for residual in residuals) / (batch_count - 1)
-        products = sum(first * second for first, second in zip(residuals, residuals[1:], strict=False))
+        products = sum(residual * following for residual, following in zip(residuals, residuals[1:], strict=False))
         autocorrelation = products / max(variance * (batch_count - 1), MIN_SUM_OF_SQUARES)
         autocorrelation = min(max(autocorrelation, -MAX_AUTOCORRELATION), MAX_AUTOCORRELATION)
         positive_autocorrelation = max(autocorrelation, 0.0)
