--- a/nickelslip/configuration/start_selection.py
+++ b/nickelslip/configuration/start_selection.py
@@ -39,7 +39,7 @@
     if confirmed is None or confirmed.document is None:
         return start_from_files(records, file_document, now_ms)
     file_digest = digest_of(file_document)
-    if confirmed.file_digest != file_digest and not _failed_last(records, file_digest):
+    if confirmed.file_digest != file_digest and not _last_change_failed(records, file_digest):
         return start_from_files(records, file_document, now_ms)
     origin = f"history, {STORED_EVENTS[confirmed.event]}"
     return StartSelection(confirmed.document, confirmed.generation, origin, None)
@@ -62,7 +62,7 @@
     return StartSelection(file_document, number, "file", started)
 
 
-def _failed_last(records: list[HistoryRecord], digest: str) -> bool:
+def _last_change_failed(records: list[HistoryRecord], digest: str) -> bool:
     """Return whether the last record of a document shows that it was not confirmed."""
     for record in reversed(records):
         if record.digest == digest:
