--- a/nickelslip/startup/backoff.py
+++ b/nickelslip/startup/backoff.py
@@ -1,6 +1,6 @@
-"""Backoff between attempts at something that does not answer: decorrelated jitter, within a budget of attempts.
+"""Backoff between failed attempts: decorrelated jitter, with a limited number of attempts per time window.
 
-Arithmetic and seeded chance only: nothing here reads a clock or waits.
+This module is deterministic: callers pass in the time and a random generator. It does not sleep.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 import random
 from collections import deque
 
-DECORRELATED_GROWTH = 3.0  # a delay is drawn between the minimum and so many times the previous delay
+DECORRELATED_GROWTH = 3.0  # a delay is drawn between the minimum and this multiple of the previous delay
 
 
 class Backoff:
     """Draws the delay before each attempt.
 
-    In each span no more attempts are made than the budget holds, however often success and failure alternate.
+    No time window of `window_ms` has more than `max_attempts` failed attempts, even if successes come between them.
     """
 
     def __init__(
@@ -22,26 +22,26 @@
         random_source: random.Random,
         min_delay_ms: float,
         max_delay_ms: float,
-        attempt_budget: int,
-        span_ms: float,
+        max_attempts: int,
+        window_ms: float,
     ) -> None:
         self._random = random_source
         self._min_delay_ms = min_delay_ms
         self._max_delay_ms = max_delay_ms
         self._last_delay_ms = min_delay_ms
-        self._span_ms = span_ms
-        self._attempts_at_ms = deque[float](maxlen=attempt_budget)
+        self._window_ms = window_ms
+        self._attempts_at_ms = deque[float](maxlen=max_attempts)
 
     def after_failure(self, now_ms: float) -> float:
-        """Return the delay before the next attempt, in milliseconds. The attempt that failed counts."""
+        """Return the delay before the next attempt, in milliseconds. The failed attempt counts against the limit."""
         self._attempts_at_ms.append(now_ms)
         drawn_ms = self._random.uniform(self._min_delay_ms, DECORRELATED_GROWTH * self._last_delay_ms)
         self._last_delay_ms = min(self._max_delay_ms, drawn_ms)
         if len(self._attempts_at_ms) < (self._attempts_at_ms.maxlen or 0):
             return self._last_delay_ms
-        budget_free_in_ms = self._attempts_at_ms[0] + self._span_ms - now_ms
-        return max(self._last_delay_ms, budget_free_in_ms)
+        window_ends_in_ms = self._attempts_at_ms[0] + self._window_ms - now_ms
+        return max(self._last_delay_ms, window_ends_in_ms)
 
     def after_success(self) -> None:
-        """Start over from the minimum delay at the next failure. What was spent of the budget stays spent."""
+        """Start over from the minimum delay at the next failure. Earlier attempts still count against the limit."""
         self._last_delay_ms = self._min_delay_ms
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -17,7 +17,7 @@
 from nickelslip.startup.phase_jitter import next_in_phase, phase_of
 from nickelslip.startup.rolling_restart import FleetMeasurement, RestartBound, plan_rolling_restart
 from nickelslip.startup.slow_start import (
-    BACKOFF_SPAN_MS,
+    BACKOFF_WINDOW_MS,
     DIRECTORY_ENTRY_LIFETIME_MS,
     FAILURES_UNTIL_BACKOFF,
     INITIAL_CONCURRENT_CALLS,
@@ -144,7 +144,7 @@
             and one.call_pause_ms(now) > 0
         )
         now += one.call_pause_ms(now)
-    assert tries <= FAILURES_UNTIL_BACKOFF + 20_000.0 / BACKOFF_SPAN_MS * 12
+    assert tries <= FAILURES_UNTIL_BACKOFF + 20_000.0 / BACKOFF_WINDOW_MS * 12
     one.call_answered(now, 10.0)
     assert one.phase is SlowStartPhase.FIRST_CALLS and one.call_pause_ms(now) == 0.0
 
@@ -240,7 +240,7 @@
         assert one.max_concurrent_calls >= INITIAL_CONCURRENT_CALLS and (
             one.max_concurrent_calls == inf or one.max_concurrent_calls <= max(INITIAL_CONCURRENT_CALLS, part)
         )
-        assert 0 <= one.call_pause_ms(now) <= max(MAX_BACKOFF_DELAY_MS, BACKOFF_SPAN_MS)
+        assert 0 <= one.call_pause_ms(now) <= max(MAX_BACKOFF_DELAY_MS, BACKOFF_WINDOW_MS)
         assert (
             one.next_report_at_ms == inf
             if one.phase is SlowStartPhase.PROCESS_STARTED
