--- a/nickelslip/startup/__init__.py
+++ b/nickelslip/startup/__init__.py
@@ -1,1 +1,1 @@
-"""The start of one server among hundreds that start at the same time and do not communicate."""
+"""Starting a server, even if hundreds of servers start at the same time without communicating."""
--- a/nickelslip/startup/commands.py
+++ b/nickelslip/startup/commands.py
@@ -1,7 +1,7 @@
 """`nickelslip turns`: how many servers of a fleet may be restarted at once.
 
-The figures are the operator's, as measured; no server is asked for them. The words of the options and of the answer are
-mapped here to those of rolling_restart.py.
+The operator passes in measured figures; the command contacts no server. This module maps the names of the options and
+of the output to those of `rolling_restart`.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
     spare_fraction: float,
     as_json: bool,
 ) -> None:
-    """Print the plan of a rolling restart, in words or as JSON."""
+    """Print the plan of a rolling restart, as text or as JSON."""
     fleet = FleetMeasurement(
         server_count,
         load_fraction,
@@ -104,11 +104,11 @@
     except ValueError as error:
         click.echo(f"nickelslip: turns: {error}", err=True)
         raise SystemExit(EXIT_BAD_ARGUMENTS) from None
-    click.echo(json.dumps(json_of(plan)) if as_json else text_of(plan, server_count))
+    click.echo(json.dumps(encode_plan(plan)) if as_json else format_plan(plan, server_count))
 
 
-def json_of(plan: RestartPlan) -> dict[str, Any]:
-    """Return the plan under the keys of `--json`."""
+def encode_plan(plan: RestartPlan) -> dict[str, Any]:
+    """Return the plan with the keys of the `--json` output."""
     return {
         "at_once": plan.batch_size,
         "bound_by": BOUND_WORDS[plan.bound],
@@ -118,8 +118,8 @@
     }
 
 
-def text_of(plan: RestartPlan, server_count: int) -> str:
-    """Return the plan in words."""
+def format_plan(plan: RestartPlan, server_count: int) -> str:
+    """Return the plan as text."""
     return (
         f"{plan.batch_size} of {server_count} at once (bound by {BOUND_WORDS[plan.bound]}), {plan.batch_count} turns, "
         f"one every {plan.batch_interval_ms / 1000:g} s, {plan.total_ms / 1000:g} s in all"
--- a/nickelslip/startup/crash_loop.py
+++ b/nickelslip/startup/crash_loop.py
@@ -1,6 +1,7 @@
-"""Crash loops: how long a server waits before it starts again when it keeps exiting early.
+"""Crash loops: how long a server that keeps exiting early waits before it starts again.
 
-Arithmetic and seeded chance only: nothing here reads a clock or does I/O. The record is kept by crash_loop_file.py.
+This module is deterministic and does no I/O: callers pass in the time and a random generator. `crash_loop_file` stores
+the record.
 """
 
 from __future__ import annotations
@@ -8,22 +9,22 @@
 import random
 from dataclasses import dataclass, replace
 
-EARLY_EXIT_MS = 20_000.0  # a start that lasted for less exited early
+EARLY_EXIT_MS = 20_000.0  # a start that lasts for less than this is an early exit
 MIN_DELAY_MS = 500.0
 MAX_DELAY_MS = 60_000.0
-EXITS_WITHOUT_DELAY = 1  # so that a restart by hand is immediate
+EXITS_WITHOUT_DELAY = 1  # a manual restart is not delayed
 MAX_COUNTED_EXITS = 32
-MIN_JITTER_FRACTION = 0.5  # of the delay that was doubled; servers that exit together do not come back together
+MIN_JITTER_FRACTION = 0.5  # of the full delay; jitter keeps servers that exit together from restarting together
 
 
 @dataclass(frozen=True)
 class StartRecord:
-    """What is known of a server's starts.
+    """The record of a server's starts.
 
     Attributes:
         consecutive_early_exits: How many starts in a row exited early before the latest one.
-        started_at_ms: When the latest start began, in Unix milliseconds; 0 where none is known.
-        is_stable: Whether the latest start is known to have lasted, or to have been told to stop.
+        started_at_ms: When the latest start began, in Unix milliseconds; 0 if no start is known.
+        is_stable: Whether the latest start lasted long enough or was stopped on request.
     """
 
     consecutive_early_exits: int = 0
@@ -31,21 +32,21 @@
     is_stable: bool = True
 
     def with_new_start(self, now_ms: float) -> StartRecord:
-        """Return the record once another start begins now.
+        """Return the record with a new start that begins now.
 
-        The one before exited early unless it was marked as stable. The time between them is not looked at, since a
-        clock may go back.
+        The previous start counts as an early exit unless it was marked as stable. The time between the two starts is
+        ignored, since the clock may have been set back.
         """
         exited_early = self.started_at_ms > 0 and not self.is_stable
         early_exits = min(MAX_COUNTED_EXITS, self.consecutive_early_exits + 1) if exited_early else 0
         return StartRecord(early_exits, now_ms, is_stable=False)
 
     def marked_stable(self) -> StartRecord:
-        """Return the record once the latest start has lasted, or was told to stop."""
+        """Return the record after the latest start has lasted long enough or was stopped on request."""
         return replace(self, consecutive_early_exits=0, is_stable=True)
 
     def delay_ms(self, random_source: random.Random) -> float:
-        """Return how long the latest start waits: doubled with each early exit in a row, with jitter."""
+        """Return how long the latest start waits. The delay doubles with each early exit in a row, and has jitter."""
         if self.consecutive_early_exits <= EXITS_WITHOUT_DELAY:
             return 0.0
         doublings = self.consecutive_early_exits - EXITS_WITHOUT_DELAY - 1
--- a/nickelslip/startup/crash_loop_file.py
+++ b/nickelslip/startup/crash_loop_file.py
@@ -1,7 +1,7 @@
-"""The file in which the record of a server's starts outlives it.
+"""The file that keeps the record of a server's starts across restarts.
 
-It never keeps a server from starting: a directory that cannot be written, or a file that cannot be read, counts as no
-record and is logged.
+The file never prevents a server from starting. If it cannot be read, the server starts with an empty record; errors of
+reading and writing are logged.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 VERSION = 1
 MAX_LOGGED_ERROR_CHARACTERS = 200
 
-# The names under which a record is stored.
+# The keys of a stored record.
 VERSION_KEY = "version"
 EARLY_EXITS_KEY = "row"
 STARTED_AT_KEY = "begun"
@@ -27,15 +27,15 @@
 
 
 class MalformedStartRecordError(ValueError):
-    """A file that holds no record of this version."""
+    """The file does not contain a valid record of this version."""
 
 
 class CrashLoopFile:
-    """The file of one server.
+    """The start record file of one server.
 
     Args:
-        directory: Where the file is, or will be.
-        log: Where faults of the directory and the file go.
+        directory: The directory of the file.
+        log: Log for errors of the directory and the file.
     """
 
     def __init__(self, directory: str, log: Any) -> None:
@@ -43,7 +43,7 @@
         self._log = log
 
     def read(self) -> StartRecord:
-        """Return the record; an empty one where the file is missing, faulty or of another version."""
+        """Return the record; an empty one if the file is missing, malformed or of another version."""
         try:
             with self._path.open("rb") as file:
                 return decode_record(file.read(MAX_FILE_BYTES))
@@ -55,7 +55,7 @@
             return StartRecord()
 
     def write(self, record: StartRecord) -> None:
-        """Replace the file as a whole, so that a crash meanwhile leaves the file before it."""
+        """Replace the file atomically, so that a crash during the write leaves the previous file."""
         new_path = self._path.with_suffix(".new")
         try:
             with new_path.open("w") as file:
@@ -68,7 +68,7 @@
 
 
 def encode_record(record: StartRecord) -> str:
-    """Return the record as it is stored."""
+    """Return the stored form of a record."""
     return json.dumps(
         {
             VERSION_KEY: VERSION,
@@ -80,22 +80,22 @@
 
 
 def decode_record(data: bytes) -> StartRecord:
-    """Return the stored record.
+    """Return the record for its stored form.
 
     Raises:
-        MalformedStartRecordError: It is of another version, or a value is out of range.
-        ValueError, KeyError, TypeError, RecursionError: It is no JSON object with these keys.
+        MalformedStartRecordError: The record is of another version, or a value is out of range.
+        ValueError, KeyError, TypeError, RecursionError: The data is not a JSON object with these keys.
     """
     stored = json.loads(data)
     early_exits = stored[EARLY_EXITS_KEY]
     started_at_ms = stored[STARTED_AT_KEY]
     is_stable = stored[IS_STABLE_KEY]
     if stored[VERSION_KEY] != VERSION:
-        raise MalformedStartRecordError(f"not of version {VERSION}")
+        raise MalformedStartRecordError(f"the record's version is not {VERSION}")
     if type(early_exits) is not int or early_exits < 0:
-        raise MalformedStartRecordError(f"{EARLY_EXITS_KEY} is no count")
+        raise MalformedStartRecordError(f"{EARLY_EXITS_KEY} is not a non-negative integer")
     if type(is_stable) is not bool:
-        raise MalformedStartRecordError(f"{IS_STABLE_KEY} is neither true nor false")
+        raise MalformedStartRecordError(f"{IS_STABLE_KEY} is not a boolean")
     if not isinstance(started_at_ms, int | float) or not math.isfinite(started_at_ms) or started_at_ms < 0:
-        raise MalformedStartRecordError(f"{STARTED_AT_KEY} is no Unix time in milliseconds")
+        raise MalformedStartRecordError(f"{STARTED_AT_KEY} is not a Unix time in milliseconds")
     return StartRecord(early_exits, float(started_at_ms), is_stable)
--- a/nickelslip/startup/phase_jitter.py
+++ b/nickelslip/startup/phase_jitter.py
@@ -1,6 +1,7 @@
-"""Phase jitter: when in a period each server acts, so that servers that know nothing of each other spread out.
+"""Phase jitter: spreads the periodic actions of servers that do not communicate over the whole period.
 
-Arithmetic and seeded chance only: nothing here reads a clock, does I/O or knows what is done at the times it names.
+This module is deterministic: callers pass in the time and the seed. It does no I/O, and does not depend on what is done
+at the computed times.
 """
 
 from __future__ import annotations
@@ -9,16 +10,16 @@
 import re
 from math import sqrt
 
-# Multiples of the golden ratio fill a circle more evenly than chance does, however many of them there are.
+# Multiples of the golden ratio, modulo 1, are spread more evenly than random numbers, however many there are.
 GOLDEN_RATIO_CONJUGATE = (sqrt(5) - 1) / 2
 
 
 def phase_of(server_name: str, seed: int) -> float:
-    """Return the fraction of a period at which a server acts, from 0 to under 1.
+    """Return the point in a period at which a server acts, as a fraction in [0, 1).
 
-    A name that ends in a number is placed by that number, so that any subset of the servers of a group is spread
-    evenly; the rest of the name rotates the whole group, so that n7 of two groups do not coincide. A name without a
-    number is placed by a random draw from the name and the seed.
+    If the name ends in a number, that number determines the fraction, so that any subset of a group of servers is
+    spread evenly. The rest of the name shifts the whole group, so that equal numbers in two groups do not coincide. If
+    the name does not end in a number, the fraction is a random draw seeded with the name and the seed.
     """
     match = re.fullmatch(r"(.*?)(\d*)", server_name, re.DOTALL)
     assert match is not None  # the pattern matches every string
@@ -29,10 +30,10 @@
 
 
 def next_in_phase(now_ms: float, period_ms: float, phase: float) -> float:
-    """Return the first moment after `now_ms` at the given phase of a period, in Unix milliseconds.
+    """Return the first time after `now_ms` at the given phase of a period, in Unix milliseconds.
 
-    Periods are counted from the clock's zero. Servers that were started in the same instant stay apart, and a server
-    whose clock is off merely trades its place with another.
+    Periods are counted from the clock's zero, not from the start of the server. Servers that start at the same time
+    therefore act at different times. A server whose clock is wrong only acts at another server's point in the period.
     """
     periods = now_ms / period_ms - phase
     return ((periods // 1) + 1 + phase) * period_ms
--- a/nickelslip/startup/rolling_restart.py
+++ b/nickelslip/startup/rolling_restart.py
@@ -1,7 +1,4 @@
-"""Rolling restarts: how many servers of a fleet may be restarted at once, from measured figures.
-
-Arithmetic only.
-"""
+"""Rolling restarts: computes from measured figures how many servers of a fleet may be restarted at once."""
 
 from __future__ import annotations
 
@@ -9,28 +6,28 @@
 from enum import Enum
 from math import floor, inf
 
-ROUNDING_SLACK = 1e-9  # so that a whole number of servers is not lost to rounding
+ROUNDING_SLACK = 1e-9  # keeps floor() from losing one server to floating-point rounding
 MIN_COLD_SPEED_FRACTION_FOR_CALLS = 0.5
 
 
 class RollingRestartError(ValueError):
-    """No restart can be planned from these figures."""
+    """No restart can be planned: the fleet has no spare capacity, or a figure is out of range."""
 
 
 @dataclass(frozen=True)
 class FleetMeasurement:
-    """A fleet as it was measured. Loads and speeds are fractions of what the whole warm fleet can do.
+    """Measured figures of a fleet.
 
     Attributes:
-        server_count: Servers in the fleet.
-        load_fraction: At the time of the restart.
-        cold_speed_fraction: Of its speed, with which a server starts.
-        warm_up_ms: Until a server is warm.
-        downtime_ms: From the signal to stop until the successor serves.
+        server_count: Number of servers in the fleet.
+        load_fraction: Load at the time of the restart, as a fraction of the capacity of the whole warm fleet.
+        cold_speed_fraction: Speed of a cold server, as a fraction of its speed when it is warm.
+        warm_up_ms: Time until a cold server is warm.
+        downtime_ms: Time from the signal to stop until the successor serves.
         concurrent_calls: Mean number of calls in flight of the whole fleet, at that load.
-        max_concurrent_calls: How many the dependency survives; inf for no bound.
-        cold_call_multiple: Calls of a wholly cold server, as a multiple of a warm one's.
-        spare_fraction: Of the fleet, to be left over.
+        max_concurrent_calls: Number of calls in flight that the dependency survives; inf for no limit.
+        cold_call_multiple: Number of calls of a cold server, as a multiple of those of a warm one.
+        spare_fraction: Capacity to keep in reserve, as a fraction of the fleet.
     """
 
     server_count: int
@@ -45,23 +42,23 @@
 
 
 class RestartBound(Enum):
-    """What bounds how many servers are restarted at once."""
+    """What limits how many servers are restarted at once."""
 
-    CORES = "the load of those that are restarted, on the cores of the others"
-    CALLS = "the calls that the dependency survives"
-    FLEET_SIZE = "nothing: all are restarted at once"
+    CORES = "the remaining servers' cores must carry the load of those that are restarted"
+    CALLS = "the number of calls in flight that the dependency survives"
+    FLEET_SIZE = "no limit applies; all servers are restarted at once"
 
 
 @dataclass(frozen=True)
 class RestartPlan:
-    """How a fleet is restarted in batches.
+    """A plan for restarting a fleet in batches.
 
     Attributes:
-        batch_size: How many servers are restarted at once.
-        bound: What bounds that.
-        batch_count: How many batches there are.
-        batch_interval_ms: Between the beginnings of two batches.
-        total_ms: For all batches.
+        batch_size: Number of servers that are restarted at once.
+        bound: What limits the batch size.
+        batch_count: Number of batches.
+        batch_interval_ms: Time between the starts of two consecutive batches.
+        total_ms: Time for all batches.
     """
 
     batch_size: int
@@ -72,10 +69,10 @@
 
 
 def plan_rolling_restart(fleet: FleetMeasurement) -> RestartPlan:
-    """Return the largest batches that the fleet can do without.
+    """Return the plan with the largest batches that the fleet can spare.
 
-    A batch begins when the one before is warm again. Its servers do nothing for the downtime, and then their speed
-    rises evenly.
+    A batch begins when the servers of the previous one are warm again. The servers of a batch do no work during the
+    downtime. After it their speed rises linearly.
 
     Raises:
         RollingRestartError: Not even one server may be restarted, or a figure is out of range.
@@ -100,7 +97,7 @@
 
 
 def _is_in_range(fleet: FleetMeasurement) -> bool:
-    """Whether every figure is; one that is not a number is not."""
+    """Whether every figure is in range. NaN is out of range."""
     return all(
         (
             fleet.server_count >= 1,
@@ -116,10 +113,10 @@
 
 
 def _max_by_calls(fleet: FleetMeasurement) -> float:
-    """Return how many servers may be cold at once before the dependency gets too many calls.
+    """Return how many servers may be cold at once before the dependency receives too many calls.
 
-    A cold server makes up to `cold_call_multiple` times the calls for what it does. What it leaves undone the others
-    do, with as many calls as usual.
+    A cold server makes up to `cold_call_multiple` times the usual calls for the work that it does. The other servers do
+    the rest of its work, with the usual number of calls.
     """
     speed_fraction = max(fleet.cold_speed_fraction, MIN_COLD_SPEED_FRACTION_FOR_CALLS)
     calls_per_server = fleet.concurrent_calls / fleet.server_count
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from nickelslip.startup.backoff import Backoff
-from nickelslip.startup.commands import json_of
+from nickelslip.startup.commands import encode_plan
 from nickelslip.startup.crash_loop import MAX_DELAY_MS, StartRecord
 from nickelslip.startup.crash_loop_file import FILE_NAME, CrashLoopFile
 from nickelslip.startup.phase_jitter import next_in_phase, phase_of
@@ -299,12 +299,18 @@
     plan = plan_rolling_restart(told)
     assert (plan.batch_size, plan.bound, plan.batch_count) == (35, RestartBound.CORES, 3)
     assert plan.total_ms == pytest.approx(63_000.0)
-    assert json_of(plan) == {"at_once": 35, "bound_by": "cores", "turns": 3, "every_ms": 21_000.0, "all_ms": 63_000.0}
+    assert encode_plan(plan) == {
+        "at_once": 35,
+        "bound_by": "cores",
+        "turns": 3,
+        "every_ms": 21_000.0,
+        "all_ms": 63_000.0,
+    }
     crowded = FleetMeasurement(
         100, 0.6, 0.2, 18_000.0, 3000.0, concurrent_calls=200.0, max_concurrent_calls=240.0, cold_call_multiple=3.0
     )
     plan = plan_rolling_restart(crowded)
-    assert plan.bound is RestartBound.CALLS and plan.batch_size == 20 and json_of(plan)["bound_by"] == "calls"
+    assert plan.bound is RestartBound.CALLS and plan.batch_size == 20 and encode_plan(plan)["bound_by"] == "calls"
     for bad in (
         FleetMeasurement(3, 0.8, 0.2, 1.0, 1.0),
         FleetMeasurement(0, 0.1, 0.2, 1.0, 1.0),
