--- a/nickelslip/server/cli.py
+++ b/nickelslip/server/cli.py
@@ -1,6 +1,6 @@
 """The command line: serve, check, config, turns, version.
 
-What a sub-command needs is imported when it is called.
+Each sub-command imports its dependencies only when it is called.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports the sub-commands `config` and `turns` when they are called."""
+    """A command group that imports the sub-commands `config` and `turns` on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all sub-commands."""
         return sorted([*super().list_commands(ctx), "config", "turns"])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Return the sub-command of this name, if there is one."""
+        """Return the sub-command of this name, or None if there is none."""
         if name == "config":
             from nickelslip.configuration.commands import config
 
@@ -67,7 +67,7 @@
 @main.command(help="Check a configuration, and say what it is.")
 @CONFIG_OPTION
 def check(paths: tuple[str, ...]) -> None:
-    """Check the configuration in these files, and print a summary."""
+    """Check the configuration in these files and print a summary."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGTERM})
     from nickelslip.server import program
 
@@ -81,7 +81,7 @@
 
 @main.command(help="Print the version.")
 def version() -> None:
-    """Print the version of the installed package, or of the source where it is not installed."""
+    """Print the version of the installed package, or that of the source tree if the package is not installed."""
     try:
         click.echo(installed_version("nickelslip"))
     except PackageNotFoundError:
--- a/nickelslip/server/crash_loop_guard.py
+++ b/nickelslip/server/crash_loop_guard.py
@@ -1,7 +1,7 @@
-"""The wait of a server that keeps exiting early, and the mark that a start has lasted.
+"""Delays the start of a server that keeps exiting early, and records which starts have lasted.
 
-The wait comes before anything is bound or reported: nobody lists a server that waits, and it asks for nothing. Once a
-server serves it does not wait any more.
+The delay comes before the server binds its address or reports to the directory. While it waits, the directory does not
+list it and it makes no requests. Once it serves there are no more delays.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 class CrashLoopGuard:
-    """The record of one server's starts.
+    """Keeps the record of one server's starts, and delays a start if the earlier ones exited early.
 
     Args:
-        directory: Where the record outlives the server.
-        seed: Of the jitter of the wait.
-        log: Where a wait, and faults of the directory, go.
+        directory: Directory of the file that keeps the record across restarts.
+        seed: Seed of the jitter of the delay.
+        log: Log for delays and for errors of the directory.
     """
 
     def __init__(self, directory: str, seed: int, log: Any) -> None:
@@ -32,12 +32,12 @@
         self._log = log
 
     def wait(self) -> bool:
-        """Record that a start begins, and wait if the ones before it exited early.
+        """Record a new start, and wait if the previous ones exited early.
 
-        SIGTERM has to be blocked: it is taken here if it comes during the wait.
+        The caller must block SIGTERM. If SIGTERM arrives during the wait, this method consumes it.
 
         Returns:
-            Whether the server is to start; not where SIGTERM came meanwhile.
+            Whether the server is to start; False if SIGTERM arrived during the wait.
         """
         record = self._file.read().with_new_start(time.time() * 1000)
         self._file.write(record)
@@ -58,10 +58,10 @@
         return record.delay_ms(random.Random(f"{self._seed} {record.started_at_ms}"))
 
     def mark_stable(self) -> None:
-        """Record that the start has lasted, or was told to stop."""
+        """Record that the start has lasted long enough or was stopped on request."""
         self._file.write(self._file.read().marked_stable())
 
     async def run(self) -> None:
-        """Mark the start as stable once it has lasted; the disk is waited for in a thread."""
+        """Mark the start as stable once it has lasted long enough; the file is written in a thread."""
         await anyio.sleep(EARLY_EXIT_MS / 1000)
         await anyio.to_thread.run_sync(self.mark_stable)
--- a/nickelslip/server/log_output.py
+++ b/nickelslip/server/log_output.py
@@ -14,7 +14,7 @@
 
 
 class LogWriter:
-    """Writes log lines to a file descriptor; a line that would block is dropped and counted.
+    """Writes log lines to a file descriptor. A line whose write would block is dropped and counted.
 
     Args:
         descriptor: The file descriptor.
@@ -22,25 +22,25 @@
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._lost_count = 0
+        self._dropped_count = 0
 
     def msg(self, text: str) -> None:
-        """Write one line, a JSON object, with the number of lines that were dropped before it.
+        """Write one line, a JSON object; add the number of lines that were dropped since the last one written.
 
-        Lines that are too long are cut.
+        A line that is too long is truncated.
         """
-        if self._lost_count:
-            text = f'{text[:-1]},"lines_lost":{self._lost_count}}}'
+        if self._dropped_count:
+            text = f'{text[:-1]},"lines_lost":{self._dropped_count}}}'
         data = text.encode("utf-8", "replace")[: MAX_LINE_BYTES - 1] + b"\n"
         if self._write(data):
-            self._lost_count = 0
+            self._dropped_count = 0
         else:
-            self._lost_count += 1
+            self._dropped_count += 1
 
     debug = info = warning = error = critical = exception = msg
 
     def _write(self, data: bytes) -> bool:
-        """Write now, or return False if the descriptor is not ready or closed."""
+        """Write without blocking; return False if the descriptor is not ready for writing, or the write fails."""
         try:
             if not select.select([], [self._descriptor], [], 0)[1]:
                 return False
@@ -51,7 +51,7 @@
 
 
 def configure_logging(descriptor: int) -> None:
-    """Have structlog write JSON lines to a file descriptor."""
+    """Configure structlog to write JSON lines to a file descriptor."""
     writer = LogWriter(descriptor)
     structlog.configure(
         processors=[
@@ -68,7 +68,7 @@
 
 
 def _shorten_traceback(_logger: Any, _name: str, fields: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Keep the end of a traceback, which names the cause, so that it fits into a line."""
+    """Keep only the end of a traceback, which names the cause, so that it fits into a line."""
     if "exception" in fields:
         fields["exception"] = str(fields["exception"])[-MAX_TRACEBACK_CHARACTERS:]
     return fields
--- a/nickelslip/server/log_sampling.py
+++ b/nickelslip/server/log_sampling.py
@@ -1,12 +1,12 @@
-"""Which occurrences of a repeated event are logged."""
+"""Sampling of repeated log events."""
 
 from __future__ import annotations
 
 
 def is_power_of_two(count: int) -> bool:
-    """Whether the occurrence with this number is logged: the 1st, 2nd, 4th, 8th and so on.
+    """Whether to log this occurrence of an event: the 1st, 2nd, 4th, 8th and so on are logged.
 
     Args:
-        count: Number of the occurrence; the first one is 1.
+        count: Number of the occurrence, from 1.
     """
     return count & (count - 1) == 0
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -1,6 +1,6 @@
-"""The process of a server, from the files of its configuration to its exit code.
+"""Runs a server process, from reading its configuration files to its exit code.
 
-Hundreds of servers start in the same second on few cores, so nothing is imported here that serving does not need.
+Hundreds of servers may start in the same second on few cores, so this module imports only what serving needs.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from nickelslip.server.log_output import configure_logging
 from nickelslip.server.server import Server
 
-if TYPE_CHECKING:  # imported when a configuration asks for them
+if TYPE_CHECKING:  # at run time imported only if the configuration needs them
     from nickelslip.configuration.store import HistoryStore
     from nickelslip.server.crash_loop_guard import CrashLoopGuard
 
@@ -36,7 +36,7 @@
 
 
 def load_or_exit(paths: tuple[str, ...]) -> Config:
-    """Return the configuration in these files; print its errors and exit if it has any."""
+    """Return the configuration in these files; if it is not valid, print its errors and exit."""
     try:
         return load_config(paths, os.environ)
     except MalformedSettingsError as error:
@@ -49,7 +49,7 @@
     """Run a server with the configuration in these files, and exit the process."""
     config = load_or_exit(paths)
     configure_logging(sys.stdout.fileno())
-    crash_loop_guard = _wait_out_crash_loop(config)
+    crash_loop_guard = _wait_after_early_exits(config)
     listening_socket = _bind_or_exit(config)
     server = _create_server(config, partial(load_config, paths, os.environ))
     server.listeners.append(LoadBalancerListener(server, listening_socket))
@@ -58,14 +58,18 @@
     _enable_garbage_collection()
     listen = ":".join(map(str, config.listen))
     server.log.info("serving", version=nickelslip.__version__, name=config.name, listen=listen)
-    ended_in_order = anyio.run(server.run, backend_options={"use_uvloop": True})
-    if ended_in_order and crash_loop_guard is not None:
+    shut_down_cleanly = anyio.run(server.run, backend_options={"use_uvloop": True})
+    if shut_down_cleanly and crash_loop_guard is not None:
         crash_loop_guard.mark_stable()
-    sys.exit(EXIT_SUCCESS if ended_in_order else EXIT_FAILED)
+    sys.exit(EXIT_SUCCESS if shut_down_cleanly else EXIT_FAILED)
 
 
-def _wait_out_crash_loop(config: Config) -> CrashLoopGuard | None:
-    """Wait if earlier starts ended early, where starts are recorded; exit if the wait is interrupted."""
+def _wait_after_early_exits(config: Config) -> CrashLoopGuard | None:
+    """Wait if earlier starts exited early; exit if the wait is interrupted.
+
+    Returns:
+        The guard that records starts; None if the configuration does not ask for that.
+    """
     if not config.starts:
         return None
     from nickelslip.server.crash_loop_guard import CrashLoopGuard
@@ -77,7 +81,7 @@
 
 
 def _bind_or_exit(config: Config) -> socket.socket:
-    """Return the listening socket; print the error and exit if the address cannot be bound."""
+    """Return the listening socket; if the address cannot be bound, print the error and exit."""
     try:
         return bind(config.listen)
     except OSError as error:
@@ -86,14 +90,14 @@
 
 
 def _create_server(config: Config, read_config: Callable[[], Config]) -> Server:
-    """Return the server, with a configuration manager if the configuration may change while it runs."""
+    """Return the server, with a configuration manager if its configuration may change while it runs."""
     if not config.changes.accepts_changes:
         return Server(config, read_config)
     return _create_managed_server(config, read_config)
 
 
 def _create_managed_server(config: Config, read_config: Callable[[], Config]) -> Server:
-    """Return a server with a configuration manager; print an error and exit if there cannot be one."""
+    """Return a server with a configuration manager; if that fails, print the error and exit."""
     _require_settings_extra()
     from nickelslip.server.configuration_manager import ConfigurationManager
     from nickelslip.server.control_socket import ControlSocket
@@ -102,14 +106,14 @@
     rules = config.changes
     try:
         store = _open_history(config)
-        config, file, start, records = select_starting_configuration(
+        config, file_document, start, records = select_starting_configuration(
             config, store, time.time() * 1000, structlog.get_logger()
         )
     except OSError as error:
         _print_error(f"changes.history: {rules.history}: {error.strerror}")
         sys.exit(EXIT_FAILED)
     server = Server(config, read_config)
-    manager = ConfigurationManager(server, file, start, records, read_config, store)
+    manager = ConfigurationManager(server, file_document, start, records, read_config, store)
     server.background_tasks.append(manager.run)
     if rules.socket:
         control_socket = ControlSocket(server, rules.socket, rules.socket_mode, manager.command)
@@ -118,7 +122,7 @@
 
 
 def _require_settings_extra() -> None:
-    """Exit if the packages of the extra `settings` are not installed."""
+    """Print an error and exit if the packages of the `settings` extra are not installed."""
     from importlib.util import find_spec
 
     if find_spec("xxhash") is not None:
@@ -128,7 +132,11 @@
 
 
 def _open_history(config: Config) -> HistoryStore | None:
-    """Return the history of configurations, if one is kept; raises OSError."""
+    """Return the history of configurations, or None if the configuration does not ask for one.
+
+    Raises:
+        OSError: The history cannot be opened.
+    """
     from nickelslip.configuration.store import HistoryStore
 
     rules = config.changes
@@ -136,11 +144,11 @@
 
 
 def _enable_garbage_collection() -> None:
-    """Collect garbage from here on, but never examine what the start created: that would take a tenth of the start."""
+    """Enable garbage collection, but exclude all existing objects: scanning them would take a tenth of the start."""
     gc.freeze()
     gc.enable()
 
 
 def _print_error(text: str) -> None:
-    """Print an error for whoever started the program."""
+    """Print an error to standard error."""
     print(f"nickelslip: {text}", file=sys.stderr)
--- a/nickelslip/server/signals.py
+++ b/nickelslip/server/signals.py
@@ -9,19 +9,19 @@
 
 from nickelslip.server.lifecycle import Lifecycle, Phase
 
-if TYPE_CHECKING:  # interfaces are types only; importing them would lengthen the start
+if TYPE_CHECKING:  # needed only for type hints; importing it at run time would slow the start
     from nickelslip.server.interfaces import ProcessCommands
 
-BLOCKED_SIGNALS = {signal.SIGTERM, signal.SIGHUP}  # until the server can handle them, and again at its end
+BLOCKED_SIGNALS = {signal.SIGTERM, signal.SIGHUP}  # blocked before the server can handle them, and again at its end
 
 
 class SignalHandler:
-    """Turns signals into commands to the server.
+    """Translates signals to commands to the server.
 
     Args:
         log: Log of the server.
-        lifecycle: Its phase, by which a second interrupt is known.
-        commands: Where the commands go.
+        lifecycle: Lifecycle of the server; its phase tells whether an interrupt arrives during a shutdown.
+        commands: Executes the commands.
     """
 
     def __init__(self, log: Any, lifecycle: Lifecycle, commands: ProcessCommands) -> None:
@@ -32,8 +32,8 @@
     async def run(self) -> None:
         """Handle signals until cancelled.
 
-        Signals that arrived while they were blocked are handled first. They are blocked again at the end, so that none
-        of them ends the process by the system's default.
+        Signals that arrived while they were blocked are handled first. Signals are blocked again at the end, so that
+        their default action does not end the process.
         """
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
