--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -1,4 +1,4 @@
-"""What is measured of this server, and the analysis of the change that is in its canary period."""
+"""Measurements of this server, and the analysis of the change in its canary period."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TimeSpan(NamedTuple):
-    """From one moment up to another (Unix milliseconds)."""
+    """A time span in Unix milliseconds; the end is exclusive."""
 
     begin_at_ms: float
     end_at_ms: float
@@ -26,11 +26,11 @@
     """The metrics of one server, and the analysis of at most one change.
 
     Args:
-        server: The server that is observed.
-        request_metrics: Where the server counts its requests.
+        server: The observed server.
+        request_metrics: The server's request metrics.
 
     Attributes:
-        request_metrics: Where the server counts its requests.
+        request_metrics: The server's request metrics.
         verdict: The latest verdict on a change.
     """
 
@@ -48,18 +48,18 @@
 
     @property
     def is_conclusive(self) -> bool:
-        """Whether what happens now says anything about a change: the server serves, and its workers do."""
+        """Whether current measurements can be used for a verdict: the server serves and its worker pool is up."""
         return self._server.phase is Phase.SERVING and self._server.worker_pool.is_up
 
     def sample(self) -> None:
-        """Record the load that the server advertises, and its resource usage."""
+        """Record the load that the server advertises and its resource utilization."""
         gauges = self._server.gauges
         self.request_metrics.sample_server(
             self._server.clock(), self._advertised_weight(), gauges.memory_utilization, gauges.cpu_utilization
         )
 
     def _advertised_weight(self) -> float:
-        """Return the advertised weight as a fraction of the load that is asked for."""
+        """Return the advertised weight, converted to the fraction of the load that the server asks for."""
         weight = self._server.advertised_weight
         if weight is None:
             return 1.0
@@ -68,7 +68,7 @@
         return weight
 
     def baseline(self, span_ms: float) -> Baseline:
-        """Return the metrics of the latest span, without the time of changes that were rolled back."""
+        """Return the metrics of the latest `span_ms` milliseconds, without the time spans of rolled-back changes."""
         now_ms = self._server.clock()
         return Baseline(self._included_buckets(now_ms - span_ms, now_ms))
 
@@ -82,34 +82,34 @@
                 yield bucket
 
     def exclude(self, span: TimeSpan) -> None:
-        """Leave a span of time out of later baselines."""
+        """Exclude a time span from later baselines."""
         self._excluded_spans = [*self._excluded_spans[-(MAX_EXCLUDED_SPANS - 1) :], span]
 
     def set_objectives_during_change(self, old_ms: Mapping[str, float], new_ms: Mapping[str, float]) -> None:
-        """Count a response as timely if it meets the latency objective before the change or the one after it.
+        """Count a response as timely if it meets either the old or the new latency objective.
 
-        Otherwise an objective that changes would look like a change of the server's performance.
+        Otherwise a changed objective would look like a change of the server's performance.
         """
         objectives_ms = {name: max(old_ms.get(name, 0.0), new) for name, new in {**old_ms, **new_ms}.items()}
         self.request_metrics.set_latency_objectives(objectives_ms)
 
     def begin(self, baseline: Baseline, standard_errors: float) -> None:
-        """Begin to analyse a change that has just been adopted."""
+        """Start the analysis of a change that has just been adopted."""
         self._analysis = CanaryAnalysis(baseline, self._server.clock(), standard_errors)
 
     def restart(self, now_ms: float) -> None:
-        """Discard what was observed of the change up to now."""
+        """Discard all observations of the change up to now."""
         if self._analysis is not None:
             self._analysis.restart(now_ms)
 
     def evaluate(self, now_ms: float) -> CanaryVerdict | None:
-        """Return the verdict on the change with all that has been measured since, or None if there is no change."""
+        """Evaluate the measurements up to now; return the verdict, or None if no change is being analysed."""
         if self._analysis is None:
             return None
         self.verdict = self._analysis.evaluate(self.request_metrics.between(self._analysis.evaluated_until_ms, now_ms))
         return self.verdict
 
     def end(self) -> None:
-        """End the analysis: no change is in its canary period any more."""
+        """End the analysis, once no change is in its canary period."""
         self._analysis = None
         self.request_metrics.set_latency_objectives(self._server.generation.latency_objectives_ms)
--- a/nickelslip/server/canary_watcher.py
+++ b/nickelslip/server/canary_watcher.py
@@ -1,4 +1,4 @@
-"""Watches the change in its canary period, and has it confirmed or rolled back."""
+"""Watches the change in its canary period, and confirms it or rolls it back."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class CanaryWatcher:
-    """Samples the server, and looks at the change in its canary period.
+    """Samples the server, and evaluates the change in its canary period.
 
     Args:
         server: The server.
-        changes: Its changes.
+        changes: The configuration changes of the server.
         applier: Confirms and rolls back changes.
-        history: Where records are written; what could not be written is tried again here.
-        observation: What is measured of the server.
+        history: Writes the records of changes; the watcher retries writes that failed.
+        observation: The measurements of the server.
         lock: Held while a change is confirmed or rolled back.
     """
 
@@ -46,7 +46,7 @@
         self._lock = lock
 
     async def run(self) -> None:
-        """Sample the server and look at the change once per bucket of the metrics, until cancelled."""
+        """Sample the server and evaluate the change once per metrics bucket, until cancelled."""
         while True:
             await anyio.sleep(BUCKET_MS / MS_PER_S)
             self._observation.sample()
@@ -56,7 +56,7 @@
                     await self._watch()
 
     async def _watch(self) -> None:
-        """Look at the change; where the analysis itself fails, roll back rather than leave the change unwatched."""
+        """Evaluate the change; if the analysis raises an error, roll the change back rather than leave it unwatched."""
         if not self._changes.is_in_canary_period:
             return
         try:
--- a/nickelslip/server/change_applier.py
+++ b/nickelslip/server/change_applier.py
@@ -1,7 +1,7 @@
-"""Applies configuration changes to a running server: drafts, applies, confirms and rolls them back.
+"""Drafts, applies, confirms and rolls back the configuration changes of a running server.
 
-A record of a change is written before the server adopts it, and one of its confirmation or rollback after. Nothing is
-awaited between the adoption of a generation and the transition that reports it.
+The record of a change is written before the server adopts the change. The record of its confirmation or rollback is
+written afterwards. There is no `await` between the adoption of a generation and the state transition that reports it.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 
 class ChangeApplier:
-    """Carries out the changes of one server; its caller makes sure that one call runs at a time.
+    """Executes the configuration changes of one server. The caller must ensure that calls do not overlap.
 
     Args:
         server: The server.
-        changes: Its changes.
-        history: Where records are written.
-        observation: What is measured of the server, and analysed for a change.
+        changes: The configuration changes of the server.
+        history: Writes the records of changes.
+        observation: The measurements of the server, and the analysis of a change.
 
     Attributes:
-        adoption_times_us: For how long the server was stopped to adopt the latest generations.
+        adoption_times_us: How long the server was paused to adopt each of the latest generations.
     """
 
     def __init__(
@@ -50,7 +50,8 @@
     def draft(self, config: Config, document: Document, origin: str, forced: bool) -> ConfigurationChange:
         """Return a validated change to this document.
 
-        An admission controller is made of it on trial: an error that this raises would otherwise be raised in service.
+        Validation creates an admission controller with the new settings. An error in its constructor would otherwise
+        occur only while the server is serving.
 
         Raises:
             ChangeRejectedError: The change cannot be applied.
@@ -66,10 +67,10 @@
         return change
 
     async def stage_and_apply(self, change: ConfigurationChange) -> None:
-        """Stage and apply a change; where it cannot be applied now it does not stay staged.
+        """Stage and apply a change; if it cannot be applied now, it does not stay staged.
 
         Raises:
-            ChangeRejectedError: It was not applied.
+            ChangeRejectedError: The change was not applied.
         """
         self._changes.stage(self._server.clock(), change)
         try:
@@ -80,16 +81,16 @@
             raise
 
     async def apply_staged(self, number: int | None) -> ConfigurationChange:
-        """Apply the staged change, or the one of this number, and begin to observe it.
+        """Apply the staged change and start to observe it; if `number` is given, the staged change must have it.
 
-        A crash on the way leaves the last confirmed generation in force.
+        If the server crashes in the meantime, the last confirmed generation stays in force.
 
         Raises:
-            ChangeRejectedError: It was not applied.
+            ChangeRejectedError: The change was not applied.
         """
         self._require_changeable_phase()
         await self._history.flush()
-        if self._history.unwritten:  # records behind a gap would not be valid at the next start
+        if self._history.unwritten:  # records after a gap would not be valid at the next start
             detail = f"{len(self._history.unwritten)} records behind"
             raise ChangeRejectedError(RejectionReason.HISTORY_UNAVAILABLE, detail)
         change, record = self._changes.begin_applying(self._server.clock(), number)
@@ -98,7 +99,7 @@
         except OSError as error:
             await self._fail(f"{RejectionReason.HISTORY_UNAVAILABLE.value}: {error.strerror}")
             raise ChangeRejectedError(RejectionReason.HISTORY_UNAVAILABLE, error.strerror or "") from None
-        if self._server.phase not in CHANGEABLE_PHASES:  # it began to shut down meanwhile
+        if self._server.phase not in CHANGEABLE_PHASES:  # a shutdown began during the write
             await self._fail(RejectionReason.SHUTTING_DOWN.value)
             self._require_changeable_phase()
         await self._put_in_force(change)
@@ -112,7 +113,7 @@
         await self._history.write_or_queue(self._changes.mark_failed(self._server.clock(), reason))
 
     async def _put_in_force(self, change: ConfigurationChange) -> None:
-        """Adopt the generation of a change whose record is written, and begin to observe it if it needs that."""
+        """Adopt the generation of a change whose record is written, and start to observe it if necessary."""
         assert change.generation is not None
         baseline = self._observation.baseline(self._changes.rules.baseline_ms)
         old_objectives_ms = self._server.generation.latency_objectives_ms
@@ -137,7 +138,7 @@
         await self._history.write_or_queue(record)
 
     async def roll_back(self, reason: str) -> None:
-        """Roll the change in its canary period back, and leave its time out of later baselines.
+        """Roll back the change in its canary period, and exclude its time span from later baselines.
 
         Raises:
             ChangeRejectedError: No change is in its canary period.
@@ -151,14 +152,14 @@
         self._observation.end()
         await self._history.write_or_queue(record)
 
-    async def move_peers(self, config: Config, document: Document, origin: str) -> None:
-        """Adopt a configuration that differs in peer addresses alone."""
+    async def adopt_peer_addresses(self, config: Config, document: Document, origin: str) -> None:
+        """Adopt a configuration that differs only in the addresses of peers."""
         generation, record = self._changes.move_peers(self._server.clock(), config, document, origin)
         self._adopt(generation)
         await self._history.write_or_queue(record)
 
     def _adopt(self, generation: Generation) -> None:
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         self._server.apply_generation(generation)
-        elapsed_us = (time.perf_counter() - begun_s) * US_PER_S
+        elapsed_us = (time.perf_counter() - started_s) * US_PER_S
         self.adoption_times_us = [*self.adoption_times_us[-(MAX_ADOPTION_TIMES - 1) :], elapsed_us]
--- a/nickelslip/server/configuration_manager.py
+++ b/nickelslip/server/configuration_manager.py
@@ -1,7 +1,7 @@
-"""The commands by which operators and tools change the configuration of a running server.
+"""Executes the commands by which operators and tools change the configuration of a running server.
 
-One command that changes anything is carried out at a time. What becomes of a change is decided elsewhere: its
-transitions in `change_lifecycle`, the verdict on it in `canary_analysis`.
+Commands that change anything are executed one at a time. `change_lifecycle` defines the transitions of a change, and
+`canary_analysis` gives the verdict on it.
 """
 
 from __future__ import annotations
@@ -44,20 +44,20 @@
 
 
 class ConfigurationManager:
-    """Takes the configuration changes of one server.
+    """Manages the configuration changes of one server.
 
     Args:
-        server: The server; it is put on the generation of its start.
+        server: The server. Its generation is replaced by that of the start selection.
         file_document: The document in the configuration files.
-        start: What the server starts with.
+        start: The configuration with which the server starts.
         records: The records of the history.
-        read: Reads the configuration files again; it may block.
-        store: Where the history is written; None to keep it in memory only.
+        read_config: Reads the configuration files again; it may block.
+        store: Stores the history; None to keep it in memory only.
 
     Attributes:
-        changes: The changes, and the generations they lead to.
-        history: Where records are written.
-        observation: What is measured of the server.
+        changes: The changes, and the generations that they lead to.
+        history: Writes the records of changes.
+        observation: The measurements of the server.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         file_document: Document,
         start: StartSelection,
         records: list[HistoryRecord],
-        read: Callable[[], Config],
+        read_config: Callable[[], Config],
         store: HistoryStore | None,
     ) -> None:
         config = server.generation.config
@@ -82,7 +82,9 @@
         self._applier = ChangeApplier(server, self.changes, self.history, self.observation)
         self._watcher = CanaryWatcher(server, self.changes, self._applier, self.history, self.observation, lock)
         server.request_metrics = request_metrics
-        server.reload_handler = ConfigurationReloader(server, self.changes, self._applier, read, file_document, lock)
+        server.reload_handler = ConfigurationReloader(
+            server, self.changes, self._applier, read_config, file_document, lock
+        )
 
     def _log_transition(self, change: ConfigurationChange) -> None:
         self._server.log.info(
@@ -95,15 +97,15 @@
         )
 
     async def run(self) -> None:
-        """Watch the change in its canary period, until cancelled."""
+        """Watch changes in their canary period until cancelled."""
         await self._watcher.run()
 
     async def command(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Carry out the command of a request of the control protocol, and return the result for its reply.
+        """Execute the command of a request of the control protocol, and return the result for its reply.
 
         Raises:
-            ChangeRejectedError: The command is not carried out.
-            InvalidDocumentError: The document that was sent is not valid.
+            ChangeRejectedError: The command was rejected.
+            InvalidDocumentError: The document in the request is not valid.
         """
         if commands.is_read_only(request):
             return await self._execute(request)
@@ -135,11 +137,11 @@
             case commands.RollbackCommand():
                 return await self._roll_back(command)
 
-    def _complete(self, sent: commands.DocumentPart) -> CompleteDocument:
-        """Return the whole document that a sent one leads to."""
-        if sent.part is None:
+    def _complete(self, document_part: commands.DocumentPart) -> CompleteDocument:
+        """Return the whole document for the document in a request."""
+        if document_part.part is None:
             raise InvalidDocumentError([Fault((), "a document is needed")])
-        return complete_document(sent.part, {} if sent.is_whole else self.changes.in_force.document)
+        return complete_document(document_part.part, {} if document_part.is_whole else self.changes.in_force.document)
 
     def _draft(self, request: commands.DraftRequest) -> tuple[ConfigurationChange, list[Fault]]:
         document, warnings = self._complete(request.document)
@@ -171,7 +173,10 @@
         return results.ChangeResult(change)
 
     async def _roll_back(self, command: commands.RollbackCommand) -> results.ChangeResult:
-        """Roll the current change back; where there is none, change to an earlier generation like to any document."""
+        """Roll back the current change, or apply the document of an earlier generation as a new change.
+
+        The latter happens if no change is in progress or the command names a generation.
+        """
         expected_origin = command.expected_origin
         if expected_origin is not None and expected_origin != self.changes.in_force.generation.origin:
             detail = "what is in force came from elsewhere than what is to be undone"
--- a/nickelslip/server/configuration_reloader.py
+++ b/nickelslip/server/configuration_reloader.py
@@ -1,7 +1,7 @@
-"""Reads the configuration files again on SIGHUP where changes are managed, and applies what may be applied.
+"""Reloads the configuration files on SIGHUP, for a server with a configuration manager.
 
-Peer addresses are adopted at once. The rest is a change like any other where the rules allow that, and else waits for
-a restart.
+New peer addresses are adopted at once. Other differences are applied as an ordinary change if the change rules allow
+that (`reload_all`), and otherwise take effect at the next restart.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
     Args:
         server: The server.
-        changes: Its changes.
-        applier: Applies what is to be applied.
-        read: Reads the files; it may block, and runs in a thread.
-        file_document: What the files contained at the start.
+        changes: The configuration changes of the server.
+        applier: Applies changes.
+        read_config: Reads the files; it may block, and is called in a thread.
+        file_document: The document that the files contained at the start.
         lock: Held while the files are read and applied.
     """
 
@@ -44,20 +44,20 @@
         server: Server,
         changes: ChangeManager,
         applier: ChangeApplier,
-        read: Callable[[], Config],
+        read_config: Callable[[], Config],
         file_document: Document,
         lock: anyio.Lock,
     ) -> None:
         self._server = server
         self._changes = changes
         self._applier = applier
-        self._read = read
+        self._read_config = read_config
         self._file_document = file_document
         self._lock = lock
         self._reload_count = 0
 
     def reload(self) -> None:
-        """Begin to reload; a reload that has not begun to read yet is left to this one."""
+        """Start a reload. It replaces an earlier one that has not started to read the files yet."""
         self._reload_count += 1
         self._server.task_group.start_soon(self._server.supervise, self._reload, self._reload_count)
 
@@ -66,14 +66,14 @@
             if number != self._reload_count:
                 return
             try:
-                config = await anyio.to_thread.run_sync(self._read)
+                config = await anyio.to_thread.run_sync(self._read_config)
             except MalformedSettingsError as error:
                 self._server.log.error("configuration_rejected", error=str(error))
                 return
             await self._apply(config)
 
     async def _apply(self, config: Config) -> None:
-        """Apply what the files contain now."""
+        """Apply the configuration that the files contain now."""
         document = document_of(config)
         if digest_of(document) == digest_of(self._file_document):
             self._server.log.info("configuration_unchanged")
@@ -84,17 +84,17 @@
         if not applies_remaining:
             self._file_document = document
             self._changes.file_digest = digest_of(document)
-        await self._move_peers(config, document)
+        await self._adopt_peer_addresses(config, document)
         self._log_applied(config, remaining)
         if applies_remaining:
             await self._apply_remaining(config, document)
 
-    async def _move_peers(self, config: Config, document: Document) -> None:
+    async def _adopt_peer_addresses(self, config: Config, document: Document) -> None:
         current = self._server.generation.config
-        moved, _ = with_new_peer_addresses(current, config)
-        if moved != current:
-            moved_document = {**self._changes.in_force.document, "peers": document["peers"]}
-            await self._applier.move_peers(moved, moved_document, RELOAD_ORIGIN)
+        new_config, _ = with_new_peer_addresses(current, config)
+        if new_config != current:
+            new_document = {**self._changes.in_force.document, "peers": document["peers"]}
+            await self._applier.adopt_peer_addresses(new_config, new_document, RELOAD_ORIGIN)
 
     def _log_applied(self, config: Config, remaining: list[Difference]) -> None:
         self._server.log.info(
@@ -106,7 +106,7 @@
         )
 
     async def _apply_remaining(self, config: Config, document: Document) -> None:
-        """Apply the whole files as a change; if it is rejected the next reload tries it again."""
+        """Apply the complete configuration of the files as a change; if it is rejected, the next reload retries it."""
         previous_digest = self._changes.file_digest
         self._changes.file_digest = digest_of(document)
         try:
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the control socket, and how they are decoded from requests."""
+"""Commands of the control socket, and their decoding from requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True)
 class DocumentPart:
-    """A document that was sent.
+    """A document in a request.
 
     Attributes:
-        part: The document; None where what was sent is no object.
-        is_whole: Whether it replaces the document in force, rather than being laid over it.
+        part: The document; None if it is missing or not a JSON object.
+        is_whole: Whether it replaces the whole document in force, rather than being merged into it.
     """
 
     part: dict[str, Any] | None
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True)
 class DraftRequest:
-    """A change that is asked for.
+    """A request for a configuration change.
 
     Attributes:
         document: The document to change to.
-        origin: Who asks.
-        is_forced: Whether a recent rollback of the same document is disregarded.
+        origin: Who requests the change.
+        is_forced: Whether to ignore a recent rollback of the same document.
     """
 
     document: DocumentPart
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class ApplyStagedCommand:
-    """Apply the staged change, or the one of this number."""
+    """Apply the staged change; if `number` is given, the staged change must have that number."""
 
     number: int | None
 
@@ -91,10 +91,10 @@
 
 @dataclass(frozen=True)
 class RollbackCommand:
-    """Roll the change in its canary period back, or go back to an earlier generation.
+    """Roll back the change in its canary period, or return to an earlier generation.
 
     Attributes:
-        generation: The generation to go back to; None for that before the one in force.
+        generation: The number of the generation to return to; None for the one before the generation in force.
         expected_origin: The origin that the generation in force must have; None for any.
     """
 
@@ -133,7 +133,10 @@
 
 
 def _decode_apply(request: Mapping[str, Any], now_ms: float) -> Command:
-    """Return a command to apply, unless its sender has given it up: it may have been undone already."""
+    """Return a command to apply.
+
+    A command that has expired is rejected: its sender no longer waits for it and may already have rolled it back.
+    """
     expires_at_ms = request.get("until_ms")
     if isinstance(expires_at_ms, int | float) and now_ms > expires_at_ms:
         raise ChangeRejectedError(RejectionReason.EXPIRED)
@@ -162,10 +165,10 @@
 
 
 def is_read_only(request: Mapping[str, Any]) -> bool:
-    """Whether a request only shows something, and need not wait for the command in progress.
+    """Whether a request changes nothing, so that it need not wait for the command in progress.
 
     Raises:
-        ChangeRejectedError: There is no such command.
+        ChangeRejectedError: The command does not exist.
     """
     name = request["do"]
     if name not in _DECODERS:
@@ -174,9 +177,9 @@
 
 
 def decode_command(request: Mapping[str, Any], now_ms: float) -> Command:
-    """Return the command of a request, which names a known one.
+    """Return the command of a request; the request must name an existing command.
 
     Raises:
-        ChangeRejectedError: It has expired, or a field has the wrong type.
+        ChangeRejectedError: The command has expired, or a field has the wrong type.
     """
     return _DECODERS[request["do"]](request, now_ms)
--- a/nickelslip/server/control_results.py
+++ b/nickelslip/server/control_results.py
@@ -1,4 +1,4 @@
-"""Results of the commands of the control socket, and how they are encoded for replies."""
+"""Results of the commands of the control socket, and their encoding for replies."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from nickelslip.configuration.history import HistoryRecord
 from nickelslip.configuration.plan import Plan
 from nickelslip.configuration.validation import Fault
-from nickelslip.server.control_words import EVENT_WORDS, PHASE_WORDS, STANDING_WORDS
+from nickelslip.server.control_words import CANARY_STATUS_WORDS, EVENT_WORDS, PHASE_WORDS
 from nickelslip.server.lifecycle import Phase
 
 
 @dataclass(frozen=True)
 class ChangeResult:
-    """A change that was acted upon."""
+    """The change on which a command acted, if any."""
 
     change: ConfigurationChange | None
 
 
 @dataclass(frozen=True)
 class StageResult:
-    """A change that was staged, and the warnings about its document."""
+    """The staged change, and the warnings about its document."""
 
     change: ConfigurationChange
     warnings: list[Fault]
@@ -36,9 +36,9 @@
 
     Attributes:
         plan: What would change, and when it would take effect.
-        warnings: The warnings about the document.
-        digest: The digest of the whole document.
-        base_generation: The number of the generation that it was compared with.
+        warnings: Warnings about the document.
+        digest: Digest of the whole document.
+        base_generation: Number of the generation with which the document was compared.
     """
 
     plan: Plan
@@ -52,14 +52,14 @@
     """The status of the server.
 
     Attributes:
-        name: The server's name.
-        phase: Its phase.
-        is_healthy: Whether it reports itself healthy.
-        open_request_count: Requests that have no answer yet, or whose run is not over.
-        verdict: The latest verdict on the change in its canary period.
-        adoption_times_us: For how long the server was stopped to adopt the latest generations.
-        unwritten_record_count: Records that could not be written to the history yet.
-        changes: What is in force, in progress and staged.
+        name: Name of the server.
+        phase: Phase of the server.
+        is_healthy: Whether the server reports itself as healthy.
+        open_request_count: Number of requests that have no answer yet or whose run has not ended.
+        verdict: Latest verdict on the change in its canary period.
+        adoption_times_us: How long the server was paused to adopt each of the latest generations.
+        unwritten_record_count: Number of records that could not be written to the history yet.
+        changes: The generation in force, and the changes in progress and staged.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class HistoryResult:
-    """The latest records of the history."""
+    """The most recent records of the history."""
 
     records: list[HistoryRecord]
 
@@ -83,7 +83,7 @@
 
 
 def encode_result(result: Result) -> dict[str, Any]:
-    """Return a result with the keys and words of the control protocol."""
+    """Return a result in the form of the control protocol."""
     match result:
         case ChangeResult(change):
             return {"change": _encode_optional_change(change)}
@@ -146,7 +146,7 @@
 def _encode_verdict(verdict: CanaryVerdict | None) -> dict[str, Any] | None:
     if verdict is None:
         return None
-    return {"standing": STANDING_WORDS[verdict.status], "reason": verdict.reason, **verdict.figures}
+    return {"standing": CANARY_STATUS_WORDS[verdict.status], "reason": verdict.reason, **verdict.figures}
 
 
 def _encode_change_status(status: ChangeStatus) -> dict[str, Any]:
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -1,7 +1,7 @@
 """The control socket: a local Unix socket for operators and tools.
 
-Takes connections, reads requests and writes replies; commands are carried out elsewhere. Whatever a peer sends, or
-leaves unsent, it holds up neither the server nor another peer.
+This module accepts connections, reads requests and writes replies; a handler executes the commands. A peer that is slow
+or sends invalid data delays neither the server nor other peers.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from nickelslip.server.streams import Stream
 
 MAX_CONNECTIONS = 8
-MESSAGE_TIMEOUT_S = 3.0  # from the beginning of a message to its end, and for taking a reply
+MESSAGE_TIMEOUT_S = 3.0  # for receiving a message from its first byte to its last, and for sending a reply
 IDLE_TIMEOUT_S = 120.0  # between two messages
 LISTEN_BACKLOG = 16
-MAX_UNREAD_REPLY_BYTES = 64 * 1024  # above it no more requests of that peer are read
+MAX_UNREAD_REPLY_BYTES = 64 * 1024  # if more is unread, the server reads no further requests from that peer
 ACCEPT_RETRY_S = 0.05
 PROBE_TIMEOUT_S = 1.0
 MS_PER_S = 1000
@@ -47,10 +47,10 @@
 
 
 def remove_stale_socket(path: str) -> None:
-    """Remove a socket that a server left behind.
+    """Remove the socket of a server that no longer runs, if there is one.
 
     Raises:
-        OSError: A server still listens there, or something else than a socket is there.
+        OSError: A server still listens on the socket, or the file is not a socket.
     """
     try:
         mode = os.lstat(path).st_mode
@@ -74,12 +74,12 @@
 
     Args:
         context: The server.
-        path: Where the socket is.
-        mode: The permissions of the socket.
-        command: Carries out a request, and returns the result for its reply.
+        path: Path of the socket.
+        mode: File mode of the socket.
+        command: Executes a request and returns the result for its reply.
 
     Attributes:
-        open_connection_count: Connections that are being served.
+        open_connection_count: Number of open connections.
     """
 
     def __init__(self, context: ServerContext, path: str, mode: int, command: CommandHandler) -> None:
@@ -90,7 +90,7 @@
         self.open_connection_count = 0
 
     async def run(self) -> None:
-        """Serve until cancelled; without a socket, where it cannot be opened."""
+        """Serve until cancelled; return at once if the socket cannot be opened."""
         listener = self._listen()
         if listener is None:
             return
@@ -103,12 +103,12 @@
                 os.unlink(self._path)
 
     def _listen(self) -> socket.socket | None:
-        """Return the listening socket, or None where it cannot be opened."""
+        """Return the listening socket, or None if it cannot be opened."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             remove_stale_socket(self._path)
             listener.bind(self._path)
-            os.chmod(self._path, self._mode)  # before it listens: until then nobody can connect
+            os.chmod(self._path, self._mode)  # before listen(), so that no peer connects with the default permissions
             listener.listen(LISTEN_BACKLOG)
             listener.setblocking(False)
         except OSError as error:
@@ -119,13 +119,13 @@
         return listener
 
     async def _accept(self, listener: socket.socket) -> None:
-        """Wait for a connection, and begin to serve it."""
+        """Wait for a connection and start to serve it."""
         await anyio.wait_readable(listener)
         try:
             connection, _ = listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return
-        except OSError:  # no descriptor is free; connections of load balancers have precedence
+        except OSError:  # no file descriptor is free; connections of load balancers have priority
             await anyio.sleep(ACCEPT_RETRY_S)
             return
         if self.open_connection_count >= MAX_CONNECTIONS:
@@ -135,7 +135,7 @@
         self._context.task_group.start_soon(self._serve, connection)
 
     async def _serve(self, connection: socket.socket) -> None:
-        """Serve one peer; an error ends its connection alone."""
+        """Serve one peer; an error closes only its connection."""
         context = self._context
         timeout_ms = MESSAGE_TIMEOUT_S * MS_PER_S
         stream = Stream(connection, context.buffers, context.task_group, timeout_ms, MAX_UNREAD_REPLY_BYTES)
@@ -158,10 +158,10 @@
         """Answer the requests of one connection, in order."""
         stream.write(encode_greeting(self._context.generation.config.name))
         decoder = FrameDecoder()
-        begun_s = time.monotonic()  # of the message in progress, or of the pause between two
+        started_s = time.monotonic()  # start of the partial message, or of the idle time between messages
         while True:
             timeout_s = MESSAGE_TIMEOUT_S if decoder.has_partial_frame else IDLE_TIMEOUT_S
-            remaining_s = begun_s + timeout_s - time.monotonic()
+            remaining_s = started_s + timeout_s - time.monotonic()
             await stream.fill(remaining_s * MS_PER_S)
             if stream.data is None:
                 continue
@@ -169,7 +169,7 @@
             messages = decoder.feed(bytes(stream.data[stream.start : stream.end]))
             stream.take(stream.end)
             if messages or not had_partial_frame:
-                begun_s = time.monotonic()
+                started_s = time.monotonic()
             for message in messages:
                 stream.write(encode_frame(await self._reply(message)))
                 await stream.wait_for_backlog()
--- a/nickelslip/server/control_words.py
+++ b/nickelslip/server/control_words.py
@@ -1,4 +1,4 @@
-"""The words of the control protocol: clients read them, so they stay when a name in the code changes."""
+"""The words of the control protocol. Clients depend on them, so they do not change when a name in the code changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Phase.SHUTTING_DOWN: "leaving",
     Phase.FAILED: "failed",
 }
-STANDING_WORDS: Mapping[CanaryStatus, str] = {
+CANARY_STATUS_WORDS: Mapping[CanaryStatus, str] = {
     CanaryStatus.INSUFFICIENT_DATA: "too_soon",
     CanaryStatus.SUSPECTED: "doubt",
     CanaryStatus.NO_HARM: "no_harm",
--- a/tests/test_control_words.py
+++ b/tests/test_control_words.py
@@ -7,7 +7,7 @@
 from nickelslip.configuration.plan import EFFECT_WORDS
 from nickelslip.configuration.schema import Effect
 from nickelslip.server import control_commands as commands
-from nickelslip.server.control_words import EVENT_WORDS, PHASE_WORDS, REJECTION_CODES, STANDING_WORDS
+from nickelslip.server.control_words import CANARY_STATUS_WORDS, EVENT_WORDS, PHASE_WORDS, REJECTION_CODES
 
 STATES = {"drafted", "checked", "staged", "applying", "on_probation", "confirmed", "rolled_back", "refused"}
 EVENTS = {"applied", "confirmed", "rolled back", "refused", "started"}
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(
     ("table", "words"),
-    ((STATE_WORDS, STATES), (EVENT_WORDS, EVENTS), (PHASE_WORDS, PHASES), (STANDING_WORDS, STANDINGS)),
+    ((STATE_WORDS, STATES), (EVENT_WORDS, EVENTS), (PHASE_WORDS, PHASES), (CANARY_STATUS_WORDS, STANDINGS)),
 )
 def test_every_member_has_its_word(table, words):
     assert set(table) == set(type(next(iter(table)))) and set(table.values()) == words
