--- a/nickelslip/server/__main__.py
+++ b/nickelslip/server/__main__.py
@@ -11,13 +11,13 @@
 def run() -> None:
     """Run the command line.
 
-    SIGHUP and SIGTERM are blocked first: during the imports they would end the process by the system's default. They
-    wait until the server handles signals. `serve` with a single file skips the imports of the command line.
+    SIGHUP and SIGTERM are blocked first, since their default action would end the process during the imports. They stay
+    pending until the server handles signals. `serve` with a single file skips the imports of the command line.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
     path = _single_path_to_serve(sys.argv[1:], os.environ.get("ROUTER_CONFIG", ""))
     if path is not None:
-        gc.disable()  # until the server is built: what is imported stays
+        gc.disable()  # until the server is created; imported modules are never garbage
         from nickelslip.server.program import serve
 
         serve((path,))
--- a/nickelslip/server/generation_adopter.py
+++ b/nickelslip/server/generation_adopter.py
@@ -9,7 +9,7 @@
 from nickelslip.configuration.generations import Generation
 from nickelslip.server.call_limit import dependency_share_of
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # needed only for type hints; importing them at run time would slow the start
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.startup.slow_start import SlowStart
 
@@ -33,8 +33,8 @@
     Args:
         holder: The server.
         executor: Calls the controller.
-        slow_start: Is told this server's share of the dependency calls.
-        peer_links: Are told that their addresses may have changed, in this order.
+        slow_start: The slow start; its share of the dependency calls follows the settings.
+        peer_links: The connections to peers, in the order in which they are notified of new addresses.
     """
 
     def __init__(
@@ -52,8 +52,8 @@
     def adopt(self, generation: Generation) -> None:
         """Put a whole generation in force.
 
-        Requests that were received before keep their own. The controller is told in one call, whose decisions are
-        executed before this returns.
+        Requests that were received earlier keep the generation under which they were received. The controller receives
+        all new settings in one call, and its decisions are executed before this method returns.
         """
         self._holder.generation = generation
         self._slow_start.change_dependency_share(dependency_share_of(generation.settings))
@@ -62,7 +62,7 @@
         self._change_endpoints()
 
     def adopt_peer_addresses(self, generation: Generation) -> None:
-        """Put a generation in force that differs in the addresses of the peers alone."""
+        """Put a generation in force that differs only in the addresses of peers."""
         self._holder.generation = generation
         self._change_endpoints()
 
--- a/nickelslip/server/history_writer.py
+++ b/nickelslip/server/history_writer.py
@@ -11,15 +11,15 @@
 
 
 class HistoryWriter:
-    """Writes records to a store; without a store the history is in memory only.
+    """Writes records to a store; without a store the history is kept only in memory.
 
     Args:
-        store: Where records are written.
-        log: The server's log.
+        store: Stores the records; None for no store.
+        log: Log of the server.
 
     Attributes:
-        store: Where records are written.
-        unwritten: Records of what has happened that could not be written yet, in order.
+        store: Stores the records; None for no store.
+        unwritten: Records of past events that could not be written yet, in order.
     """
 
     def __init__(self, store: HistoryStore | None, log: Any) -> None:
@@ -28,21 +28,21 @@
         self._log = log
 
     async def write(self, record: HistoryRecord) -> None:
-        """Write a record of what is about to happen.
+        """Write the record of an event that is about to happen.
 
         Raises:
-            OSError: It was not written.
+            OSError: The record was not written.
         """
         if self.store is not None:
             await anyio.to_thread.run_sync(self.store.append, record)
 
     async def write_or_queue(self, record: HistoryRecord) -> None:
-        """Write a record of what has happened; if that fails it is kept, to be written by a later `flush`."""
+        """Write the record of an event that has happened; if that fails, keep it for a later `flush`."""
         self.unwritten.append(record)
         await self.flush()
 
     async def flush(self) -> None:
-        """Write the unwritten records in order, up to the first that fails."""
+        """Write the unwritten records in order, until a write fails."""
         while self.unwritten:
             try:
                 await self.write(self.unwritten[0])
--- a/nickelslip/server/peer_address_reloader.py
+++ b/nickelslip/server/peer_address_reloader.py
@@ -1,6 +1,6 @@
-"""Reads the configuration again on SIGHUP where changes are not managed, and applies the addresses of the peers alone.
+"""Reloads peer addresses on SIGHUP, for a server without a configuration manager.
 
-Where changes are managed, `configuration_reloader` does this instead.
+With a configuration manager, `configuration_reloader` handles SIGHUP instead.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from nickelslip.json_fields import MalformedSettingsError
 from nickelslip.server.generation_adopter import GenerationAdopter
 
-RELOAD_ORIGIN = "SIGHUP"  # where operators are told that a generation came from
+RELOAD_ORIGIN = "SIGHUP"  # shown to operators as the origin of a generation
 
 
 class ReloadTarget(Protocol):
-    """The server as the reload sees it."""
+    """The part of the server that a reload uses."""
 
     log: Any
     generation: Generation
 
     def clock(self) -> float:
-        """Return Unix milliseconds that never go back."""
+        """Return the time in Unix milliseconds; it never decreases."""
 
 
 class PeerAddressReloader:
@@ -31,7 +31,7 @@
 
     Args:
         target: The server.
-        read_config: Reads the configuration again; raises MalformedSettingsError.
+        read_config: Reads the configuration again; may raise MalformedSettingsError.
         adopter: Puts generations in force.
     """
 
@@ -41,9 +41,9 @@
         self._adopter = adopter
 
     def reload(self) -> None:
-        """Read the configuration again and apply the addresses of the peers.
+        """Read the configuration again and apply the addresses of peers.
 
-        A file that cannot be read or is malformed changes nothing.
+        If a file cannot be read or is malformed, nothing changes.
         """
         try:
             config, needs_restart = with_new_peer_addresses(self._target.generation.config, self._read_config())
--- a/nickelslip/server/request_counter.py
+++ b/nickelslip/server/request_counter.py
@@ -1,4 +1,4 @@
-"""Counting of what becomes of requests, where configuration changes are analysed."""
+"""Counts requests and their outcomes for the analysis of configuration changes."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from nickelslip.admission.interface import Outcome, RequestState
 
-if TYPE_CHECKING:  # types only; importing them would lengthen the start
+if TYPE_CHECKING:  # needed only for type hints; importing them at run time would slow the start
     from nickelslip.configuration.request_metrics import RequestMetrics
     from nickelslip.server.requests import Request
 
 
 class RequestCounter:
-    """Passes the events of requests on to the metrics, if there are any.
+    """Passes the events of requests to the metrics, if metrics are collected.
 
     Args:
         clock: Returns the current time in milliseconds.
 
     Attributes:
-        metrics: Where events are counted; None where nothing is.
+        metrics: Counts the events; None if no metrics are collected.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -27,7 +27,7 @@
         self._clock = clock
 
     def request_accepted(self, request: Request) -> None:
-        """Count an arrival, unless it is a retry, and have the end of the request counted."""
+        """Count the request unless it is a retry, and register a callback that counts its end."""
         if self.metrics is None:
             return
         received = request.received
@@ -41,7 +41,7 @@
             self.metrics.call_ended(self._clock(), outcome is not Outcome.OK)
 
     def _request_finished(self, request: Request, state: RequestState) -> None:
-        """Count a request that was answered or cancelled."""
+        """Count the end of a request that was answered or cancelled."""
         if self.metrics is None:
             return
         now_ms = self._clock()
--- a/nickelslip/server/starting_configuration.py
+++ b/nickelslip/server/starting_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration with which a server that takes changes starts."""
+"""Selects the configuration with which a server starts, if its configuration may change while it runs."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class StartingConfiguration(NamedTuple):
-    """What a server starts with.
+    """The configuration with which a server starts, and the history behind it.
 
     Attributes:
         config: The configuration.
         file_document: The document in the configuration files.
-        start: Where the configuration came from.
-        records: The records of the history, with that of this start.
+        start: The selected document, its generation number and its origin.
+        records: The records of the history, including the one of this start.
     """
 
     config: Config
@@ -34,9 +34,15 @@
 def select_starting_configuration(
     config: Config, store: HistoryStore | None, now_ms: float, log: Any
 ) -> StartingConfiguration:
-    """Return what a server starts with, given the configuration in its files, and write the record of this start.
+    """Select the starting configuration from the history or the files, and write the record of this start.
 
-    What the history restores is checked like any document; if it is not valid any more, the files are used.
+    A document from the history is validated like any other. If it is no longer valid, the files are used.
+
+    Args:
+        config: The configuration in the files.
+        store: Stores the history; None if no history is kept.
+        now_ms: The current time in Unix milliseconds.
+        log: Log of the server.
 
     Raises:
         OSError: The record was not written.
