--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: every fault is named by its field, on one line, and nothing is bound."""
+"""An invalid configuration is reported on one line that names the field, and no address is bound."""
 
 import copy
 import json
@@ -28,20 +28,21 @@
 }
 
 
-def changed(path, value):
+def configuration_with(path, value):
+    """Return the valid configuration with another value at a dotted path; None removes the field."""
     config = copy.deepcopy(GOOD)
-    *way, last = path.split(".")
-    at = config
-    for step in way:
-        at = at[int(step)] if step.isdigit() else at[step]
+    *parents, last = path.split(".")
+    container = config
+    for key in parents:
+        container = container[int(key)] if key.isdigit() else container[key]
     if value is None:
-        del at[last]
+        del container[last]
     else:
-        at[last] = value
+        container[last] = value
     return config
 
 
-def test_environment_wins_over_the_file():
+def test_environment_variables_override_the_file():
     config = config_from_platform(GOOD, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "[::1]:7"})
     assert (config.name, config.listen, config.seed) == ("n9", ("::1", 7), 0x8C1F30D27A5BE964)
     assert config.gauges == ("cpu_busy", "runnable", "mem_used", "sockets")
@@ -71,19 +72,21 @@
         ("settings.bounds.retry-after", "yes"),
     ),
 )
-def test_a_fault_is_named_by_its_field(path, value):
+def test_an_error_names_the_invalid_field(path, value):
     name = path.split(".")[-1]
     with pytest.raises(MalformedSettingsError, match=name):
-        config_from_platform(changed(path, value), {})
+        config_from_platform(configuration_with(path, value), {})
 
 
-def test_a_bad_configuration_ends_with_one_line_and_code_2(tmp_path, monkeypatch):
+def test_an_invalid_configuration_prints_one_line_and_exits_with_code_2(tmp_path, monkeypatch):
     monkeypatch.delenv("ROUTER_LISTEN", raising=False)
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({**changed("settings.specifics.memory-kb", None), "listen": f"127.0.0.1:{port}"}))
+    file.write_text(
+        json.dumps({**configuration_with("settings.specifics.memory-kb", None), "listen": f"127.0.0.1:{port}"})
+    )
     for command in ("serve", "check"):
         result = CliRunner().invoke(main, [command, "--config", str(file)], env=dict(os.environ))
         assert result.exit_code == 2
@@ -99,16 +102,16 @@
     assert CliRunner().invoke(main, ["version"]).output.strip()
 
 
-def test_a_log_that_nobody_reads_never_blocks_and_says_what_it_left_out():
+def test_the_log_does_not_block_if_its_pipe_is_not_read_and_reports_the_dropped_lines():
     reader, writer = os.pipe()
-    lines = LogWriter(writer)
+    log_writer = LogWriter(writer)
     for _ in range(100):
-        lines.msg('{"event":"' + "x" * 6000 + '"}')
-    left = os.read(reader, 1 << 20)
-    lines.msg('{"event":"read again"}')
-    assert left.endswith(b"\n") and len(left) < 1 << 17
-    last = json.loads(os.read(reader, 1 << 20))
-    assert last == {"event": "read again", "lines_lost": 100 - left.count(b"\n")}
+        log_writer.msg('{"event":"' + "x" * 6000 + '"}')
+    written = os.read(reader, 1 << 20)
+    log_writer.msg('{"event":"read again"}')
+    assert written.endswith(b"\n") and len(written) < 1 << 17
+    last_line = json.loads(os.read(reader, 1 << 20))
+    assert last_line == {"event": "read again", "lines_lost": 100 - written.count(b"\n")}
     os.close(reader)
-    lines.msg('{"event":"nobody is there"}')
+    log_writer.msg('{"event":"pipe closed"}')
     os.close(writer)
--- a/tests/test_control_words.py
+++ b/tests/test_control_words.py
@@ -1,4 +1,4 @@
-"""The words of the control socket, of `--json` and of the log, as the version at commit 91e3a4a had them."""
+"""The words of the control socket, of `--json` output and of the log must stay as they were at commit 91e3a4a."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 STATES = {"drafted", "checked", "staged", "applying", "on_probation", "confirmed", "rolled_back", "refused"}
 EVENTS = {"applied", "confirmed", "rolled back", "refused", "started"}
 PHASES = {"waiting", "serving", "draining", "leaving", "failed"}
-STANDINGS = {"too_soon", "doubt", "no_harm", "harm"}
+CANARY_STATUSES = {"too_soon", "doubt", "no_harm", "harm"}
 CODES = {
     "nothing": "nothing differs from what is in force",
     "restart": "some of it needs a restart",
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(
     ("table", "words"),
-    ((STATE_WORDS, STATES), (EVENT_WORDS, EVENTS), (PHASE_WORDS, PHASES), (CANARY_STATUS_WORDS, STANDINGS)),
+    ((STATE_WORDS, STATES), (EVENT_WORDS, EVENTS), (PHASE_WORDS, PHASES), (CANARY_STATUS_WORDS, CANARY_STATUSES)),
 )
 def test_every_member_has_its_word(table, words):
     assert set(table) == set(type(next(iter(table)))) and set(table.values()) == words
@@ -44,31 +44,31 @@
 
 
 def test_codes_and_effects_keep_their_words_and_texts():
-    assert set(REJECTION_CODES) == set(Reason) and {REJECTION_CODES[each]: each.value for each in Reason} == CODES
-    assert set(EFFECT_WORDS) == set(Effect) and {EFFECT_WORDS[each]: each.value for each in Effect} == EFFECTS
+    assert set(REJECTION_CODES) == set(Reason) and {REJECTION_CODES[reason]: reason.value for reason in Reason} == CODES
+    assert set(EFFECT_WORDS) == set(Effect) and {EFFECT_WORDS[effect]: effect.value for effect in Effect} == EFFECTS
 
 
-def test_every_state_has_its_transitions_and_the_final_ones_have_none():
+def test_every_state_has_transitions_except_the_final_ones():
     assert set(TRANSITIONS) == set(ChangeState)
-    final = {ChangeState.CONFIRMED, ChangeState.ROLLED_BACK, ChangeState.REJECTED}
-    assert {state for state, following in TRANSITIONS.items() if not following} == final
+    final_states = {ChangeState.CONFIRMED, ChangeState.ROLLED_BACK, ChangeState.REJECTED}
+    assert {state for state, next_states in TRANSITIONS.items() if not next_states} == final_states
 
 
-def test_requests_are_decoded_into_commands():
+def test_requests_are_decoded_to_commands():
     part = {"machine": {"cores": 3}}
-    sent = commands.DocumentPart(part, False)
-    draft = commands.DraftRequest(sent, "control socket", False)
-    forced = commands.DraftRequest(commands.DocumentPart(part, True), "x" * 200, True)
+    document_part = commands.DocumentPart(part, False)
+    draft_request = commands.DraftRequest(document_part, "control socket", False)
+    forced_request = commands.DraftRequest(commands.DocumentPart(part, True), "x" * 200, True)
     for request, command in (
         ({"do": "status"}, commands.StatusCommand()),
         ({"do": "history"}, commands.HistoryCommand()),
-        ({"do": "check", "document": part}, commands.CheckCommand(sent)),
+        ({"do": "check", "document": part}, commands.CheckCommand(document_part)),
         ({"do": "diff", "document": 5}, commands.CheckCommand(commands.DocumentPart(None, False))),
-        ({"do": "stage", "document": part}, commands.StageCommand(draft)),
-        ({"do": "apply", "document": part, "until_ms": 5.0}, commands.ApplyDocumentCommand(draft)),
+        ({"do": "stage", "document": part}, commands.StageCommand(draft_request)),
+        ({"do": "apply", "document": part, "until_ms": 5.0}, commands.ApplyDocumentCommand(draft_request)),
         (
             {"do": "apply", "document": part, "whole": True, "force": True, "origin": "x" * 300},
-            commands.ApplyDocumentCommand(forced),
+            commands.ApplyDocumentCommand(forced_request),
         ),
         ({"do": "apply"}, commands.ApplyStagedCommand(None)),
         ({"do": "apply", "number": 3}, commands.ApplyStagedCommand(3)),
@@ -88,9 +88,9 @@
         ({"do": "apply", "number": "3"}, Reason.NOT_FOUND),
         ({"do": "rollback", "generation": 1.0}, Reason.NOT_FOUND),
     ):
-        with pytest.raises(ChangeRejectedError) as caught:
+        with pytest.raises(ChangeRejectedError) as error_info:
             commands.decode_command(request, 5.0)
-        assert caught.value.reason is reason
-    with pytest.raises(ChangeRejectedError, match="no command 'nope'") as caught:
+        assert error_info.value.reason is reason
+    with pytest.raises(ChangeRejectedError, match="no command 'nope'") as error_info:
         commands.is_read_only({"do": "nope"})
-    assert caught.value.reason is Reason.NOT_FOUND
+    assert error_info.value.reason is Reason.NOT_FOUND
