--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -57,7 +57,7 @@
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise FileExistsError(errno.EEXIST, "something that is no socket stands there", path)
+        raise FileExistsError(errno.EEXIST, "the file is not a socket", path)
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
         probe.settimeout(PROBE_TIMEOUT_S)
         try:
@@ -66,7 +66,7 @@
             with suppress(FileNotFoundError):
                 os.unlink(path)
             return
-    raise OSError(errno.EADDRINUSE, "another server listens there", path)
+    raise OSError(errno.EADDRINUSE, "another server listens on the socket", path)
 
 
 class ControlSocket:
--- a/nickelslip/startup/crash_loop.py
+++ b/nickelslip/startup/crash_loop.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, replace
 
-EARLY_EXIT_MS = 20_000.0  # a start that lasts for less than this is an early exit
+EARLY_EXIT_MS = 20_000.0  # a server that runs for less than this has exited early
 MIN_DELAY_MS = 500.0
 MAX_DELAY_MS = 60_000.0
 EXITS_WITHOUT_DELAY = 1  # a manual restart is not delayed
@@ -22,7 +22,7 @@
     """The record of a server's starts.
 
     Attributes:
-        consecutive_early_exits: How many starts in a row exited early before the latest one.
+        consecutive_early_exits: Number of consecutive early exits before the latest start.
         started_at_ms: When the latest start began, in Unix milliseconds; 0 if no start is known.
         is_stable: Whether the latest start lasted long enough or was stopped on request.
     """
--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -161,18 +161,18 @@
         self.phase = phase
         self.phases = [*self.phases[1 - MAX_KEPT_PHASES :], (now_ms, phase)]
 
-    def worker_pool_connected(self, now_ms: float, ago_ms: float) -> None:
+    def worker_pool_connected(self, now_ms: float, worker_pool_age_ms: float) -> None:
         """Handle the connection of the worker pool.
 
-        The worker pool came up `ago_ms` ago, and the directory listed the server at that time. The first report is sent
-        at its regular point in the period, unless the directory entry could expire if that report were lost. In that
-        case it is due at once.
+        The worker pool came up `worker_pool_age_ms` ago, and the directory listed the server at that time. The first
+        report is sent at its regular point in the period, unless the directory entry could expire if that report were
+        lost. In that case it is due at once.
         """
         if self.phase is not SlowStartPhase.PROCESS_STARTED:
             return
         self._handle_event(SlowStartEvent.WORKER_POOL_CONNECTED, now_ms)
         in_phase_at_ms = next_in_phase(now_ms, self.report_period_ms, self._report_phase)
-        may_expire = in_phase_at_ms - now_ms + ago_ms > DIRECTORY_ENTRY_LIFETIME_MS - self.report_period_ms
+        may_expire = in_phase_at_ms - now_ms + worker_pool_age_ms > DIRECTORY_ENTRY_LIFETIME_MS - self.report_period_ms
         self._periodic_report_at_ms = now_ms if may_expire else in_phase_at_ms
 
     def report_sent(self, now_ms: float) -> None:
