--- a/nickelslip/configuration/command_output.py
+++ b/nickelslip/configuration/command_output.py
@@ -1,6 +1,6 @@
 """Printed results and exit codes of `nickelslip config`.
 
-Everything here is read by scripts: the keys, the codes and the texts stay.
+Scripts read this output. The JSON keys, the exit codes and the texts must not change.
 """
 
 from __future__ import annotations
@@ -33,30 +33,30 @@
 )
 
 
-def _json(value: dict[str, Any]) -> str:
+def _encode_json(value: dict[str, Any]) -> str:
     return orjson.dumps(value, default=list).decode()
 
 
 def print_result(value: dict[str, Any], as_json: bool, lines: Sequence[str]) -> None:
     """Print a result as one JSON object or as lines of text."""
     if as_json:
-        click.echo(_json(value))
+        click.echo(_encode_json(value))
         return
     for line in lines:
         click.echo(line)
 
 
 def exit_with(code: ExitCode, value: dict[str, Any], as_json: bool, lines: Sequence[str]) -> NoReturn:
-    """End the program with this code.
+    """Print a result and end the program with an exit code.
 
     Args:
         code: The exit code.
-        value: The JSON object that is printed to the standard output with --json.
+        value: The JSON object printed to standard output with --json.
         as_json: Whether --json was given.
-        lines: The lines that are printed to the standard error without --json.
+        lines: The lines printed to standard error without --json.
     """
     if as_json:
-        click.echo(_json(value))
+        click.echo(_encode_json(value))
     else:
         for line in lines:
             click.echo(f"nickelslip: {line}", err=True)
@@ -64,16 +64,16 @@
 
 
 def fault_line(fault: Fault) -> str:
-    """Return a fault with its severity as one line."""
+    """Return a fault and its severity as one line of text."""
     return f"{fault.severity.value}: {fault}"
 
 
 def exit_with_faults(faults: Sequence[Fault], omitted_count: int, as_json: bool) -> NoReturn:
-    """End the program because of a faulty document.
+    """Print the faults of a document and end the program with ``ExitCode.FAULTY``.
 
     Args:
         faults: The faults to print.
-        omitted_count: Number of further faults.
+        omitted_count: Number of further faults that are not printed.
         as_json: Whether --json was given.
     """
     lines = [fault_line(fault) for fault in faults]
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -1,6 +1,6 @@
-"""`nickelslip config`: the commands by which operators check, apply, confirm and roll back configurations.
+"""`nickelslip config`: the commands with which operators check, apply, confirm and roll back configurations.
 
-The names of commands and options, the printed texts and the keys of ``--json`` are read by scripts and stay.
+Scripts depend on the names of commands and options, the printed texts and the keys of ``--json``. They must not change.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 
 POLL_INTERVAL_S = 0.5
 REPLY_TIMEOUT_MS = 10_000.0
-MAX_REPLY_TIMEOUT_MS = 5000.0  # of one reply in a rollout
-DIGEST_LENGTH = 12  # characters of a digest that the history shows
+MAX_REPLY_TIMEOUT_MS = 5000.0  # for each reply during a rollout
+DIGEST_LENGTH = 12  # number of leading characters of a digest that the history shows
 NO_DIFFERENCES = ["nothing differs"]
 
-SOCKET = click.option(
+SOCKET_OPTION = click.option(
     "--socket",
     "path",
     envvar="NICKELSLIP_SOCKET",
@@ -53,21 +53,21 @@
     metavar="PATH",
     help="The server's control socket. NICKELSLIP_SOCKET names it, too.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-FORCE = click.option("--force", is_flag=True, help="Take a document that was undone not long ago.")
-WHOLE = click.option(
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
+FORCE_OPTION = click.option("--force", is_flag=True, help="Take a document that was undone not long ago.")
+WHOLE_OPTION = click.option(
     "--whole", is_flag=True, help="The files are the whole document; else they are laid over the one in force."
 )
-FILES = click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
+FILES_ARGUMENT = click.argument("files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 
 
 @click.group(help="Check, stage, apply, confirm and undo configurations.", epilog=EXIT_CODES_HELP)
 def config() -> None:
-    """Group the commands."""
+    """Group the configuration commands."""
 
 
 def _read_part(files: tuple[str, ...], as_json: bool) -> dict[str, Any]:
-    """Return what the files give, one merged over the other, each field checked; faults end the program."""
+    """Return the files merged in their order, with each field checked. A fault ends the program."""
     part: dict[str, Any] = {}
     faults: list[Fault] = []
     for file in files:
@@ -86,7 +86,7 @@
 
 
 def _ask(path: str, command: str, as_json: bool, timeout_ms: float = REPLY_TIMEOUT_MS, **fields: Any) -> dict[str, Any]:
-    """Return the server's reply; a rejection, or no reply in time, ends the program."""
+    """Return the server's reply. An error reply, or no reply in time, ends the program."""
     try:
         reply = anyio.run(partial(ask_once, path, command, timeout_ms, **fields))
     except ServerUnreachableError as error:
@@ -100,15 +100,15 @@
     return reply
 
 
-def _spaced(word: str) -> str:
-    """Return a word of the control protocol as text."""
+def _with_spaces(word: str) -> str:
+    """Return an identifier of the control protocol with spaces instead of underscores."""
     return word.replace("_", " ")
 
 
 @config.command(help="Check files as they stand, layer over layer, without a server.")
-@FILES
+@FILES_ARGUMENT
 @click.option("--origins", is_flag=True, help="Print every value with where it comes from.")
-@JSON
+@JSON_OPTION
 def check(files: tuple[str, ...], origins: bool, as_json: bool) -> None:
     """Check files and print all of their faults."""
     try:
@@ -140,7 +140,7 @@
 
 
 @config.command(help="Print every word of the schema, its kind and when a change of it acts.")
-@JSON
+@JSON_OPTION
 def words(as_json: bool) -> None:
     """Print every field of the schema."""
     rows = [
@@ -161,11 +161,11 @@
 
 
 @config.command(help="Print the plan from what a server has in force, or from a first file, to these files.")
-@FILES
+@FILES_ARGUMENT
 @click.option("--socket", "path", envvar="NICKELSLIP_SOCKET", metavar="PATH", help="Against this server.")
 @click.option("--from", "before", type=click.Path(exists=True, dir_okay=False), help="Against this file.")
-@WHOLE
-@JSON
+@WHOLE_OPTION
+@JSON_OPTION
 def diff(files: tuple[str, ...], path: str | None, before: str | None, whole: bool, as_json: bool) -> None:
     """Print what would change, without changing it."""
     if before is not None:
@@ -179,11 +179,11 @@
     print_result(reply, as_json, reply["lines"] or NO_DIFFERENCES)
 
 
-def _plan_between_files(before: str, files: tuple[str, ...], whole: bool, as_json: bool) -> Plan:
+def _plan_between_files(old_file: str, files: tuple[str, ...], whole: bool, as_json: bool) -> Plan:
     try:
-        first = parse_document(read_file(before), before)
-        old = apply_layers([first], {})
-        layers = [] if whole else [first]
+        old_layer = parse_document(read_file(old_file), old_file)
+        old = apply_layers([old_layer], {})
+        layers = [] if whole else [old_layer]
         layers += [parse_document(read_file(file), file) for file in files]
         new = apply_layers(layers, {})
     except InvalidDocumentError as error:
@@ -191,8 +191,10 @@
     return plan_of(old.document, new.document)
 
 
-def _push(command: str, path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> dict[str, Any]:
-    """Send the files to a server to be staged or applied, and return its reply."""
+def _send_files(
+    command: str, path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool
+) -> dict[str, Any]:
+    """Send the files to a server with the command to stage or apply them, and return its reply."""
     return _ask(
         path,
         command,
@@ -205,42 +207,42 @@
 
 
 @config.command(help="Check files at a server, and stage them there.")
-@SOCKET
-@FILES
-@WHOLE
-@FORCE
-@JSON
+@SOCKET_OPTION
+@FILES_ARGUMENT
+@WHOLE_OPTION
+@FORCE_OPTION
+@JSON_OPTION
 def stage(path: str, files: tuple[str, ...], whole: bool, force: bool, as_json: bool) -> None:
     """Stage a change."""
-    reply = _push("stage", path, files, whole, force, as_json)
+    reply = _send_files("stage", path, files, whole, force, as_json)
     lines = [f"change {reply['change']['number']} is staged"]
     lines += [f"warning: {warning['path']}: {warning['text']}" for warning in reply["warnings"]]
     print_result(reply, as_json, lines)
 
 
 @config.command(help="Apply what is staged, or with files stage and apply these.")
-@SOCKET
+@SOCKET_OPTION
 @click.argument("files", nargs=-1, type=click.Path(exists=True, dir_okay=False))
-@WHOLE
-@FORCE
+@WHOLE_OPTION
+@FORCE_OPTION
 @click.option("--wait", is_flag=True, help="Wait until it is confirmed or undone.")
 @click.option("--wait-ms", default=120_000.0, show_default=True, help="How long at most.")
-@JSON
+@JSON_OPTION
 def apply(
     path: str, files: tuple[str, ...], whole: bool, force: bool, wait: bool, wait_ms: float, as_json: bool
 ) -> None:
-    """Apply a change and begin its canary period."""
-    reply = _push("apply", path, files, whole, force, as_json) if files else _ask(path, "apply", as_json)
+    """Apply a change, which starts its canary period."""
+    reply = _send_files("apply", path, files, whole, force, as_json) if files else _ask(path, "apply", as_json)
     change = reply["change"]
     if not wait or change["step"] == "confirmed":
-        line = f"change {change['number']} is in force, {_spaced(change['step'])}"
+        line = f"change {change['number']} is in force, {_with_spaces(change['step'])}"
         print_result(reply, as_json, [line])
         return
     _wait_for_confirmation(path, change, wait_ms, as_json)
 
 
 def _wait_for_confirmation(path: str, change: dict[str, Any], timeout_ms: float, as_json: bool) -> None:
-    """Ask for the status until the change is confirmed; its rollback or the timeout ends the program."""
+    """Poll the status until the change is confirmed. A rollback or the timeout ends the program."""
     deadline_s = time.monotonic() + timeout_ms / 1000
     while time.monotonic() < deadline_s:
         status = _ask(path, "status", as_json)
@@ -256,8 +258,8 @@
 
 
 @config.command(help="End the probation: what is in force stays.")
-@SOCKET
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def confirm(path: str, as_json: bool) -> None:
     """Confirm the change in its canary period."""
     reply = _ask(path, "confirm", as_json)
@@ -265,37 +267,37 @@
 
 
 @config.command(help="Undo what is on probation; where nothing is, go back to an earlier generation.")
-@SOCKET
+@SOCKET_OPTION
 @click.option("--generation", type=int, help="The confirmed generation to go back to; else the one before.")
-@JSON
+@JSON_OPTION
 def rollback(path: str, generation: int | None, as_json: bool) -> None:
     """Roll back a change."""
     reply = _ask(path, "rollback", as_json, generation=generation)
     change = reply["change"]
-    print_result(reply, as_json, [f"change {change['number']}: {_spaced(change['step'])}"])
+    print_result(reply, as_json, [f"change {change['number']}: {_with_spaces(change['step'])}"])
 
 
 @config.command(help="Take the staged change out.")
-@SOCKET
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def drop(path: str, as_json: bool) -> None:
     """Discard the staged change."""
     print_result(_ask(path, "drop", as_json), as_json, ["taken out"])
 
 
 @config.command(help="Say what is in force, on probation and staged.")
-@SOCKET
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def status(path: str, as_json: bool) -> None:
     """Print the status of a server."""
     reply = _ask(path, "status", as_json)
     lines = [
         f"{reply['name']}: {reply['phase']}, {reply['in_hand']} in hand",
-        f"generation {reply['generation']} from {reply['origin']}, {_spaced(reply['step'])}; "
+        f"generation {reply['generation']} from {reply['origin']}, {_with_spaces(reply['step'])}; "
         f"{reply['confirmed']} would be in force after a restart",
     ]
     if reply["verdict"]:
-        lines.append(f"verdict: {_spaced(reply['verdict']['standing'])}: {reply['verdict']['reason']}")
+        lines.append(f"verdict: {_with_spaces(reply['verdict']['standing'])}: {reply['verdict']['reason']}")
     if reply["staged"]:
         lines.append(f"staged: change {reply['staged']['number']} from {reply['staged']['origin']}")
     if reply["history_behind"]:
@@ -304,8 +306,8 @@
 
 
 @config.command(help="List the latest steps of generations.")
-@SOCKET
-@JSON
+@SOCKET_OPTION
+@JSON_OPTION
 def history(path: str, as_json: bool) -> None:
     """Print the history, the oldest record first."""
     reply = _ask(path, "history", as_json)
@@ -313,9 +315,9 @@
 
 
 def _record_line(record: dict[str, Any]) -> str:
-    moment = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(record["since_ms"] / 1000))
+    recorded_at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(record["since_ms"] / 1000))
     line = (
-        f"{moment}  {record['generation']:>4}  {record['event']:<12} {record['digest'][:DIGEST_LENGTH]}  "
+        f"{recorded_at}  {record['generation']:>4}  {record['event']:<12} {record['digest'][:DIGEST_LENGTH]}  "
         f"{record['origin']}"
     )
     return f"{line}: {record['reason']}" if record["reason"] else line
@@ -350,7 +352,7 @@
     help="After which a silent node is lost.",
 )
 @click.option("--watch-ms", "max_canary_period_ms", default=180_000.0, show_default=True, help="The longest probation.")
-@JSON
+@JSON_OPTION
 def rollout(
     file: str,
     nodes: tuple[str, ...],
@@ -379,7 +381,7 @@
 
 
 def _print_rollout_result(state_machine: Rollout, as_json: bool) -> None:
-    """Print how a rollout ended; one that was not completed ends the program."""
+    """Print the result of a rollout. If it was not completed, end the program with an error code."""
     status = state_machine.status
     targets = {
         name: {"place": TARGET_STATE_WORDS[state], "why": reason}
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -1,7 +1,7 @@
-"""A server's configuration as one typed value, and the decoder of the platform's form of it.
+"""The typed configuration of a server, and the decoder of documents in the platform's form.
 
-nickelslip's own form is read by ``document_reader`` and converted by ``document_conversion``; both forms end in the
-same ``Config``. The module does no I/O and chooses no value that was not given.
+``document_reader`` reads nickelslip's own form and ``document_conversion`` converts it. Both forms result in the same
+``Config``. The module does no I/O and sets no value that was not given.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from nickelslip.settings import decode_gauge_names, decode_settings
 
 Address = tuple[str, int]
-UNKNOWN_ADDRESS: Address = ("", 0)  # stands in for a faulty one while further faults are collected
+PLACEHOLDER_ADDRESS: Address = ("", 0)  # replaces an invalid address while further faults are collected
 MAX_PORT = 65535
 MIN_DESCRIPTORS = 32
-OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override single values: NICKELSLIP_SET_MACHINE__CORES
+OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override one value, as NICKELSLIP_SET_MACHINE__CORES
 NAME_VARIABLE = "ROUTER_NAME"
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 
 
 @dataclass(frozen=True)
 class ChangeRules:
-    """How this server takes changes of its configuration while it serves.
+    """The rules for configuration changes of a running server.
 
     Attributes:
         socket: Path of the control socket (Unix domain); empty if there is none.
         socket_mode: Permissions of the control socket.
-        history: Folder of the history, which outlives the server; empty if the history is kept in memory.
-        history_kb: Size over which the history file is rewritten with only what still counts.
-        canary_period_ms: How long a change must do no harm before it is confirmed.
-        max_canary_period_ms: The same, where too little can be told within ``canary_period_ms``.
-        baseline_ms: Length of the span before a change that it is compared with.
-        standard_errors: How many standard errors make a difference that is not chance.
-        rejected_after_rollback_ms: How long a document that was rolled back is rejected unless forced.
-        reload_all: Whether SIGHUP takes the whole file as a change, instead of the peers' addresses alone.
+        history: Directory of the history, which must outlive the server; empty if the history is kept in memory.
+        history_kb: Size above which the history file is compacted to the records that are still needed.
+        canary_period_ms: Length of the canary period. A change must do no harm during it to be confirmed.
+        max_canary_period_ms: Maximum length of the canary period if ``canary_period_ms`` yields too little data.
+        baseline_ms: Length of the period before a change with which the canary period is compared.
+        standard_errors: Number of standard errors above which a difference is not attributed to chance.
+        rejected_after_rollback_ms: How long a rolled-back document is rejected unless it is forced.
+        reload_all: Whether SIGHUP applies the whole file as a change. Otherwise it applies only the peers' addresses.
     """
 
     socket: str = ""
@@ -53,7 +53,7 @@
 
     @property
     def accepts_changes(self) -> bool:
-        """Whether changes can come in, by the control socket or by SIGHUP."""
+        """Whether changes are accepted, from the control socket or on SIGHUP."""
         return bool(self.socket) or self.reload_all
 
 
@@ -61,22 +61,22 @@
 class Config:
     """One server's configuration.
 
-    The names of the fields are logged where a difference needs a restart.
+    The names of the fields are logged if a difference in them needs a restart.
 
     Attributes:
-        name: Name of the server, the same after a restart.
-        listen: Where load balancers connect.
+        name: Name of the server, which stays the same after a restart.
+        listen: Address to which load balancers connect.
         pool: Address of the worker pool.
         records: Address of the dependency that requests call, if there is one.
-        directory: Where this server is reported.
+        directory: Address of the directory, which receives the load reports of this server.
         seed: Seed of the random generators.
-        stop_ms: Time from the signal to stop to the kill.
+        stop_ms: Time from the stop signal to the kill.
         memory_mb: Memory limit of this process.
         descriptors: File descriptor limit of this process.
-        settings: The settings of the admission control.
+        settings: The settings of admission control.
         gauges: Names of the gauges, in the order of the worker pool.
-        changes: The rules for changes.
-        starts: Folder where starts that ended early are recorded; empty if they are not.
+        changes: The rules for configuration changes.
+        starts: Directory in which early exits are recorded; empty if they are not recorded.
     """
 
     name: str
@@ -95,14 +95,14 @@
 
 
 def parse_address(text: str, name: str) -> Address:
-    """Return the host and the port of ``host:port``; an IPv6 host may stand in brackets.
+    """Return the host and the port of ``host:port``; an IPv6 host may be in brackets.
 
     Args:
         text: The address.
         name: Name of its field, for the error.
 
     Raises:
-        MalformedSettingsError: It is no such address.
+        MalformedSettingsError: The text is not a valid address.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
@@ -111,7 +111,7 @@
 
 
 def parse_seed(text: str) -> int:
-    """Return the number of a seed in hex digits. Raises MalformedSettingsError."""
+    """Return the number that a seed in hex digits stands for. Raises MalformedSettingsError."""
     try:
         return int(text, 16)
     except ValueError:
@@ -119,7 +119,7 @@
 
 
 def environment_overrides(environment: Mapping[str, str]) -> dict[str, str]:
-    """Return the name and the listening address that the environment gives; they win over every file."""
+    """Return the server name and listening address set in the environment, which take precedence over every file."""
     variables = (("name", NAME_VARIABLE), ("listen", LISTEN_VARIABLE))
     return {name: environment[variable] for name, variable in variables if environment.get(variable)}
 
@@ -131,28 +131,28 @@
 
     Args:
         value: The document.
-        environment: Its variables win over the document's name and listening address.
-        faults: Takes all faults if given; if there are any, the result must not be used.
+        environment: Variables that take precedence over the document's name and listening address.
+        faults: Collects all faults if given. The result must not be used if there are any.
 
     Raises:
-        MalformedSettingsError: The first fault, if ``faults`` is not given; in any case if the value is no object.
+        MalformedSettingsError: The value is not an object, or ``faults`` is not given and a first fault was found.
     """
     if not isinstance(value, dict):
         raise MalformedSettingsError("configuration: an object is needed")
     given: dict[str, Any] = {**value, **environment_overrides(environment)}
-    top = JsonFields(given, "", faults)
-    limits = top.child("limits")
+    root = JsonFields(given, "", faults)
+    limits = root.child("limits")
     settings = decode_settings(given.get("settings"), faults)
     makes_calls = any(traffic_class.makes_calls for traffic_class in settings.traffic_classes)
-    # The order of the fields is the order in which faults are reported
+    # Faults are reported in the order of these fields
     return Config(
-        name=_read_name(top, faults),
-        seed=_read_seed(top, faults),
-        listen=_read_address(top, "listen", faults),
-        pool=_read_address(top, "pool", faults),
-        records=_read_address(top, "records", faults) if makes_calls or given.get("records") else None,
-        directory=_read_address(top, "lookup", faults),
-        stop_ms=top.number("stop_ms", is_exclusive=True),
+        name=_read_name(root, faults),
+        seed=_read_seed(root, faults),
+        listen=_read_address(root, "listen", faults),
+        pool=_read_address(root, "pool", faults),
+        records=_read_address(root, "records", faults) if makes_calls or given.get("records") else None,
+        directory=_read_address(root, "lookup", faults),
+        stop_ms=root.number("stop_ms", is_exclusive=True),
         memory_mb=limits.number("memory_mb", is_exclusive=True),
         descriptors=limits.integer("sockets", minimum=MIN_DESCRIPTORS),
         settings=settings,
@@ -167,43 +167,43 @@
     faults.append(error)
 
 
-def _read_name(top: JsonFields, faults: list[MalformedSettingsError] | None) -> str:
-    name = top.text("name")
-    if any(letter.isspace() for letter in name):
+def _read_name(root: JsonFields, faults: list[MalformedSettingsError] | None) -> str:
+    name = root.text("name")
+    if any(char.isspace() for char in name):
         _report(MalformedSettingsError("name: one word is needed"), faults)
     return name
 
 
-def _read_seed(top: JsonFields, faults: list[MalformedSettingsError] | None) -> int:
+def _read_seed(root: JsonFields, faults: list[MalformedSettingsError] | None) -> int:
     try:
-        return parse_seed(top.text("seed"))
+        return parse_seed(root.text("seed"))
     except MalformedSettingsError as error:
         _report(error, faults)
         return 0
 
 
-def _read_address(top: JsonFields, name: str, faults: list[MalformedSettingsError] | None) -> Address:
+def _read_address(root: JsonFields, name: str, faults: list[MalformedSettingsError] | None) -> Address:
     fault_count = len(faults or ())
-    text = top.text(name)
+    text = root.text(name)
     if len(faults or ()) > fault_count:
-        return UNKNOWN_ADDRESS
+        return PLACEHOLDER_ADDRESS
     try:
         return parse_address(text, name)
     except MalformedSettingsError as error:
         _report(error, faults)
-        return UNKNOWN_ADDRESS
+        return PLACEHOLDER_ADDRESS
 
 
-def with_new_peer_addresses(current: Config, fresh: Config) -> tuple[Config, list[str]]:
-    """Return the current configuration with the peers' addresses of a fresh one.
+def with_new_peer_addresses(current: Config, reloaded: Config) -> tuple[Config, list[str]]:
+    """Return the current configuration with the peers' addresses of a newly read one.
 
-    The second value holds the names of the other fields that differ, which need a restart. The seed is left out: it is
-    drawn anew with each file.
+    The second value holds the names of the other fields that differ, which need a restart. The seed is not compared,
+    because each file gets a new one.
     """
-    updated = replace(current, pool=fresh.pool, records=fresh.records, directory=fresh.directory)
+    updated = replace(current, pool=reloaded.pool, records=reloaded.records, directory=reloaded.directory)
     differing = [
         config_field.name
         for config_field in fields(Config)
-        if config_field.name != "seed" and getattr(updated, config_field.name) != getattr(fresh, config_field.name)
+        if config_field.name != "seed" and getattr(updated, config_field.name) != getattr(reloaded, config_field.name)
     ]
     return updated, differing
