--- a/nickelslip/configuration/control_client.py
+++ b/nickelslip/configuration/control_client.py
@@ -1,7 +1,7 @@
 """Client side of the control protocol: one connection to one server's control socket.
 
-Every wait is bounded. The client never repeats a command by itself: whether a command that got no reply was carried
-out is for the caller to find out.
+Every wait has a timeout. The client never retries a command. If a command gets no reply, the caller must find out
+whether the server carried it out.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 
 class ServerUnreachableError(Exception):
-    """There is no connection, no reply in time, or something that is no reply."""
+    """The server could not be reached, did not reply in time, or sent an invalid message."""
 
 
 class ControlClient:
-    """A connection to one server's control socket, open inside an asynchronous context.
+    """An asynchronous context manager for one connection to a server's control socket.
 
     Args:
-        path: The control socket.
-        wait_ms: The timeout of connecting and of each message.
+        path: Path of the control socket.
+        timeout_ms: The timeout of connecting and of each message.
 
     Attributes:
-        name: The server's name, known once connected.
+        name: The server's name; empty until the server has sent its greeting.
     """
 
-    def __init__(self, path: str, wait_ms: float = DEFAULT_TIMEOUT_MS) -> None:
+    def __init__(self, path: str, timeout_ms: float = DEFAULT_TIMEOUT_MS) -> None:
         self._path = path
-        self._timeout_s = wait_ms / 1000
+        self._timeout_s = timeout_ms / 1000
         self._decoder = FrameDecoder()
         self._messages: list[dict[str, Any]] = []
         self._request_ids = count(1)
@@ -63,7 +63,7 @@
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         await self._stream.aclose()
 
@@ -76,7 +76,7 @@
             raise ServerUnreachableError(f"{self._path}: {reason}") from None
 
     async def _receive(self) -> dict[str, Any]:
-        """Return the next message of the server."""
+        """Return the next message from the server."""
         try:
             with anyio.fail_after(self._timeout_s):
                 while not self._messages:
@@ -87,14 +87,14 @@
             raise ServerUnreachableError(f"{self._path}: the server closed the connection") from None
         return self._messages.pop(0)
 
-    async def ask(self, do: str, **fields: Any) -> dict[str, Any]:
-        """Return the reply to one command.
+    async def ask(self, command: str, **fields: Any) -> dict[str, Any]:
+        """Send one command and return its reply.
 
         Raises:
-            ServerUnreachableError: No reply came; the command may or may not have been carried out.
+            ServerUnreachableError: No reply was received; the command may or may not have been carried out.
         """
         request_id = next(self._request_ids)
-        request = {**fields, "protocol": self._version, "id": request_id, "do": do}
+        request = {**fields, "protocol": self._version, "id": request_id, "do": command}
         try:
             with anyio.fail_after(self._timeout_s):
                 await self._stream.send(encode_frame(request))
@@ -108,11 +108,11 @@
             raise ServerUnreachableError(f"{self._path}: the command could not be sent") from None
 
 
-async def ask_once(path: str, do: str, wait_ms: float = DEFAULT_TIMEOUT_MS, **fields: Any) -> dict[str, Any]:
-    """Return the reply to one command, sent on a connection of its own.
+async def ask_once(path: str, command: str, timeout_ms: float = DEFAULT_TIMEOUT_MS, **fields: Any) -> dict[str, Any]:
+    """Send one command on a new connection and return its reply.
 
     Raises:
-        ServerUnreachableError: No reply came; the command may or may not have been carried out.
+        ServerUnreachableError: No reply was received; the command may or may not have been carried out.
     """
-    async with ControlClient(path, wait_ms) as client:
-        return await client.ask(do, **fields)
+    async with ControlClient(path, timeout_ms) as client:
+        return await client.ask(command, **fields)
--- a/nickelslip/configuration/control_protocol.py
+++ b/nickelslip/configuration/control_protocol.py
@@ -1,9 +1,10 @@
 """The control protocol: frames, versions and limits, for the control socket and for its clients.
 
-A frame is its length (4 bytes, big-endian) and so many bytes of JSON, one object. The server speaks first:
-`{"nickelslip": NAME, "protocol": [MIN, MAX]}`. A request is `{"protocol": N, "id": ID, "do": COMMAND, ...}`; its reply
-has the same id and `"ok"`: true with the result, or false with `"code"` and `"text"`. Requests of one connection are
-answered in order. This module does no I/O and does not interpret commands.
+A frame is a length (4 bytes, big-endian) followed by that many bytes of JSON, which hold one object. The server sends
+the first frame, its greeting: `{"nickelslip": NAME, "protocol": [MIN, MAX]}`. A request is
+`{"protocol": N, "id": ID, "do": COMMAND, ...}`. Its reply has the same id and `"ok"`: true with the result, or false
+with `"code"` and `"text"`. Requests on one connection are answered in order. This module does no I/O and does not
+interpret commands.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 
 import orjson
 
-MIN_VERSION = 1  # the oldest and the newest version that this program speaks
+MIN_VERSION = 1  # the oldest and the newest version that this program supports
 MAX_VERSION = 1
-MIN_FRAME_BYTES = 2  # an empty object
+MIN_FRAME_BYTES = 2  # length of an empty JSON object
 MAX_FRAME_BYTES = 1 << 20
 FRAME_HEADER = struct.Struct(">I")
 MAX_ID_LENGTH = 64
-INVALID_REQUEST_CODE = "improper"  # of a request that is malformed, whatever its command
+INVALID_REQUEST_CODE = "improper"  # reply code for a malformed request, whatever its command
 
 
 class ControlProtocolError(Exception):
-    """The peer sent something that is no message of this protocol; the connection cannot be used any more."""
+    """A message is invalid or too long. If the peer sent it, the connection can no longer be used."""
 
 
 class FrameDecoder:
     """Splits received bytes into messages; buffers at most one incomplete frame.
 
     Args:
-        max_frame_bytes: The longest body that is accepted.
+        max_frame_bytes: Length of the longest accepted body.
     """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
@@ -39,14 +40,14 @@
 
     @property
     def has_partial_frame(self) -> bool:
-        """Whether a frame has begun and not ended."""
+        """Whether the buffer holds the beginning of an incomplete frame."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """Return the messages that are complete with these bytes.
+        """Add received bytes and return the messages that they complete.
 
         Raises:
-            ControlProtocolError: A frame has a length out of bounds, or its body is no JSON object.
+            ControlProtocolError: The length of a frame is out of bounds, or its body is not a JSON object.
         """
         self._buffer += data
         messages: list[dict[str, Any]] = []
@@ -55,7 +56,7 @@
         return messages
 
     def _next_message(self) -> dict[str, Any] | None:
-        """Remove the first message from the buffer; None if it is not complete."""
+        """Remove the first message from the buffer and return it, or return None if it is incomplete."""
         if len(self._buffer) < FRAME_HEADER.size:
             return None
         (length,) = FRAME_HEADER.unpack_from(self._buffer)
@@ -75,7 +76,7 @@
 
 
 def encode_frame(message: dict[str, Any]) -> bytes:
-    """Return the frame of one message.
+    """Encode one message as a frame.
 
     Raises:
         ControlProtocolError: The message exceeds MAX_FRAME_BYTES.
@@ -87,15 +88,15 @@
 
 
 def encode_greeting(server_name: str) -> bytes:
-    """Return the frame with which the server opens a connection."""
+    """Return the frame that the server sends first on each connection."""
     return encode_frame({"nickelslip": server_name, "protocol": [MIN_VERSION, MAX_VERSION]})
 
 
 def negotiate_version(greeting: dict[str, Any]) -> int:
-    """Return the newest version that the greeting's sender and this program both speak.
+    """Return the newest version that the server and this program both support.
 
     Raises:
-        ControlProtocolError: There is none, or the greeting names no versions.
+        ControlProtocolError: There is no such version, or the greeting does not contain a range of versions.
     """
     match greeting.get("protocol"):
         case [int(server_min), int(server_max)]:
@@ -110,7 +111,7 @@
 
 
 def request_error(message: dict[str, Any]) -> str | None:
-    """Return what is wrong with a request whatever its command, or None."""
+    """Check the fields that every command has, and return the first error or None."""
     version = message.get("protocol")
     if not isinstance(version, int) or isinstance(version, bool) or not MIN_VERSION <= version <= MAX_VERSION:
         return f"versions {MIN_VERSION} to {MAX_VERSION} are spoken here"
@@ -128,5 +129,5 @@
 
 
 def error_reply(request: dict[str, Any], code: str, text: str, **details: Any) -> dict[str, Any]:
-    """Return the reply to a request that was not carried out; clients depend on the code."""
+    """Return the reply to a request that was not carried out. Clients depend on the code."""
     return {"id": request.get("id"), "ok": False, "code": code, "text": text, **details}
--- a/nickelslip/configuration/descriptors.py
+++ b/nickelslip/configuration/descriptors.py
@@ -1,7 +1,7 @@
-"""Shares of this process's file descriptors for its different connections.
+"""Shares of this process's file descriptor limit for the different kinds of connections.
 
-The shares are fixed by the limit, so that no kind of connection can take the descriptors of another one. Each part of
-the server keeps to its own share; nothing is counted here.
+The shares are fixed and depend on the limit, so that no kind of connection can use up the descriptors of another kind.
+Each component enforces its own share. This module does not count descriptors.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 from math import ceil
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, up to three worker pool links, the report, a file
-CONTROL_DESCRIPTORS = 12  # where changes are accepted: the control socket, its clients, the history
+RESERVED_DESCRIPTORS = 24  # standard streams, event loop, listener, up to three worker pool links, load report, a file
+CONTROL_DESCRIPTORS = 12  # if changes are accepted: control socket, its clients, history
 MIN_SHARED_DESCRIPTORS = 8
-IDLE_CALL_CONNECTIONS = 16  # for dependency calls, beyond those in use
-CALL_CONNECTION_DIVISOR = 5  # one in so many is for dependency calls, at most
+IDLE_CALL_CONNECTIONS = 16  # idle connections for dependency calls, besides those in use
+CALL_CONNECTION_DIVISOR = 5  # at most one fifth of the shared descriptors is for dependency calls
 CONNECTIONS_PER_CALL = 2
-LINGERING_DIVISOR = 8  # one in so many is for lingering connections, at most
+LINGERING_DIVISOR = 8  # at most one eighth of the shared descriptors is for lingering connections
 MAX_LINGERING_CONNECTIONS = 16
 
 
 class DescriptorShares(NamedTuple):
-    """The largest numbers of descriptors.
+    """The maximum number of descriptors for each kind of connection.
 
     Attributes:
-        load_balancers: For connections of load balancers.
-        lingering: For their connections that are being closed, which are short-lived.
+        load_balancers: For load balancer connections.
+        lingering: For load balancer connections that are being closed, which are short-lived.
         calls: For dependency calls.
     """
 
@@ -34,14 +34,14 @@
 
 
 def descriptor_shares(descriptors: int, mean_call_count: float) -> DescriptorShares:
-    """Return the shares of a limit; each is at least 1.
+    """Return the shares of a descriptor limit; each is at least 1.
 
     Args:
-        descriptors: The limit.
-        mean_call_count: Mean number of dependency calls in flight that this server may have.
+        descriptors: The descriptor limit of this process, or the part of it to be shared.
+        mean_call_count: Maximum mean number of dependency calls in flight of this server.
     """
     shared = max(MIN_SHARED_DESCRIPTORS, descriptors - RESERVED_DESCRIPTORS)
-    wanted_by_calls = IDLE_CALL_CONNECTIONS + CONNECTIONS_PER_CALL * ceil(mean_call_count)
-    calls = max(1, min(shared // CALL_CONNECTION_DIVISOR, wanted_by_calls))
+    wanted_for_calls = IDLE_CALL_CONNECTIONS + CONNECTIONS_PER_CALL * ceil(mean_call_count)
+    calls = max(1, min(shared // CALL_CONNECTION_DIVISOR, wanted_for_calls))
     lingering = max(1, min(shared // LINGERING_DIVISOR, MAX_LINGERING_CONNECTIONS))
     return DescriptorShares(max(1, shared - calls - lingering), lingering, calls)
--- a/nickelslip/configuration/document_conversion.py
+++ b/nickelslip/configuration/document_conversion.py
@@ -1,6 +1,7 @@
 """Conversion of a complete document to a ``Config`` and back.
 
-A complete document without faults makes exactly one ``Config``, and a ``Config`` exactly one complete document.
+Each complete document without faults converts to exactly one ``Config``, and each ``Config`` to exactly one complete
+document.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from nickelslip.configuration.config import Address, ChangeRules, Config, parse_address
 from nickelslip.configuration.document import Document
 
-# The choices of the document
+# Values of the choice fields of a document
 RETRY_SAFETY_CHOICES = {
     "replayable": RetrySafety.IDEMPOTENT,
     "referenced": RetrySafety.IDEMPOTENCY_KEY,
@@ -32,11 +33,11 @@
 }
 
 
-def config_from(whole: Document) -> Config:
+def config_from(document: Document) -> Config:
     """Return the ``Config`` of a complete document without faults."""
-    node = whole["node"]
-    peers = whole["peers"]
-    machine = whole["machine"]
+    node = document["node"]
+    peers = document["peers"]
+    machine = document["machine"]
     return Config(
         name=node["name"],
         listen=parse_address(node["listen"], "listen"),
@@ -47,9 +48,9 @@
         stop_ms=node["stop_ms"],
         memory_mb=node["memory_mb"],
         descriptors=node["descriptors"],
-        settings=_settings_from(whole),
+        settings=_settings_from(document),
         gauges=machine["gauges"],
-        changes=_change_rules_from(whole["changes"]),
+        changes=_change_rules_from(document["changes"]),
         starts=node["starts"],
     )
 
@@ -70,12 +71,12 @@
     )
 
 
-def _settings_from(whole: Document) -> Settings:
-    machine = whole["machine"]
-    clients = whole["callers"]
-    calls = whole["calls"]
+def _settings_from(document: Document) -> Settings:
+    machine = document["machine"]
+    clients = document["callers"]
+    calls = document["calls"]
     return Settings(
-        traffic_classes=tuple(_traffic_class_from(name, section) for name, section in whole["grades"].items()),
+        traffic_classes=tuple(_traffic_class_from(name, section) for name, section in document["grades"].items()),
         core_count=machine["cores"],
         memory_kb=machine["memory_kb"],
         running_memory_factor=machine["run_factor"],
@@ -88,9 +89,9 @@
         tick_ms=machine["tick_ms"],
         server_count=clients["servers"],
         client_count=clients["callers"],
-        tenants=tuple(Tenant(name, section["share_per_s"]) for name, section in whole["customers"].items()),
-        over_quota_value_fraction=whole["ranking"]["beyond_share_worth"],
-        value_counts_work=whole["ranking"]["counted_by_work"],
+        tenants=tuple(Tenant(name, section["share_per_s"]) for name, section in document["customers"].items()),
+        over_quota_value_fraction=document["ranking"]["beyond_share_worth"],
+        value_counts_work=document["ranking"]["counted_by_work"],
         clients_mark_retries=clients["marks_again"],
         preemption=PREEMPTION_CHOICES[machine["stopping"]],
         load_signal=LOAD_SIGNAL_CHOICES[clients["said"]],
@@ -98,8 +99,8 @@
         dependency_concurrency_share=calls["share"],
         dependency_window_ms=calls["span_ms"],
         abandoned_call_linger_ms=calls["linger_ms"],
-        idempotency_record_kb=whole["store"]["entry_kb"],
-        response_cache_ms=whole["store"]["fresh_ms"],
+        idempotency_record_kb=document["store"]["entry_kb"],
+        response_cache_ms=document["store"]["fresh_ms"],
         idle_connection_timeout_ms=clients["idle_ms"],
         health_check_costs_work=clients["checks_work"],
         max_concurrency=inf if machine["running_most"] is None else machine["running_most"],
@@ -129,8 +130,8 @@
 
 
 def _choice_of(choices: Mapping[str, Any], value: Any) -> str:
-    """Return the choice that stands for a value."""
-    return next(choice for choice, chosen in choices.items() if chosen is value)
+    """Return the choice that a document has for a value."""
+    return next(choice for choice, meaning in choices.items() if meaning is value)
 
 
 def document_of(config: Config) -> Document:
