--- a/nickelslip/configuration/document_parts.py
+++ b/nickelslip/configuration/document_parts.py
@@ -1,4 +1,4 @@
-"""A part of a document that was sent or stored, checked and completed to a whole document."""
+"""Checks a part of a document that was sent or stored, and completes it."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from nickelslip.configuration.layers import merge
 from nickelslip.configuration.validation import Fault, InvalidDocumentError, has_errors
 
-SOURCE_NAME = "document"  # under which faults are reported
+SOURCE_NAME = "document"  # the source that faults name
 
 
 class CompleteDocument(NamedTuple):
-    """A valid whole document, and the warnings about it."""
+    """A valid complete document, and the warnings about it."""
 
     document: Document
     warnings: list[Fault]
 
 
 def complete_document(part: dict[str, Any], base: Document) -> CompleteDocument:
-    """Return the whole document of a part laid over a base; over an empty one, defaults fill in the rest.
+    """Merge a part over a base document and return the result, completed with the defaults.
 
     Raises:
-        InvalidDocumentError: The part, or the whole, is not valid.
+        InvalidDocumentError: The part or the complete document is not valid.
     """
     checker = DocumentChecker(ParsedDocument(part, SOURCE_NAME))
-    found = checker.check()
+    checked_part = checker.check()
     if has_errors(checker.faults):
         raise InvalidDocumentError(checker.faults)
-    whole, faults = complete(merge(base, found))
+    document, faults = complete(merge(base, checked_part))
     if has_errors(faults):
         raise InvalidDocumentError(faults)
-    return CompleteDocument(whole, checker.faults + faults)
+    return CompleteDocument(document, checker.faults + faults)
--- a/nickelslip/configuration/document_reader.py
+++ b/nickelslip/configuration/document_reader.py
@@ -1,4 +1,4 @@
-"""Reading of one document in either form, and its completion with all checks."""
+"""Reads one document in either form, and completes it with defaults and consistency checks."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def read_part(parsed: ParsedDocument, environment: Mapping[str, str]) -> tuple[Document, list[Fault]]:
-    """Return what one document gives, in the own form, with its faults and warnings.
+    """Return the values of one document as a part in nickelslip's own form, with its faults and warnings.
 
     Args:
         parsed: The document, in either form.
-        environment: Its variables win over a document in the platform's form.
+        environment: Variables that take precedence over a document in the platform's form.
     """
     if not is_platform_form(parsed.value):
         checker = DocumentChecker(parsed)
@@ -31,15 +31,21 @@
 
 
 def _platform_fault(parsed: ParsedDocument, message: str) -> Fault:
-    """Return a fault of the platform's form, whose path stands at the start of the message, at its position."""
+    """Return the fault for an error in a document in the platform's form.
+
+    The message starts with the path of the field, from which the fault gets its position.
+    """
     name, _, text = message.partition(": ")
     path = tuple(key for key in name.replace("[", ".").replace("]", "").split(".") if key)
     return parsed.fault_at(path, text or message)
 
 
 def complete(part: Document) -> tuple[Document, list[Fault]]:
-    """Return the complete document of a part, and the faults of what is missing or does not fit together."""
-    whole, faults = with_defaults(part)
+    """Return the complete document of a part with its faults.
+
+    The document is checked for consistency only if nothing is missing.
+    """
+    document, faults = with_defaults(part)
     if not faults:
-        faults = consistency_faults(whole)
-    return whole, faults
+        faults = consistency_faults(document)
+    return document, faults
--- a/nickelslip/configuration/field_values.py
+++ b/nickelslip/configuration/field_values.py
@@ -1,4 +1,4 @@
-"""Checks and the normal form of single values, by the type of their field."""
+"""Checks and normalizes single values according to the type of their field."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def value_fault(field: Field, value: object) -> str | None:
-    """Return what is wrong with the value of a field; None if it is good."""
+    """Return what is wrong with the value of a field, or None if it is valid."""
     if value is None:
         return None if field.default is None else f"{field.type.value} is needed"
     return VALUE_CHECKS.get(field.type, _string_fault)(field, value)
@@ -27,8 +27,8 @@
         return f"{field.type.value} is needed"
     if field.type is FieldType.INTEGER and value != int(value):
         return "a whole number is needed"
-    is_under = value <= field.min_value if field.exclusive_min else value < field.min_value
-    if is_under or value > field.max_value:
+    is_below_min = value <= field.min_value if field.exclusive_min else value < field.min_value
+    if is_below_min or value > field.max_value:
         bound = "over" if field.exclusive_min else "at least"
         max_text = f", at most {field.max_value:g}" if field.max_value < inf else ""
         return f"{value!r} is out of range: {bound} {field.min_value:g}{max_text}"
@@ -40,12 +40,12 @@
 
 
 def _string_list_fault(_field: Field, value: object) -> str | None:
-    is_good = (
+    is_valid = (
         isinstance(value, list | tuple)
         and len(value) <= MAX_LIST_LENGTH
         and all(isinstance(item, str) for item in value)
     )
-    return None if is_good else "a list of texts is needed"
+    return None if is_valid else "a list of texts is needed"
 
 
 def _string_fault(field: Field, value: object) -> str | None:
@@ -54,7 +54,7 @@
     match field.type:
         case FieldType.CHOICE if value not in field.choices:
             return f"one of {', '.join(field.choices)} is needed"
-        case FieldType.TOKEN if not value or any(letter.isspace() for letter in value):
+        case FieldType.TOKEN if not value or any(char.isspace() for char in value):
             return "one word is needed"
         case FieldType.HEX if not value or not HEX_DIGITS.issuperset(value):
             return "hex digits are needed"
@@ -80,7 +80,7 @@
 
 
 def normalized(field: Field, value: Any) -> Any:
-    """Return a good value in the one form that it has in a complete document."""
+    """Convert a valid value to the type that its field has in every complete document."""
     if value is None:
         return None
     match field.type:
--- a/nickelslip/configuration/json5_reader.py
+++ b/nickelslip/configuration/json5_reader.py
@@ -1,7 +1,7 @@
-"""Reads the text of a document: bytes to plain values, with the position of each.
+"""Parses the text of a document into plain values and their positions.
 
-JSON5 is read by its library, which also gives positions but is slow; plain JSON without positions is read by the
-standard library. The size, the nesting and the number of values are bounded. The module knows no field of the schema.
+The json5 library reads JSON5. It also gives positions but is slow. The standard library reads plain JSON if no
+positions are needed. The size, the nesting and the number of values are limited. The module does not use the schema.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES, Fault, InvalidDocumentError, Path
 
-MAX_JSON5_BYTES = 64 * 1024  # bounds the time that the JSON5 library takes
+MAX_JSON5_BYTES = 64 * 1024  # limits the time that the JSON5 library takes
 MAX_DEPTH = 16
 MAX_VALUES = 50_000
 QUOTES = b"\"'"
@@ -25,12 +25,12 @@
 
 @dataclass
 class ParsedDocument:
-    """A document as it was read.
+    """The value of a document, before any check against the schema.
 
     Attributes:
-        value: The plain value.
+        value: The document as plain Python values.
         source: Where it was read from.
-        positions: Line and column of each path, both from 1 on, where they are known.
+        positions: Line and column, both counted from 1, of each path for which they are known.
     """
 
     value: Any
@@ -38,19 +38,19 @@
     positions: dict[Path, tuple[int, int]] = field(default_factory=dict)
 
     def fault_at(self, path: Path, text: str) -> Fault:
-        """Return a fault at a path, with the position of the nearest path above it whose position is known."""
-        known = path
-        while known and known not in self.positions:
-            known = known[:-1]
-        line, column = self.positions.get(known, (0, 0))
+        """Return a fault at a path, with the position of the path or of its nearest parent that has a known one."""
+        positioned = path
+        while positioned and positioned not in self.positions:
+            positioned = positioned[:-1]
+        line, column = self.positions.get(positioned, (0, 0))
         return Fault(path, text, self.source, line, column)
 
 
 class UnsupportedJsonError(Exception):
-    """Plain JSON holds a duplicate key or a number that is none."""
+    """Plain JSON contains a duplicate key, NaN or an infinite number."""
 
 
-def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
         raise UnsupportedJsonError("a key is there twice")
@@ -62,7 +62,7 @@
 
 
 def _end_of_string(data: bytes, start: int) -> int:
-    """Return the position of the quote, or the newline, that ends the string starting here."""
+    """Return the position of the quote or newline that ends the string at ``start``."""
     position = start + 1
     while position < len(data) and data[position] not in (data[start], NEWLINE):
         position += 2 if data[position] == BACKSLASH else 1
@@ -70,7 +70,7 @@
 
 
 def _end_of_comment(data: bytes, start: int) -> int | None:
-    """Return the position of the last byte of the comment starting here; None if none starts here."""
+    """Return the position of the last byte of the comment at ``start``, or None if no comment starts there."""
     opening = data[start : start + 2]
     if opening == b"//":
         end = data.find(b"\n", start)
@@ -84,7 +84,7 @@
 def nesting_depth(data: bytes) -> int:
     """Return the deepest nesting of brackets outside of strings and comments.
 
-    Where the text is malformed the result may be too large, never too small.
+    For malformed text the result may be too large, but never too small.
     """
     deepest = 0
     depth = 0
@@ -105,70 +105,70 @@
     return deepest
 
 
-def _invalid(text: str, source: str, line: int = 0, column: int = 0) -> InvalidDocumentError:
-    """Return the error of a text that cannot be read at all."""
+def _invalid_text(text: str, source: str, line: int = 0, column: int = 0) -> InvalidDocumentError:
+    """Return the error for a text that cannot be parsed."""
     return InvalidDocumentError([Fault((), text, source, line, column)])
 
 
 def parse_document(data: bytes, source: str, with_positions: bool = True) -> ParsedDocument:
-    """Return the value of a text in JSON5, of which plain JSON is a part.
+    """Parse a text in JSON5, a superset of plain JSON.
 
     Args:
         data: The text.
-        source: Where it was read from, for the faults.
-        with_positions: Whether positions are wanted. They are left out of plain JSON that is too long for the JSON5
-            library, or where the library is not installed.
+        source: Where the text was read from; faults name it.
+        with_positions: Whether to determine positions. Plain JSON gets none if it is too long for the JSON5 library or
+            if the library is not installed.
 
     Raises:
-        InvalidDocumentError: The text is malformed, or over one of the bounds.
+        InvalidDocumentError: The text is malformed or exceeds a limit.
     """
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise _invalid(f"over {MAX_DOCUMENT_BYTES} bytes", source)
+        raise _invalid_text(f"over {MAX_DOCUMENT_BYTES} bytes", source)
     if nesting_depth(data) > MAX_DEPTH:
-        raise _invalid(f"nested deeper than {MAX_DEPTH}", source)
+        raise _invalid_text(f"nested deeper than {MAX_DEPTH}", source)
     json_error: Exception | None = None
     value: Any = None
     try:
-        value = json.loads(data, object_pairs_hook=_unique_keys, parse_constant=_reject_constant)
+        value = json.loads(data, object_pairs_hook=_object_with_unique_keys, parse_constant=_reject_constant)
     except (ValueError, RecursionError, UnsupportedJsonError) as error:
         json_error = error
     if json_error is None and (not with_positions or len(data) > MAX_JSON5_BYTES):
         return ParsedDocument(value, source)
     if len(data) > MAX_JSON5_BYTES:
-        raise _invalid(f"not plain JSON, and over {MAX_JSON5_BYTES} bytes: {json_error}", source)
+        raise _invalid_text(f"not plain JSON, and over {MAX_JSON5_BYTES} bytes: {json_error}", source)
     try:
         return _parse_json5(data, source)
     except ImportError:
         if json_error is None:
             return ParsedDocument(value, source)
         if isinstance(json_error, UnsupportedJsonError):
-            raise _invalid(str(json_error), source) from None
-        raise _invalid(f"not plain JSON, and JSON5 needs nickelslip[settings]: {json_error}", source) from None
+            raise _invalid_text(str(json_error), source) from None
+        raise _invalid_text(f"not plain JSON, and JSON5 needs nickelslip[settings]: {json_error}", source) from None
 
 
 def _parse_json5(data: bytes, source: str) -> ParsedDocument:
-    """Read a text with the JSON5 library. Raises ImportError where it is not installed."""
+    """Parse a text with the JSON5 library. Raises ImportError if it is not installed."""
     from json5.loader import ModelLoader, loads  # an optional dependency, for documents written by hand
 
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
-        raise _invalid(f"not UTF-8: {error.reason} at byte {error.start}", source) from None
+        raise _invalid_text(f"not UTF-8: {error.reason} at byte {error.start}", source) from None
     try:
         model = loads(text, loader=ModelLoader())
     except Exception as error:  # the library and its lexer raise several types for a malformed text
         line = getattr(error, "lineno", 0) or 0
         column = (getattr(error, "colno", 0) or 0) if line else 0
-        raise _invalid(f"not JSON5: {_detail_of(error)}".rstrip(": "), source, line, column) from None
+        raise _invalid_text(f"not JSON5: {_error_detail(error)}".rstrip(": "), source, line, column) from None
     converter = _ModelConverter(source)
-    value = converter.value(model.value, ())
+    value = converter.convert(model.value, ())
     if converter.faults:
         raise InvalidDocumentError(converter.faults)
     return ParsedDocument(value, source, converter.positions)
 
 
-def _detail_of(error: Exception) -> str:
-    """Return the line of the library's message that says what is wrong."""
+def _error_detail(error: Exception) -> str:
+    """Return the line of the library's error message that describes the error."""
     lines = str(error).splitlines()
     return next((line.strip() for line in lines if "rror" in line or "xpect" in line), "")
 
@@ -180,8 +180,8 @@
         source: Where the text was read from.
 
     Attributes:
-        positions: Line and column of each path.
-        faults: All faults that were found.
+        positions: Line and column of each path, counted from 1.
+        faults: All faults found by ``convert``.
     """
 
     def __init__(self, source: str) -> None:
@@ -196,8 +196,8 @@
     def _add_fault(self, path: Path, node: Any, text: str) -> None:
         self.faults.append(Fault(path, text, self.source, *self._position(node)))
 
-    def value(self, node: Any, path: Path) -> Any:
-        """Return the value of a node and keep its position."""
+    def convert(self, node: Any, path: Path) -> Any:
+        """Return the value of a node and record the positions of the node and its children."""
         self._value_count += 1
         if self._value_count > MAX_VALUES:
             if self._value_count == MAX_VALUES + 1:
@@ -207,11 +207,11 @@
             self.positions.setdefault(path, self._position(node))
         match type(node).__name__:
             case "JSONObject":
-                return self._object(node, path)
+                return self._convert_object(node, path)
             case "JSONArray":
-                return [self.value(item, (*path, str(index))) for index, item in enumerate(node.values)]
+                return [self.convert(item, (*path, str(index))) for index, item in enumerate(node.values)]
             case "UnaryOp":
-                operand = self.value(node.value, path)
+                operand = self.convert(node.value, path)
                 return operand if node.op == "+" or not isinstance(operand, int | float) else -operand
             case "NaN" | "Infinity" as constant:
                 self._add_fault(path, node, f"{constant} is no figure")
@@ -221,7 +221,7 @@
             case _:
                 return node.characters if hasattr(node, "characters") else node.value
 
-    def _object(self, node: Any, path: Path) -> dict[str, Any]:
+    def _convert_object(self, node: Any, path: Path) -> dict[str, Any]:
         value: dict[str, Any] = {}
         for pair in node.key_value_pairs:
             key = str(getattr(pair.key, "characters", None) or getattr(pair.key, "name", ""))
@@ -230,5 +230,5 @@
                 self._add_fault(key_path, pair.key, "this key is there twice")
                 continue
             self.positions[key_path] = self._position(pair.key)
-            value[key] = self.value(pair.value, key_path)
+            value[key] = self.convert(pair.value, key_path)
         return value
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -1,7 +1,7 @@
-"""Layers: defaults, files and environment merged into one complete document that knows the origin of each value.
+"""Merges the layers (defaults, files, environment) into one complete document and records the origin of each value.
 
-The order is: defaults, the files one after the other, the environment. A later layer wins key by key; a name that a
-later layer sets to null is removed. The module does no I/O.
+The order is: defaults, the files in their given order, the environment. A later layer overrides single keys of the
+earlier ones. A name that a later layer sets to null is removed. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     Attributes:
         config: The ``Config`` of the document.
         document: The complete document.
-        origins: Where each value that was given came from.
-        warnings: Faults that do not forbid its use.
+        origins: Where each explicitly given value came from.
+        warnings: Faults that do not prevent its use.
     """
 
     config: Config
@@ -42,32 +42,32 @@
     warnings: tuple[Fault, ...] = ()
 
     def origin_of(self, path: Path) -> str:
-        """Return where the value of a path came from."""
+        """Return where the value at a path came from."""
         return self.origins.get(path, DEFAULT_ORIGIN)
 
 
 @dataclass
 class _Layers:
-    """What the layers merged so far give."""
+    """The merged values, the faults and the origins of the layers added so far."""
 
     part: Document = field(default_factory=dict)
     faults: list[Fault] = field(default_factory=list)
     origins: dict[Path, str] = field(default_factory=dict)
 
     def add(self, part: Document, faults: list[Fault], origins: Mapping[Path, str]) -> None:
-        """Merge a layer over those before it."""
+        """Merge a layer over the earlier ones."""
         self.part = merge(self.part, part)
         self.faults = self.faults + faults
         self.origins.update(origins)
 
     def raise_errors(self) -> None:
-        """Raise InvalidDocumentError if there is a fault that forbids the use of the document."""
+        """Raise InvalidDocumentError if a fault prevents the use of the document."""
         if has_errors(self.faults):
             raise InvalidDocumentError(self.faults)
 
 
 def merge(base: Document, overlay: Document) -> Document:
-    """Return one part merged over another; neither is changed."""
+    """Return the overlay merged over the base; neither of them is changed."""
     merged = {section: dict(values) for section, values in base.items()}
     for section, values in overlay.items():
         if section not in NAMED_SECTIONS:
@@ -83,7 +83,7 @@
 
 
 def _paths_of_part(part: Document) -> Iterator[Path]:
-    """Yield the path of every value that a part gives."""
+    """Yield the path of every value in a part."""
     for section, values in part.items():
         for name, value in values.items():
             if section in NAMED_SECTIONS:
@@ -101,8 +101,11 @@
     return origins
 
 
-def _value_of_variable(schema_field: Field, text: str) -> Any:
-    """Return a variable's text as a value of the field's type; what cannot be one stays a text, which is a fault."""
+def _parse_variable(schema_field: Field, text: str) -> Any:
+    """Return a variable's text as a value of the field's type.
+
+    A text that cannot be parsed is returned unchanged, and is a fault in the check of the value.
+    """
     if schema_field.type not in JSON_TYPES and text != "null":
         return text
     try:
@@ -111,7 +114,7 @@
         return text
 
 
-def _set_value(part: Document, path: Path, value: Any) -> None:
+def _set_at_path(part: Document, path: Path, value: Any) -> None:
     section = part
     for key in path[:-1]:
         section = section.setdefault(key, {})
@@ -119,12 +122,12 @@
 
 
 def read_environment(environment: Mapping[str, str]) -> tuple[Document, list[Fault], dict[Path, str]]:
-    """Return the part that the environment gives, its faults, and the variable of each path."""
+    """Return the part that environment variables set, its faults, and the variable that set each path."""
     part: Document = {}
     faults: list[Fault] = []
     origins: dict[Path, str] = {}
     for name, text in environment_overrides(environment).items():
-        _set_value(part, ("node", name), text)
+        _set_at_path(part, ("node", name), text)
         origins[("node", name)] = f"environment:ROUTER_{name.upper()}"
     for variable in sorted(environment):
         if not variable.startswith(OVERRIDE_PREFIX):
@@ -135,12 +138,12 @@
         if schema_field is None:
             faults.append(Fault(path, "unknown", source, severity=Severity.WARNING))
             continue
-        value = _value_of_variable(schema_field, environment[variable])
+        value = _parse_variable(schema_field, environment[variable])
         fault = value_fault(schema_field, value)
         if fault is not None:
             faults.append(Fault(path, fault, source))
             continue
-        _set_value(part, path, normalized(schema_field, value))
+        _set_at_path(part, path, normalized(schema_field, value))
         origins[path] = source
     return part, faults, origins
 
@@ -149,7 +152,7 @@
     """Merge all layers and check the result.
 
     Raises:
-        InvalidDocumentError: The layers, or the complete document, have faults; it holds all of them.
+        InvalidDocumentError: A layer or the complete document has faults. The error holds all of them.
     """
     layers = _Layers()
     for index, parsed in enumerate(documents):
@@ -161,19 +164,19 @@
         layers.add(part, faults, _origins_in(parsed, part))
     layers.add(*read_environment(environment))
     layers.raise_errors()
-    whole, faults = complete(layers.part)
+    document, faults = complete(layers.part)
     faults = [_with_origin(fault, layers.origins) for fault in faults]
     if len(documents) == 1 and is_platform_form(documents[0].value):
-        # The platform's own file was accepted before these checks existed
+        # Files in this form were accepted before these checks existed, so their faults are only warnings
         faults = [fault._replace(severity=Severity.WARNING) for fault in faults]
     layers.add({}, faults, {})
     layers.raise_errors()
-    origins = {path: origin for path, origin in layers.origins.items() if _contains(whole, path)}
-    return LayeredDocument(config_from(whole), whole, origins, tuple(layers.faults))
+    origins = {path: origin for path, origin in layers.origins.items() if _contains_path(document, path)}
+    return LayeredDocument(config_from(document), document, origins, tuple(layers.faults))
 
 
 def _with_origin(fault: Fault, origins: Mapping[Path, str]) -> Fault:
-    """Return a fault of the complete document with the position from which its value came."""
+    """Return a fault of the complete document with the source and position of the value at its path."""
     origin = origins.get(fault.path, "")
     source, _, position = origin.partition(":")
     line, _, column = position.partition(":")
@@ -182,8 +185,8 @@
     return fault._replace(source=source, line=int(line), column=int(column))
 
 
-def _contains(whole: Document, path: Path) -> bool:
-    value: Any = whole
+def _contains_path(document: Document, path: Path) -> bool:
+    value: Any = document
     for key in path:
         if not isinstance(value, Mapping) or key not in value:
             return False
@@ -191,10 +194,12 @@
     return True
 
 
-def values_by_path(whole: Document) -> dict[Path, Any]:
+def values_by_path(document: Document) -> dict[Path, Any]:
     """Return every value of a complete document by its path."""
-    values: dict[Path, Any] = {(section, key): value for section in SECTIONS for key, value in whole[section].items()}
+    values: dict[Path, Any] = {
+        (section, key): value for section in SECTIONS for key, value in document[section].items()
+    }
     for section in NAMED_SECTIONS:
-        for name, fields in whole[section].items():
+        for name, fields in document[section].items():
             values.update({(section, name, key): value for key, value in fields.items()})
     return values
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -1,4 +1,4 @@
-"""Loading of configuration files: each is read as a whole, within a bound, or not at all."""
+"""Loads configuration files. Each is read as a whole; one that is too large or changes meanwhile is rejected."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Return the bytes of a file that does not change while it is read.
+    """Return the contents of a file, read again if it changes during the read.
 
     Raises:
         InvalidDocumentError: The file cannot be read, is too large, or changed during every attempt.
@@ -42,17 +42,17 @@
 
 
 def load_layers(paths: Sequence[str], environment: Mapping[str, str], with_positions: bool = True) -> LayeredDocument:
-    """Return the files, in their order, and the environment merged into one document.
+    """Merge the files, in their given order, and the environment into one document.
 
     Args:
         paths: The files.
-        environment: The variables of the process.
-        with_positions: Whether the positions of values in the files are wanted.
+        environment: The environment variables of the process.
+        with_positions: Whether to determine the positions of values in the files.
 
     Raises:
         InvalidDocumentError: A file cannot be read, or the document has faults.
     """
-    # Imported here because the usual start, from the platform's plain file, needs neither
+    # Imported here because the usual start, from one plain JSON file in the platform's form, needs neither module
     from nickelslip.configuration.json5_reader import parse_document
     from nickelslip.configuration.layers import apply_layers
 
@@ -75,10 +75,10 @@
 def load_config(paths: Sequence[str], environment: Mapping[str, str]) -> Config:
     """Return the configuration for the start of a server or for a reload.
 
-    The platform's plain file is decoded directly, without defaults, origins and positions.
+    A single plain JSON file in the platform's form is decoded directly, without defaults, origins and positions.
 
     Raises:
-        MalformedSettingsError: The configuration has faults; the text holds them with their positions.
+        MalformedSettingsError: The configuration has faults; the message has the first of them with their positions.
     """
     has_overrides = any(variable.startswith(OVERRIDE_PREFIX) for variable in environment)
     if len(paths) == 1 and not has_overrides:
--- a/nickelslip/configuration/schema.py
+++ b/nickelslip/configuration/schema.py
@@ -1,7 +1,7 @@
 """The schema of a configuration document: each field with its type, bounds, default and the effect of a change.
 
-The names, the types' and the effects' values and the descriptions are printed by `nickelslip config words` and stay as
-they are. The schema holds no value of a deployment.
+`nickelslip config words` prints the names, the descriptions and the values of ``FieldType`` and ``Effect``. They must
+not change. The schema contains no values of a particular deployment.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from math import inf
 from typing import Any
 
-SCHEMA_VERSION = 1  # a document of a later version is rejected
+SCHEMA_VERSION = 1  # documents of a later version are rejected
 
-MAX_SPAN_MS = 86_400_000.0  # a day
+MAX_DURATION_MS = 86_400_000.0  # one day
 MIN_DESCRIPTORS = 32
 
 
@@ -42,7 +42,7 @@
 
 
 class Required:
-    """The type of ``REQUIRED``, the default of a field that has none."""
+    """The type of ``REQUIRED``, which marks a field without a default."""
 
     def __repr__(self) -> str:
         return "needed"
@@ -56,15 +56,15 @@
     """One field of a section.
 
     Attributes:
-        name: Its key.
+        name: Its key in the section.
         type: The type of its value.
         effect: When a change of it takes effect.
-        default: The value if the key is absent; None allows null.
-        min_value: The smallest number allowed.
-        max_value: The largest number allowed.
-        exclusive_min: Whether the number must be over ``min_value`` instead of at least that.
-        choices: The strings allowed.
-        description: What it sets.
+        default: The value if the key is absent. If the default is None, null is allowed.
+        min_value: The smallest allowed number.
+        max_value: The largest allowed number.
+        exclusive_min: Whether the number must be greater than ``min_value``; otherwise it may also be equal.
+        choices: The allowed strings.
+        description: What the field sets, for operators.
     """
 
     name: str
@@ -79,14 +79,14 @@
 
 
 def _number(name: str, effect: Effect, default: Any = REQUIRED, description: str = "", **bounds: Any) -> Field:
-    """Return a number field; ``bounds`` are the attributes of ``Field`` that limit it."""
+    """Return a number field. ``bounds`` are the attributes of ``Field`` that limit the number."""
     return Field(name, FieldType.NUMBER, effect, default, description=description, **bounds)
 
 
 def _integer(
     name: str, effect: Effect, default: Any = REQUIRED, description: str = "", min_value: float = 1, **bounds: Any
 ) -> Field:
-    """Return an integer field, at least 1 unless another minimum is given."""
+    """Return an integer field, whose minimum is 1 unless another one is given."""
     return Field(name, FieldType.INTEGER, effect, default, min_value, description=description, **bounds)
 
 
@@ -101,7 +101,7 @@
         Effect.AT_ONCE,
         description="from the notice to leave to the kill",
         exclusive_min=True,
-        max_value=MAX_SPAN_MS,
+        max_value=MAX_DURATION_MS,
     ),
     _number("memory_mb", Effect.RESTART, description="of this process", exclusive_min=True),
     _integer("descriptors", Effect.AT_ONCE, description="of this process", min_value=MIN_DESCRIPTORS),
@@ -132,7 +132,7 @@
     ),
     Field("cold", FieldType.BOOLEAN, Effect.RESTART, False, description="whether a start is cold"),
     _number("cold_from", Effect.RESTART, 1.0, "part of its speed that a cold server starts at", max_value=1.0),
-    _number("cold_ms", Effect.RESTART, 1.0, "until it is warm", exclusive_min=True, max_value=MAX_SPAN_MS),
+    _number("cold_ms", Effect.RESTART, 1.0, "until it is warm", exclusive_min=True, max_value=MAX_DURATION_MS),
     _number(
         "crowd_multiple",
         Effect.AT_ONCE,
@@ -142,12 +142,12 @@
     _integer(
         "running_most", Effect.AT_ONCE, None, "transactions on the cores at once; absent: as many as the crowd allows"
     ),
-    _number("answer_slack_ms", Effect.AT_ONCE, 0.0, "by which an answer may be late", max_value=MAX_SPAN_MS),
+    _number("answer_slack_ms", Effect.AT_ONCE, 0.0, "by which an answer may be late", max_value=MAX_DURATION_MS),
     _number(
         "drain_grace_ms",
         Effect.AT_ONCE,
         description="after the notice to leave, in which what arrives may still be run",
-        max_value=MAX_SPAN_MS,
+        max_value=MAX_DURATION_MS,
     ),
     _number("tick_ms", Effect.AT_ONCE, description="how finely time is told", exclusive_min=True, max_value=1000.0),
     Field(
@@ -182,10 +182,10 @@
         Effect.AT_ONCE,
         0.0,
         "longest advice that callers heed; 0: none is given",
-        max_value=MAX_SPAN_MS,
+        max_value=MAX_DURATION_MS,
     ),
     Field("marks_again", FieldType.BOOLEAN, Effect.AT_ONCE, False, description="whether further tries are marked"),
-    _number("idle_ms", Effect.AT_ONCE, 0.0, "after which callers close unused connections", max_value=MAX_SPAN_MS),
+    _number("idle_ms", Effect.AT_ONCE, 0.0, "after which callers close unused connections", max_value=MAX_DURATION_MS),
     Field(
         "checks_work",
         FieldType.BOOLEAN,
@@ -206,12 +206,12 @@
 )
 CALLS = (
     _number("share", Effect.AT_ONCE, 0.0, "mean number of calls out that is this server's part; 0: no bound is told"),
-    _number("span_ms", Effect.RESTART, 0.0, "over which that mean is taken", max_value=MAX_SPAN_MS),
-    _number("linger_ms", Effect.AT_ONCE, 0.0, "how long a call that was given up stays out", max_value=MAX_SPAN_MS),
+    _number("span_ms", Effect.RESTART, 0.0, "over which that mean is taken", max_value=MAX_DURATION_MS),
+    _number("linger_ms", Effect.AT_ONCE, 0.0, "how long a call that was given up stays out", max_value=MAX_DURATION_MS),
 )
 STORE = (
     _number("entry_kb", Effect.AT_ONCE, 0.0, "memory of a remembered transaction"),
-    _number("fresh_ms", Effect.NEW, 0.0, "how long the answer to a read may serve others", max_value=MAX_SPAN_MS),
+    _number("fresh_ms", Effect.NEW, 0.0, "how long the answer to a read may serve others", max_value=MAX_DURATION_MS),
 )
 CHANGES = (
     Field(
@@ -234,10 +234,10 @@
         10_000.0,
         "in which a change must do no harm",
         min_value=1000.0,
-        max_value=MAX_SPAN_MS,
+        max_value=MAX_DURATION_MS,
     ),
     _number(
-        "probation_most_ms", Effect.AT_ONCE, 60_000.0, "where too little can be told before", max_value=MAX_SPAN_MS
+        "probation_most_ms", Effect.AT_ONCE, 60_000.0, "where too little can be told before", max_value=MAX_DURATION_MS
     ),
     _number(
         "baseline_ms",
@@ -250,7 +250,9 @@
     _number(
         "sigmas", Effect.AT_ONCE, 4.0, "by so many standard errors worse is no chance", min_value=2.0, max_value=20.0
     ),
-    _number("held_off_ms", Effect.AT_ONCE, 600_000.0, "how long an undone document is refused", max_value=MAX_SPAN_MS),
+    _number(
+        "held_off_ms", Effect.AT_ONCE, 600_000.0, "how long an undone document is refused", max_value=MAX_DURATION_MS
+    ),
     Field(
         "reload",
         FieldType.CHOICE,
@@ -267,10 +269,14 @@
         Effect.NEW,
         description="within which an answer is wanted",
         exclusive_min=True,
-        max_value=MAX_SPAN_MS,
+        max_value=MAX_DURATION_MS,
     ),
     _number(
-        "abandon_ms", Effect.NEW, description="after which a client gives up", exclusive_min=True, max_value=MAX_SPAN_MS
+        "abandon_ms",
+        Effect.NEW,
+        description="after which a client gives up",
+        exclusive_min=True,
+        max_value=MAX_DURATION_MS,
     ),
     Field(
         "repeat",
@@ -280,7 +286,11 @@
         description="what may happen to it a second time",
     ),
     _number(
-        "window_ms", Effect.NEW, 0.0, "referenced: a repeat may come so long after an arrival", max_value=MAX_SPAN_MS
+        "window_ms",
+        Effect.NEW,
+        0.0,
+        "referenced: a repeat may come so long after an arrival",
+        max_value=MAX_DURATION_MS,
     ),
     _number("late_share", Effect.NEW, 0.0, "of its credit that an answer after the quoted time earns", max_value=1.0),
     _number("stretch", Effect.NEW, 0.0, "extra quoted time, as a multiple of the work"),
@@ -306,10 +316,10 @@
     "store": STORE,
     "changes": CHANGES,
 }
-# Sections that hold one section for each name
+# Sections that contain one inner section for each name
 NAMED_SECTIONS: Mapping[str, tuple[Field, ...]] = {"grades": GRADE, "customers": CUSTOMER}
 MAX_NAMES: Mapping[str, int] = {"grades": 64, "customers": 4096}
-NAME_EFFECTS = {"grades": Effect.NEW, "customers": Effect.AT_ONCE}  # of a name that is added or removed
+NAME_EFFECTS = {"grades": Effect.NEW, "customers": Effect.AT_ONCE}  # of adding or removing a name
 NEVER_COMPARED = frozenset({("node", "seed")})
 
 
@@ -326,7 +336,7 @@
 
 
 def all_fields() -> Iterator[tuple[str, Field]]:
-    """Yield every field with its path as text, where NAME stands for any name."""
+    """Yield every field with its path as text, with NAME for the name of a traffic class or tenant."""
     for section, fields in SECTIONS.items():
         yield from ((f"{section}.{field.name}", field) for field in fields)
     for section, fields in NAMED_SECTIONS.items():
--- a/nickelslip/json_fields.py
+++ b/nickelslip/json_fields.py
@@ -1,4 +1,4 @@
-"""Reads one JSON object field by field, and names the whole path of a field that is wrong."""
+"""Reads one JSON object field by field. Errors name the full path of the invalid field."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 T = TypeVar("T")
 
-STAND_IN_TEXT = "-"  # read on with in place of a text that is wrong
+PLACEHOLDER_TEXT = "-"  # replaces an invalid text while further errors are collected
 
 
 class MalformedSettingsError(Exception):
-    """Settings that cannot be understood; the text names the field."""
+    """Settings are invalid. The message names the field."""
 
 
 class JsonFields:
     """The fields of one JSON object.
 
-    The first wrong field is raised as `MalformedSettingsError`. Where a list of errors is given, all are put there
-    instead, and a stand-in value is read on with; then what was read is not to be used.
+    The first invalid field raises `MalformedSettingsError`. If a list of errors is given, all errors are added to it
+    instead, and the methods return placeholders for invalid fields. The values must not be used if there are errors.
 
     Args:
         value: The decoded JSON value, which should be an object.
-        path: Where it stands in the document.
-        errors: Collects the errors, or None to have the first one raised.
+        path: Path of the object in the document.
+        errors: Collects the errors; if None, the first one is raised.
     """
 
     def __init__(self, value: object, path: str, errors: list[MalformedSettingsError] | None = None) -> None:
@@ -37,14 +37,14 @@
             self._report(f"{path or 'settings'}: an object is needed")
 
     def child(self, name: str, needed: bool = True) -> JsonFields:
-        """Return the fields of an object below this one; one that is not needed may be absent."""
+        """Return the fields of the object in a field; an object that is not needed may be absent."""
         value = self._fields.get(name)
         if not needed:
             value = value or {}
         return JsonFields(value, self._path_of(name), self._errors)
 
     def children(self, name: str, needed: bool = True) -> list[JsonFields]:
-        """Return the fields of each object of a list; one that is needed must not be empty."""
+        """Return the fields of each object in a list; a list that is needed must not be empty."""
         value = self._fields.get(name)
         if not isinstance(value, list) and (needed or value is not None):
             self._report(f"{self._path_of(name)}: a list is needed")
@@ -55,7 +55,7 @@
         return [JsonFields(item, f"{path}[{index}]", self._errors) for index, item in enumerate(value or [])]
 
     def items(self, name: str) -> list[Any]:
-        """Return the items of a list, which may be absent."""
+        """Return the items of a list, or no items if the list is absent."""
         value = self._fields.get(name) or []
         if not isinstance(value, list):
             self._report(f"{self._path_of(name)}: a list is needed")
@@ -70,7 +70,7 @@
         maximum: float = math.inf,
         is_exclusive: bool = False,
     ) -> float:
-        """Return a number between minimum and maximum; with `is_exclusive` it must be over the minimum.
+        """Return a number between minimum and maximum; with `is_exclusive` it must be greater than the minimum.
 
         null counts as absent.
         """
@@ -86,29 +86,29 @@
         return float(value)
 
     def integer(self, name: str, default: int | None = None, minimum: int = 1) -> int:
-        """Return a whole number of at least the minimum."""
+        """Return a whole number that is at least the minimum."""
         value = self.number(name, default, minimum)
         if value != int(value):
             self._report(f"{self._path_of(name)}: a whole number is needed")
         return int(value)
 
     def boolean(self, name: str) -> bool:
-        """Return a flag; False where it is absent."""
+        """Return a boolean; an absent one or null is False."""
         value = self._fields.get(name, False)
         if value not in (True, False, None):
             self._report(f"{self._path_of(name)}: true or false is needed")
         return bool(value)
 
     def text(self, name: str) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty string."""
         value = self._fields.get(name)
         if not isinstance(value, str) or not value:
             self._report(f"{self._path_of(name)}: a text is needed")
-            return STAND_IN_TEXT
+            return PLACEHOLDER_TEXT
         return value
 
     def choice(self, name: str, choices: Mapping[str, T], default: str | None = None) -> T:
-        """Return what one of the given words stands for."""
+        """Return the value of the choice that the field names."""
         value = self._fields.get(name, default)
         if not isinstance(value, str) or value not in choices:
             self._report(f"{self._path_of(name)}: one of {', '.join(choices)} is needed")
