--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Documents, layers, plans, the steps of a change, the history at every offset, and the judge: all without I/O."""
+"""Documents, layers, plans, the lifecycle of changes, the history, canary analysis and rollouts, all without I/O."""
 
 import json
 import random
@@ -42,20 +42,21 @@
 
 
 def ours(*overlays, environment=None):
-    texts = [parse_document(each.encode(), f"{at}.json5") for at, each in enumerate((OURS, *overlays))]
-    return apply_layers(texts, environment or {})
+    """Return the small server's document, merged with the overlays and the environment."""
+    layers = [parse_document(text.encode(), f"{index}.json5") for index, text in enumerate((OURS, *overlays))]
+    return apply_layers(layers, environment or {})
 
 
 def faults_of(*overlays, environment=None):
-    with pytest.raises(InvalidDocumentError) as caught:
+    with pytest.raises(InvalidDocumentError) as error_info:
         ours(*overlays, environment=environment)
-    return caught.value.faults
+    return error_info.value.faults
 
 
-# Documents
+# Documents and layers
 
 
-def test_a_document_makes_one_config_and_a_config_one_document():
+def test_conversion_between_config_and_document_is_lossless():
     config = ours().config
     assert (config.settings.core_count, config.pool, config.settings.traffic_classes[1].priority_weight) == (
         2,
@@ -63,24 +64,26 @@
         3.0,
     )
     assert config_from(document_of(config)) == config
-    platform = config_from_platform(GOOD, {})
-    assert config_from(document_of(platform)) == platform
+    platform_config = config_from_platform(GOOD, {})
+    assert config_from(document_of(platform_config)) == platform_config
 
 
-def test_all_faults_are_named_in_one_go_by_path_line_and_column():
-    bad = OURS.replace("cores: 2", "cores: 2.5").replace('"single-use"', '"twice"').replace("credit: 1", "credits: 1")
-    found = {
-        ".".join(each.path): (each.line, each.column)
-        for each in faults_of(bad.split("\n", 1)[1].replace("version: 1,", ""))
+def test_all_faults_are_reported_together_with_path_line_and_column():
+    invalid = (
+        OURS.replace("cores: 2", "cores: 2.5").replace('"single-use"', '"twice"').replace("credit: 1", "credits: 1")
+    )
+    position_by_path = {
+        ".".join(fault.path): (fault.line, fault.column)
+        for fault in faults_of(invalid.split("\n", 1)[1].replace("version: 1,", ""))
     }
-    assert found["machine.cores"] == (4, 12) and "grades.payout.repeat" in found
-    assert found["grades.balance.credits"][0] == 5
-    near = next(each for each in faults_of(bad) if each.path[-1] == "credits")
-    assert "nearest is credit" in near.text and near.severity.value == "warning"
+    assert position_by_path["machine.cores"] == (4, 12) and "grades.payout.repeat" in position_by_path
+    assert position_by_path["grades.balance.credits"][0] == 5
+    misspelled = next(fault for fault in faults_of(invalid) if fault.path[-1] == "credits")
+    assert "nearest is credit" in misspelled.text and misspelled.severity.value == "warning"
 
 
 @pytest.mark.parametrize(
-    ("bad", "word"),
+    ("overlay", "expected_text"),
     (
         ("{machine: {cores: NaN}}", "no figure"),
         ("{machine: {cores: 2, cores: 3}}", "twice"),
@@ -102,35 +105,39 @@
         ("{machine: {cores: 1e999}}", "no figure|whole|not JSON"),
     ),
 )
-def test_what_cannot_be_used_is_refused_with_its_reason(bad, word):
-    with pytest.raises(InvalidDocumentError, match=word):
-        ours(bad)
+def test_an_invalid_overlay_is_rejected_with_the_reason(overlay, expected_text):
+    with pytest.raises(InvalidDocumentError, match=expected_text):
+        ours(overlay)
 
 
 @given(st.binary(max_size=200) | st.text(alphabet="{}[]:,\"'ab1.-+/* \n\\", max_size=80).map(str.encode))
 @settings(derandomize=True, max_examples=150, deadline=None)
-def test_any_bytes_are_read_or_refused(data):
+def test_arbitrary_bytes_are_parsed_or_rejected_with_faults(data):
     try:
         parse_document(data, "x")
-    except InvalidDocumentError as faulty:
-        assert faulty.faults
+    except InvalidDocumentError as error:
+        assert error.faults
 
 
-def test_layers_win_word_by_word_and_each_value_knows_where_it_comes_from():
-    told = ours(
+def test_a_later_layer_overrides_single_keys_and_each_value_has_its_origin():
+    layered = ours(
         "{machine: {cores: 4}, grades: {payout: {credit: 5}, extra: {credit: 1, quoted_ms: 9, abandon_ms: 9,\n"
         "repeat: 'replayable'}}, customers: {acme: null}}",
         environment={"ROUTER_NAME": "n7", "NICKELSLIP_SET_MACHINE__MEMORY_KB": "9000"},
     )
-    assert (told.config.name, told.config.settings.core_count, told.config.settings.memory_kb) == ("n7", 4, 9000.0)
-    assert not told.config.settings.tenants and len(told.config.settings.traffic_classes) == 3
-    assert told.origin_of(("machine", "cores")) == "1.json5:1:12"
-    assert told.origin_of(("machine", "run_factor")) == "default"
-    assert told.origin_of(("machine", "memory_kb")).endswith("MEMORY_KB")
+    assert (layered.config.name, layered.config.settings.core_count, layered.config.settings.memory_kb) == (
+        "n7",
+        4,
+        9000.0,
+    )
+    assert not layered.config.settings.tenants and len(layered.config.settings.traffic_classes) == 3
+    assert layered.origin_of(("machine", "cores")) == "1.json5:1:12"
+    assert layered.origin_of(("machine", "run_factor")) == "default"
+    assert layered.origin_of(("machine", "memory_kb")).endswith("MEMORY_KB")
     assert faults_of(environment={"NICKELSLIP_SET_MACHINE__CORES": "many"})[0].path == ("machine", "cores")
 
 
-def test_the_plan_names_each_difference_and_when_it_acts():
+def test_a_plan_lists_each_difference_and_when_it_takes_effect():
     old, new = (
         ours().document,
         ours(
@@ -138,7 +145,7 @@
             "grades: {payout: {credit: 4}}, customers: {b: {share_per_s: 1}}}"
         ).document,
     )
-    effects = {".".join(each.path): each.effect for each in plan_of(old, new).differences}
+    effects = {".".join(difference.path): difference.effect for difference in plan_of(old, new).differences}
     assert effects == {
         "customers.b": Effect.AT_ONCE,
         "peers.pool": Effect.LINKS,
@@ -146,87 +153,90 @@
         "machine.cold_ms": Effect.RESTART,
         "grades.payout.credit": Effect.NEW,
     }
-    assert [each.path[1] for each in plan_of(old, new).needing_restart] == ["cold_ms"]
+    assert [difference.path[1] for difference in plan_of(old, new).needing_restart] == ["cold_ms"]
     assert plan_of(old, old).is_empty and plan_of(old, ours("{node: {seed: 'ff'}}").document).is_empty
 
 
-# Steps, history, crash and restart
+# Changes, their history, crashes and restarts
 
 
-def a_change(changes, now, over, forced=False):
-    whole = merge(changes.in_force.document, parse_document(over.encode(), "x").value)
-    return changes.draft(now, config_from(whole), whole, "test", forced)
+def draft_change(changes, now_ms, overlay, forced=False):
+    document = merge(changes.in_force.document, parse_document(overlay.encode(), "x").value)
+    return changes.draft(now_ms, config_from(document), document, "test", forced)
 
 
-def begun():
-    told = ours()
-    first = select_start([], told.document, 0.0)
-    changes = ChangeManager(Generation(1, told.config), told.document, [first.record], digest_of(told.document))
-    return changes, first
+def started_changes():
+    """Return the change manager of a server that started without a history, and the selection of its start."""
+    layered = ours()
+    selection = select_start([], layered.document, 0.0)
+    changes = ChangeManager(
+        Generation(1, layered.config), layered.document, [selection.record], digest_of(layered.document)
+    )
+    return changes, selection
 
 
-def test_one_is_staged_one_on_probation_and_an_overtaken_one_is_refused_and_never_merged():
-    changes, _ = begun()
-    changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
+def test_one_change_is_staged_one_in_its_canary_period_and_a_superseded_one_is_rejected():
+    changes, _ = started_changes()
+    changes.stage(1.0, draft_change(changes, 1.0, "{machine: {cores: 3}}"))
     with pytest.raises(ChangeRejectedError, match="another change"):
-        changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 4}}"))
+        changes.stage(1.0, draft_change(changes, 1.0, "{machine: {cores: 4}}"))
     changes.begin_applying(2.0)
     changes.mark_applied(2.0)
-    changes.stage(3.0, a_change(changes, 3.0, "{machine: {cores: 5}}"))
+    changes.stage(3.0, draft_change(changes, 3.0, "{machine: {cores: 5}}"))
     with pytest.raises(ChangeRejectedError, match="on_probation"):
         changes.begin_applying(3.0)
     generation, _ = changes.roll_back(4.0, "harm")
     assert generation.number == 1 and changes.in_force.generation is generation
-    with pytest.raises(ChangeRejectedError) as caught:
+    with pytest.raises(ChangeRejectedError) as error_info:
         changes.begin_applying(5.0)
-    assert caught.value.reason is RejectionReason.SUPERSEDED and changes.staged is None
-    with pytest.raises(ChangeRejectedError) as caught:
-        a_change(changes, 5.0, "{machine: {cores: 3}}")
-    assert caught.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
-    assert a_change(changes, 5.0, "{machine: {cores: 3}}", forced=True).state is ChangeState.VALIDATED
-    assert a_change(changes, 5.0 + 600_001, "{machine: {cores: 3}}").state is ChangeState.VALIDATED
-    with pytest.raises(ChangeRejectedError) as caught:
-        a_change(changes, 6.0, "{machine: {cold_ms: 7.0}}")
-    assert caught.value.reason is RejectionReason.NEEDS_RESTART
-
-
-def test_a_file_whose_change_was_undone_or_never_confirmed_is_not_taken_at_the_next_start():
-    for undo in (True, False):
-        changes, first = begun()
-        change = a_change(changes, 1.0, "{machine: {cores: 3}}")
+    assert error_info.value.reason is RejectionReason.SUPERSEDED and changes.staged is None
+    with pytest.raises(ChangeRejectedError) as error_info:
+        draft_change(changes, 5.0, "{machine: {cores: 3}}")
+    assert error_info.value.reason is RejectionReason.RECENTLY_ROLLED_BACK
+    assert draft_change(changes, 5.0, "{machine: {cores: 3}}", forced=True).state is ChangeState.VALIDATED
+    assert draft_change(changes, 5.0 + 600_001, "{machine: {cores: 3}}").state is ChangeState.VALIDATED
+    with pytest.raises(ChangeRejectedError) as error_info:
+        draft_change(changes, 6.0, "{machine: {cold_ms: 7.0}}")
+    assert error_info.value.reason is RejectionReason.NEEDS_RESTART
+
+
+def test_a_file_whose_change_was_rolled_back_or_never_confirmed_is_not_used_at_the_next_start():
+    for rolls_back in (True, False):
+        changes, _ = started_changes()
+        change = draft_change(changes, 1.0, "{machine: {cores: 3}}")
         changes.stage(1.0, change)
         changes.file_digest = change.digest  # as after SIGHUP with that file
         changes.begin_applying(2.0)
         changes.mark_applied(2.0)
-        if undo:
+        if rolls_back:
             changes.roll_back(3.0, "harm")
-        again = select_start([*changes.records], change.document, 4.0)
-        assert again.document["machine"]["cores"] == 2 and again.record is None
-        other = {**change.document, "machine": {**change.document["machine"], "cores": 7}}
-        assert select_start([*changes.records], other, 4.0).document["machine"]["cores"] == 7
+        restart = select_start([*changes.records], change.document, 4.0)
+        assert restart.document["machine"]["cores"] == 2 and restart.record is None
+        changed_file = {**change.document, "machine": {**change.document["machine"], "cores": 7}}
+        assert select_start([*changes.records], changed_file, 4.0).document["machine"]["cores"] == 7
 
 
-def test_peers_that_move_during_a_probation_stay_moved_when_it_is_undone_or_confirmed():
-    for undo in (True, False):
-        changes, first = begun()
-        changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
+def test_peer_addresses_changed_in_a_canary_period_are_kept_after_rollback_and_confirmation():
+    for rolls_back in (True, False):
+        changes, _ = started_changes()
+        changes.stage(1.0, draft_change(changes, 1.0, "{machine: {cores: 3}}"))
         changes.begin_applying(2.0)
         changes.mark_applied(2.0)
-        now = changes.in_force
-        document = {**now.document, "peers": {**now.document["peers"], "pool": "127.0.0.1:99"}}
-        changes.move_peers(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
-        record = changes.roll_back(4.0, "harm")[1] if undo else changes.confirm(4.0, "good")
+        in_force = changes.in_force
+        document = {**in_force.document, "peers": {**in_force.document["peers"], "pool": "127.0.0.1:99"}}
+        changes.move_peers(3.0, replace(in_force.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
+        record = changes.roll_back(4.0, "harm")[1] if rolls_back else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
-        assert changes.in_force.generation.config.settings.core_count == (2 if undo else 3)
-        again = select_start([*changes.records], ours().document, 5.0)
-        assert record in changes.records and again.document["peers"]["pool"] == "127.0.0.1:99"
-        assert again.document["machine"]["cores"] == (2 if undo else 3)
+        assert changes.in_force.generation.config.settings.core_count == (2 if rolls_back else 3)
+        restart = select_start([*changes.records], ours().document, 5.0)
+        assert record in changes.records and restart.document["peers"]["pool"] == "127.0.0.1:99"
+        assert restart.document["machine"]["cores"] == (2 if rolls_back else 3)
 
 
 COMMANDS = st.lists(
     st.tuples(
         st.sampled_from(
-            ("stage", "begin", "applied", "confirm", "roll_back", "drop", "moved", "crash", "torn", "restart")
+            ("stage", "begin", "applied", "confirm", "roll_back", "drop", "move", "crash", "torn", "restart")
         ),
         st.integers(0, 5),
         st.integers(0, 400),
@@ -237,233 +247,277 @@
 
 @given(COMMANDS)
 @settings(derandomize=True, max_examples=120, deadline=None)
-def test_any_course_ends_in_a_generation_that_was_whole_and_confirmed_or_the_first(course):
-    file = ours().document
+def test_any_command_sequence_leaves_a_confirmed_generation_or_the_files_in_force(commands):
+    file_document = ours().document
     disk = history.encode_file([])
-    confirmed = {digest_of(file)}
-    changes, now = None, 0.0
+    confirmed_digests = {digest_of(file_document)}
+    changes, now_ms = None, 0.0
 
     def start():
         nonlocal disk
-        records, upto = history.decode_file(disk)
-        disk = disk[:upto] or history.encode_file([])
-        first = select_start(records, file, now)
-        assert digest_of(first.document) in confirmed, "what is in force at a start was whole and confirmed"
-        if first.record is not None:
-            disk += history.encode_record(first.record)
-            records.append(first.record)
+        records, end_offset = history.decode_file(disk)
+        disk = disk[:end_offset] or history.encode_file([])
+        selection = select_start(records, file_document, now_ms)
+        assert digest_of(selection.document) in confirmed_digests, (
+            "a server started with a document that was not confirmed"
+        )
+        if selection.record is not None:
+            disk += history.encode_record(selection.record)
+            records.append(selection.record)
         return ChangeManager(
-            Generation(first.number, config_from(first.document)), first.document, records, digest_of(file)
+            Generation(selection.number, config_from(selection.document)),
+            selection.document,
+            records,
+            digest_of(file_document),
         )
 
     changes = start()
-    for command, which, cut in course:
-        now += 1.0
+    for command, variant, cut_bytes in commands:
+        now_ms += 1.0
         try:
             if command == "stage":
-                changes.stage(now, a_change(changes, now, f"{{machine: {{cores: {which + 1}}}}}"))
+                changes.stage(now_ms, draft_change(changes, now_ms, f"{{machine: {{cores: {variant + 1}}}}}"))
             elif command == "begin":
-                disk += history.encode_record(changes.begin_applying(now)[1])
+                disk += history.encode_record(changes.begin_applying(now_ms)[1])
             elif command == "applied":
-                if (record := changes.mark_applied(now)) is not None:
+                if (record := changes.mark_applied(now_ms)) is not None:
                     disk += history.encode_record(record)
             elif command == "confirm":
-                record = changes.confirm(now, "")
+                record = changes.confirm(now_ms, "")
                 disk += history.encode_record(record)
-                confirmed.add(record.digest)
+                confirmed_digests.add(record.digest)
             elif command == "roll_back":
-                generation, record = changes.roll_back(now, "")
-                assert digest_of(document_of(generation.config)) in confirmed
+                generation, record = changes.roll_back(now_ms, "")
+                assert digest_of(document_of(generation.config)) in confirmed_digests
                 disk += history.encode_record(record)
             elif command == "drop":
-                changes.discard_staged(now)
-            elif command == "moved" and changes.current is None:
-                held = changes.in_force
-                pool = f"127.0.0.1:{which + 1}"
+                changes.discard_staged(now_ms)
+            elif command == "move" and changes.current is None:
+                in_force = changes.in_force
+                pool_address = f"127.0.0.1:{variant + 1}"
                 _, record = changes.move_peers(
-                    now,
-                    replace(held.generation.config, pool=("127.0.0.1", which + 1)),
-                    {**held.document, "peers": {**held.document["peers"], "pool": pool}},
+                    now_ms,
+                    replace(in_force.generation.config, pool=("127.0.0.1", variant + 1)),
+                    {**in_force.document, "peers": {**in_force.document["peers"], "pool": pool_address}},
                     "",
                 )
                 disk += history.encode_record(record)
-                confirmed.add(record.digest)
+                confirmed_digests.add(record.digest)
             elif command in ("crash", "restart"):
                 changes = start()
-            elif command == "torn":  # killed while it wrote: anything of the last record may be missing
-                last = history.encode_file(history.decode_file(disk)[0][:-1])
-                disk = disk[: max(len(last), len(disk) - cut)]
-                kept = history.last_confirmed(history.decode_file(disk)[0])
-                confirmed.add(kept.digest if kept else digest_of(file))
+            elif command == "torn":  # killed while writing: any part of the last record may be missing
+                without_last_record = history.encode_file(history.decode_file(disk)[0][:-1])
+                disk = disk[: max(len(without_last_record), len(disk) - cut_bytes)]
+                last_confirmed = history.last_confirmed(history.decode_file(disk)[0])
+                confirmed_digests.add(last_confirmed.digest if last_confirmed else digest_of(file_document))
                 changes = start()
         except ChangeRejectedError:
             pass
-        assert changes.in_force.digest in confirmed or (
+        assert changes.in_force.digest in confirmed_digests or (
             changes.current is not None and changes.current.state is ChangeState.CANARY
         )
 
 
-def test_a_history_cut_or_changed_at_any_byte_gives_whole_records_and_no_others():
+def test_a_history_truncated_or_corrupted_at_any_byte_yields_only_intact_records():
     document = ours().document
     records = [
-        HistoryRecord(at, event, at, f"{at:032x}", "test", float(at), "", document if at % 2 else None)
-        for at, event in enumerate(
+        HistoryRecord(
+            number, event, number, f"{number:032x}", "test", float(number), "", document if number % 2 else None
+        )
+        for number, event in enumerate(
             (HistoryEvent.STARTED, HistoryEvent.APPLIED, HistoryEvent.CONFIRMED, HistoryEvent.ROLLED_BACK), 1
         )
     ]
-    whole = history.encode_file(records)
+    data = history.encode_file(records)
     ends = [len(history.encode_file(records[:count])) for count in range(len(records) + 1)]
-    for cut in range(len(whole) + 1):
-        found, upto = history.decode_file(whole[:cut])
-        assert len(found) == max(sum(end <= cut for end in ends) - 1, 0) and upto <= cut
-        assert [each.sequence_number for each in found] == [each.sequence_number for each in records[: len(found)]]
-    chance = random.Random(5)
+    for cut in range(len(data) + 1):
+        decoded, end_offset = history.decode_file(data[:cut])
+        assert len(decoded) == max(sum(end <= cut for end in ends) - 1, 0) and end_offset <= cut
+        assert [record.sequence_number for record in decoded] == [
+            record.sequence_number for record in records[: len(decoded)]
+        ]
+    rng = random.Random(5)
     for _ in range(300):
-        at = chance.randrange(len(whole))
-        torn = bytearray(whole)
-        torn[at] ^= 1 << chance.randrange(8)
-        found, _ = history.decode_file(bytes(torn))
-        assert len(found) < 4 and [each.digest for each in found] == [each.digest for each in records[: len(found)]]
+        position = rng.randrange(len(data))
+        corrupted = bytearray(data)
+        corrupted[position] ^= 1 << rng.randrange(8)
+        decoded, _ = history.decode_file(bytes(corrupted))
+        assert len(decoded) < 4 and [record.digest for record in decoded] == [
+            record.digest for record in records[: len(decoded)]
+        ]
     kept = history.compact(records)
-    assert history.last_confirmed(kept).generation == 3 and [each.sequence_number for each in kept] == [1, 2, 3, 4]
+    assert history.last_confirmed(kept).generation == 3 and [record.sequence_number for record in kept] == [1, 2, 3, 4]
 
 
-# The judge
+# Canary analysis
 
-RATES = {("payout", "a"): 12.0, ("payout", "b"): 4.0, ("balance", "a"): 24.0, ("balance", "b"): 10.0}
+REQUESTS_PER_S = {("payout", "a"): 12.0, ("payout", "b"): 4.0, ("balance", "a"): 24.0, ("balance", "b"): 10.0}
 WORK = {"payout": 20.0, "balance": 40.0}
 
 
-def fill(meter, chance, begin, end, kept, load=1.0, weight=1.0, busy=0.6):
-    """Traffic from begin to end: of what comes of each pair, the part that is answered in time."""
-    for at in range(int(begin / BUCKET_MS), int(end / BUCKET_MS)):
-        now = at * BUCKET_MS + 1.0
-        meter.sample_server(now, weight, 0.5, busy)
-        for pair, rate in RATES.items():
-            mean = rate * load * BUCKET_MS / 1000
-            count, left = 0, chance.expovariate(1.0)
-            while left < mean:
-                count, left = count + 1, left + chance.expovariate(1.0)
+def fill(metrics, rng, begin_at_ms, end_at_ms, in_time_fraction, load=1.0, weight=1.0, cpu_fraction=0.6):
+    """Record random requests of each class and tenant, of which the given fraction completes in time."""
+    for number in range(int(begin_at_ms / BUCKET_MS), int(end_at_ms / BUCKET_MS)):
+        now_ms = number * BUCKET_MS + 1.0
+        metrics.sample_server(now_ms, weight, 0.5, cpu_fraction)
+        for pair, requests_per_s in REQUESTS_PER_S.items():
+            mean_count = requests_per_s * load * BUCKET_MS / 1000
+            count, next_arrival = 0, rng.expovariate(1.0)
+            while next_arrival < mean_count:
+                count, next_arrival = count + 1, next_arrival + rng.expovariate(1.0)
             for _ in range(count):
-                meter.request_received(now, *pair)
-                good = chance.random() < kept(pair)
-                meter.request_ended(
-                    now, *pair, RequestState.COMPLETED if good else RequestState.REJECTED, 10.0, WORK[pair[0]]
+                metrics.request_received(now_ms, *pair)
+                in_time = rng.random() < in_time_fraction(pair)
+                metrics.request_ended(
+                    now_ms, *pair, RequestState.COMPLETED if in_time else RequestState.REJECTED, 10.0, WORK[pair[0]]
                 )
 
 
-def judged(seed, kept, load=1.0, weight=1.0, before=lambda pair: 0.97, until=8000.0, busy=0.6):
-    """The first harm found within some seconds and when, or the last verdict."""
-    chance, meter = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
-    fill(meter, chance, 0.0, 15_000.0, before)
-    judge = CanaryAnalysis(Baseline(meter.between(0.0, 15_000.0)), 15_000.0, 4.0)
-    now, verdict = 15_000.0, None
-    while now < 15_000.0 + until:
-        fill(meter, chance, now, now + BUCKET_MS, kept, load, weight, busy)
-        now += BUCKET_MS
-        verdict = judge.evaluate(meter.between(judge.evaluated_until_ms, now))
+def analyze(
+    seed,
+    in_time_fraction,
+    load=1.0,
+    weight=1.0,
+    baseline_fraction=lambda pair: 0.97,
+    duration_ms=8000.0,
+    cpu_fraction=0.6,
+):
+    """Return the first verdict of harm, else the last verdict, and the time since the change in milliseconds."""
+    rng, metrics = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
+    fill(metrics, rng, 0.0, 15_000.0, baseline_fraction)
+    analysis = CanaryAnalysis(Baseline(metrics.between(0.0, 15_000.0)), 15_000.0, 4.0)
+    now_ms, verdict = 15_000.0, None
+    while now_ms < 15_000.0 + duration_ms:
+        fill(metrics, rng, now_ms, now_ms + BUCKET_MS, in_time_fraction, load, weight, cpu_fraction)
+        now_ms += BUCKET_MS
+        verdict = analysis.evaluate(metrics.between(analysis.evaluated_until_ms, now_ms))
         if verdict.status is CanaryStatus.HARM:
             break
-    return verdict, now - 15_000.0
+    return verdict, now_ms - 15_000.0
 
 
 @pytest.mark.parametrize(
-    ("name", "kept", "load", "weight"),
+    ("name", "in_time_fraction", "load", "weight"),
     (
-        ("all", lambda pair: 0.3, 1.0, 1.0),
-        ("one grade, the total well", lambda pair: 0.0 if pair[0] == "payout" else 1.0, 1.0, 1.0),
-        ("one customer, the total well", lambda pair: 0.1 if pair[1] == "b" else 1.0, 1.0, 1.0),
-        ("hidden by a low weight", lambda pair: 0.97, 0.25, 0.25),
-        ("in a burst that others' work does not excuse", lambda pair: 0.02, 1.6, 1.0),
-        ("in a rise while cores stand idle", lambda pair: 0.0 if pair[0] == "payout" else 1.0, 1.25, 1.0),
+        ("all requests", lambda pair: 0.3, 1.0, 1.0),
+        ("one traffic class fails, the total is good", lambda pair: 0.0 if pair[0] == "payout" else 1.0, 1.0, 1.0),
+        ("one tenant fails, the total is good", lambda pair: 0.1 if pair[1] == "b" else 1.0, 1.0, 1.0),
+        ("less load because of a low advertised weight", lambda pair: 0.97, 0.25, 0.25),
+        ("in a load burst that does not explain the losses", lambda pair: 0.02, 1.6, 1.0),
+        ("in a load rise while cores are idle", lambda pair: 0.0 if pair[0] == "payout" else 1.0, 1.25, 1.0),
     ),
 )
-def test_harm_is_found_within_five_seconds(name, kept, load, weight):
+def test_harm_is_found_within_five_seconds(name, in_time_fraction, load, weight):
     for seed in range(12):
-        verdict, after = judged(seed, kept, load, weight)
-        assert verdict.status is CanaryStatus.HARM and after <= 5000.0, (name, seed, verdict)
+        verdict, found_after_ms = analyze(seed, in_time_fraction, load, weight)
+        assert verdict.status is CanaryStatus.HARM and found_after_ms <= 5000.0, (name, seed, verdict)
 
 
-def test_a_burst_that_was_over_before_the_change_hides_little():
-    found = 0
+def test_a_load_burst_that_ended_before_the_change_rarely_hides_harm():
+    found_count = 0
     for seed in range(12):
-        chance, meter = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
-        fill(meter, chance, 0.0, 8000.0, lambda pair: 0.97)
-        fill(meter, chance, 8000.0, 12_000.0, lambda pair: 0.95 if pair[0] == "payout" else 0.3, load=2.0, busy=1.0)
-        fill(meter, chance, 12_000.0, 15_000.0, lambda pair: 0.97)
-        judge, now, verdict = CanaryAnalysis(Baseline(meter.between(0.0, 15_000.0)), 15_000.0, 4.0), 15_000.0, None
-        while now < 20_000.0 and (verdict is None or verdict.status is not CanaryStatus.HARM):
-            fill(meter, chance, now, now + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
-            now += BUCKET_MS
-            verdict = judge.evaluate(meter.between(judge.evaluated_until_ms, now))
-        found += verdict.status is CanaryStatus.HARM
-    assert found >= 11
+        rng, metrics = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
+        fill(metrics, rng, 0.0, 8000.0, lambda pair: 0.97)
+        fill(
+            metrics,
+            rng,
+            8000.0,
+            12_000.0,
+            lambda pair: 0.95 if pair[0] == "payout" else 0.3,
+            load=2.0,
+            cpu_fraction=1.0,
+        )
+        fill(metrics, rng, 12_000.0, 15_000.0, lambda pair: 0.97)
+        analysis, now_ms, verdict = (
+            CanaryAnalysis(Baseline(metrics.between(0.0, 15_000.0)), 15_000.0, 4.0),
+            15_000.0,
+            None,
+        )
+        while now_ms < 20_000.0 and (verdict is None or verdict.status is not CanaryStatus.HARM):
+            fill(metrics, rng, now_ms, now_ms + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
+            now_ms += BUCKET_MS
+            verdict = analysis.evaluate(metrics.between(analysis.evaluated_until_ms, now_ms))
+        found_count += verdict.status is CanaryStatus.HARM
+    assert found_count >= 11
 
 
 @pytest.mark.parametrize(
-    ("name", "kept", "load", "before"),
+    ("name", "in_time_fraction", "load", "baseline_fraction"),
     (
-        ("nothing happens", lambda pair: 0.97, 1.0, lambda pair: 0.97),
-        ("half is lost before and after", lambda pair: 0.5, 1.0, lambda pair: 0.5),
+        ("no difference", lambda pair: 0.97, 1.0, lambda pair: 0.97),
+        ("half of the requests fail before and after", lambda pair: 0.5, 1.0, lambda pair: 0.5),
         (
-            "a burst in which the cheaper grade keeps what cores are left",
+            "a load burst in which the traffic class with less work completes",
             lambda pair: 0.95 if pair[0] == "payout" else 0.4,
             2.0,
             lambda pair: 0.97,
         ),
-        ("half as much comes", lambda pair: 0.97, 0.5, lambda pair: 0.97),
+        ("half the load", lambda pair: 0.97, 0.5, lambda pair: 0.97),
     ),
 )
-def test_chance_and_load_alone_are_no_harm(name, kept, load, before):
-    harmed = sum(judged(seed, kept, load, before=before, busy=1.0)[0].status is CanaryStatus.HARM for seed in range(40))
-    assert harmed <= 1, name
+def test_chance_and_load_alone_are_no_harm(name, in_time_fraction, load, baseline_fraction):
+    harm_count = sum(
+        analyze(seed, in_time_fraction, load, baseline_fraction=baseline_fraction, cpu_fraction=1.0)[0].status
+        is CanaryStatus.HARM
+        for seed in range(40)
+    )
+    assert harm_count <= 1, name
 
 
-def test_what_nobody_saw_is_not_called_harmless_and_a_look_alone_undoes_nothing():
+def test_insufficient_data_is_not_harmless_and_confirms_only_after_the_maximum_canary_period():
     assert (
-        judged(1, lambda pair: 0.97, load=0.02, weight=1.0, before=lambda pair: 0.0)[0].status
+        analyze(1, lambda pair: 0.97, load=0.02, weight=1.0, baseline_fraction=lambda pair: 0.0)[0].status
         is CanaryStatus.INSUFFICIENT_DATA
     )
-    changes, _ = begun()
-    changes.stage(1.0, a_change(changes, 1.0, "{machine: {cores: 3}}"))
+    changes, _ = started_changes()
+    changes.stage(1.0, draft_change(changes, 1.0, "{machine: {cores: 3}}"))
     changes.begin_applying(2.0)
     changes.mark_applied(2.0)
-    soon = CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "")
+    insufficient = CanaryVerdict(CanaryStatus.INSUFFICIENT_DATA, "")
     assert (
-        changes.next_state(2.0 + 10_000, soon) is None
-        and changes.next_state(2.0 + 60_000, soon) is ChangeState.CONFIRMED
+        changes.next_state(2.0 + 10_000, insufficient) is None
+        and changes.next_state(2.0 + 60_000, insufficient) is ChangeState.CONFIRMED
     )
     assert changes.next_state(2.0 + 9_999, CanaryVerdict(CanaryStatus.NO_HARM, "")) is None
     assert changes.next_state(2.1, CanaryVerdict(CanaryStatus.HARM, "")) is ChangeState.ROLLED_BACK
 
 
-# Roll-out
-
+# Rollouts
 
-def rolled(behave, count=10, lost_most=0):
-    """A roll-out over nodes that answer as `behave(node, order, now)` says; its end, and which nodes were told."""
-    names = [f"n{at}" for at in range(count)]
-    plan, now, pushed, waiting = Rollout(names, RolloutPolicy(max_unreachable_count=lost_most), 0.0), 0.0, [], []
-    while not plan.is_finished and now < 300_000:
-        for order in plan.advance(now):
-            if order.action is Action.APPLY:
-                pushed.append(order.target)
-            reply = behave(order.target, order.action, now)
-            waiting.append((now + (5000.0 if reply is None else 20.0), order, reply))
-        now += 50.0
-        for _due, order, reply in [each for each in waiting if each[0] <= now]:
-            plan.record_reply(now, order.target, order.action, reply, "d1")
-        waiting = [each for each in waiting if each[0] > now]
-    return plan, pushed, now
 
+def run_rollout(reply_to, target_count=10, max_unreachable=0):
+    """Run a rollout over targets that reply with `reply_to(target, action, now_ms)`.
 
-def well(node, do, now):
-    if do is Action.APPLY:
+    Returns:
+        The rollout, the targets that were asked to apply the change, and the time of the end in milliseconds.
+    """
+    names = [f"n{index}" for index in range(target_count)]
+    rollout, now_ms, applied_to, pending = (
+        Rollout(names, RolloutPolicy(max_unreachable_count=max_unreachable), 0.0),
+        0.0,
+        [],
+        [],
+    )
+    while not rollout.is_finished and now_ms < 300_000:
+        for instruction in rollout.advance(now_ms):
+            if instruction.action is Action.APPLY:
+                applied_to.append(instruction.target)
+            reply = reply_to(instruction.target, instruction.action, now_ms)
+            pending.append((now_ms + (5000.0 if reply is None else 20.0), instruction, reply))
+        now_ms += 50.0
+        for _due_at_ms, instruction, reply in [item for item in pending if item[0] <= now_ms]:
+            rollout.record_reply(now_ms, instruction.target, instruction.action, reply, "d1")
+        pending = [item for item in pending if item[0] > now_ms]
+    return rollout, applied_to, now_ms
+
+
+def healthy_reply(target, action, now_ms):
+    if action is Action.APPLY:
         return {"ok": True, "change": {"step": "on_probation"}}
     return {"ok": True, "digest": "d1", "step": "confirmed", "current": None}
 
 
-def test_every_state_of_a_roll_out_has_the_word_and_text_that_the_command_prints():
+def test_every_rollout_state_has_the_word_and_text_that_the_command_prints():
     assert set(TARGET_STATE_WORDS) == set(TargetState) == set(TRANSITIONS)
     assert set(ROLLOUT_STATUS_WORDS) == set(ROLLOUT_STATUS_TEXTS) == set(RolloutStatus)
     words = "waiting asked watched good bad lost to_revert reverting reverted stuck"
@@ -471,49 +525,53 @@
     assert [*ROLLOUT_STATUS_WORDS.values()] == ["going", "undoing", "done", "undone", "stuck"]
 
 
-def test_a_good_roll_out_goes_canary_first_and_reaches_all():
-    plan, pushed, _ = rolled(well)
-    assert plan.status is RolloutStatus.COMPLETED and pushed[0] == "n0" and len(pushed) == 10
-    assert {place for place, _ in plan.target_states().values()} == {TargetState.CONFIRMED}
+def test_a_successful_rollout_starts_with_one_target_and_reaches_all():
+    rollout, applied_to, _ = run_rollout(healthy_reply)
+    assert rollout.status is RolloutStatus.COMPLETED and applied_to[0] == "n0" and len(applied_to) == 10
+    assert {state for state, _ in rollout.target_states().values()} == {TargetState.CONFIRMED}
 
 
-def test_the_first_node_that_undoes_stops_it_and_all_go_back():
-    def behave(node, do, now):
-        if node == "n3" and do is Action.CHECK_STATUS:
+def test_the_first_target_that_rolls_back_stops_the_rollout_and_all_roll_back():
+    def reply_to(target, action, now_ms):
+        if target == "n3" and action is Action.CHECK_STATUS:
             return {"ok": True, "digest": "d0", "step": "confirmed", "verdict": {"reason": "grade payout"}}
-        return well(node, do, now)
+        return healthy_reply(target, action, now_ms)
 
-    plan, pushed, _ = rolled(behave)
+    rollout, applied_to, _ = run_rollout(reply_to)
     assert (
-        plan.status is RolloutStatus.ROLLED_BACK
-        and "grade payout" in plan.reason
-        and set(pushed) <= {f"n{at}" for at in range(5)}
+        rollout.status is RolloutStatus.ROLLED_BACK
+        and "grade payout" in rollout.reason
+        and set(applied_to) <= {f"n{index}" for index in range(5)}
     )
     assert (
-        plan.target_states()["n3"][0] is TargetState.FAILED and plan.target_states()["n0"][0] is TargetState.ROLLED_BACK
+        rollout.target_states()["n3"][0] is TargetState.FAILED
+        and rollout.target_states()["n0"][0] is TargetState.ROLLED_BACK
     )
-    assert plan.target_states()["n9"][0] is TargetState.PENDING
+    assert rollout.target_states()["n9"][0] is TargetState.PENDING
 
 
-def test_a_silent_node_is_not_counted_as_good_nor_waited_for_without_a_bound():
-    def silent(node, do, now):
-        return None if node == "n4" else well(node, do, now)
+def test_an_unreachable_target_is_not_confirmed_and_delays_the_rollout_only_for_a_limited_time():
+    def reply_unless_n4(target, action, now_ms):
+        return None if target == "n4" else healthy_reply(target, action, now_ms)
 
-    plan, _, now = rolled(silent, lost_most=1)
+    rollout, _, ended_at_ms = run_rollout(reply_unless_n4, max_unreachable=1)
+    assert (
+        rollout.status is RolloutStatus.COMPLETED
+        and rollout.target_states()["n4"][0] is TargetState.UNREACHABLE
+        and ended_at_ms < 60_000
+    )
+    rollout, _, ended_at_ms = run_rollout(reply_unless_n4)
     assert (
-        plan.status is RolloutStatus.COMPLETED
-        and plan.target_states()["n4"][0] is TargetState.UNREACHABLE
-        and now < 60_000
+        rollout.status is RolloutStatus.ROLLBACK_FAILED
+        and rollout.target_states()["n4"][0] is TargetState.ROLLBACK_FAILED
+        and ended_at_ms < 90_000
     )
-    plan, _, now = rolled(silent)
     assert (
-        plan.status is RolloutStatus.ROLLBACK_FAILED
-        and plan.target_states()["n4"][0] is TargetState.ROLLBACK_FAILED
-        and now < 90_000
+        run_rollout(lambda target, action, now_ms: None, target_count=3, max_unreachable=3)[0].status
+        is not RolloutStatus.COMPLETED
     )
-    assert rolled(lambda node, do, now: None, count=3, lost_most=3)[0].status is not RolloutStatus.COMPLETED
 
 
-def test_json_texts_of_documents_go_round():
-    told = json.loads(json.dumps(document_of(ours().config)))
-    assert digest_of(told) == digest_of(ours().document)
+def test_a_document_read_back_from_json_has_the_same_digest():
+    decoded = json.loads(json.dumps(document_of(ours().config)))
+    assert digest_of(decoded) == digest_of(ours().document)
