--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -18,7 +18,7 @@
 PLACEHOLDER_ADDRESS: Address = ("", 0)  # replaces an invalid address while further faults are collected
 MAX_PORT = 65535
 MIN_DESCRIPTORS = 32
-OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override one value, as NICKELSLIP_SET_MACHINE__CORES
+OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override one value, such as NICKELSLIP_SET_MACHINE__CORES
 NAME_VARIABLE = "ROUTER_NAME"
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 
@@ -135,7 +135,7 @@
         faults: Collects all faults if given. The result must not be used if there are any.
 
     Raises:
-        MalformedSettingsError: The value is not an object, or ``faults`` is not given and a first fault was found.
+        MalformedSettingsError: The value is not an object. If ``faults`` is not given, also for the first fault.
     """
     if not isinstance(value, dict):
         raise MalformedSettingsError("configuration: an object is needed")
