--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements on loopback stand-ins: `python -m benchmarks.NAME [--quick]`; the last line is one JSON object."""
+"""Benchmarks against fake services on loopback.
+
+Run one with `python -m benchmarks.NAME [--quick]`. The last line of its output is one JSON object.
+"""
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""The size to design for: slopes of what a server costs, and the page that holds them against the users' plan."""
+"""Capacity planning: how a server's costs grow with size, and a page that compares them with the users' plan."""
--- a/benchmarks/capacity/echo_server.py
+++ b/benchmarks/capacity/echo_server.py
@@ -1,6 +1,6 @@
-"""An echo server on loopback, for what the machine and the client themselves add to a request.
+"""An echo server on loopback: the baseline for the latency that the machine and the client add to a request.
 
-`python -m benchmarks.capacity.echo_server` prints its port and serves until it is ended.
+`python -m benchmarks.capacity.echo_server` prints its port and serves until it is killed.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class Echo(asyncio.Protocol):
-    """A connection on which all that is received is sent back."""
+    """A connection that sends all received data back."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
@@ -23,7 +23,7 @@
 
 
 async def main() -> None:
-    """Serve on a free port until ended."""
+    """Print a free port and serve on it until killed."""
     server = await asyncio.get_running_loop().create_server(Echo, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -1,6 +1,6 @@
-"""The users' plan for two years: the sizes to design for, and the limits that they set.
+"""The users' plan for the next two years: the sizes to design for, and the limits that they set.
 
-These are the plan's numbers and what follows from them by arithmetic alone, not measured figures.
+The figures are the plan's own or calculated from them. None is measured.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Sizes and limits, in the plan's own units."""
+    """Sizes and limits, in the plan's units."""
 
     servers: int = 790
     callers: int = 7_300
@@ -29,27 +29,27 @@
 
     @property
     def requests_per_server_s(self) -> float:
-        """The mean rate of one server while all of them serve, at the peak."""
+        """Return the mean request rate of one server at the peak, with all servers in service."""
         return self.requests_per_s / self.servers
 
     @property
     def requests_without_a_zone_s(self) -> float:
-        """The mean rate of one server while one zone of equal size is gone."""
+        """Return the mean request rate of one server at the peak, with one of the equally sized zones down."""
         return self.requests_per_server_s * self.zones / (self.zones - 1)
 
     @property
     def changes_per_s(self) -> float:
-        """The mean rate of changes of configuration."""
+        """Return the mean rate of configuration changes."""
         return self.changes_per_day / DAY_S
 
     @property
     def stop_ms_per_change(self) -> float:
-        """How long a server may stand still for one change, if it is to touch no more than one request in a hundred."""
+        """Return how long a change may block a server if it is to delay at most one request in a hundred."""
         return 0.01 * 1000 / self.changes_per_s
 
     @property
     def pairs(self) -> int:
-        """Connections in the fleet where every caller keeps one to every server."""
+        """Return the number of connections in the fleet if every caller keeps one to every server."""
         return self.servers * self.callers
 
 
--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -1,8 +1,8 @@
-"""How soon a change is in force everywhere by today's `nickelslip config rollout`, in simulated time.
+"""Simulates how long `nickelslip config rollout` takes until a change is in force on every server.
 
-The `Rollout` of the command is run over simulated nodes. Each takes the measured time for a change and confirms it
-after its shortest canary period, with as many instructions in flight at once as the command allows. All nodes are up
-and quick, so the times are the shortest that the command can reach.
+The `Rollout` of the command runs against simulated servers in simulated time. Each server takes the measured time to
+apply a change and confirms it after its shortest canary period. As many instructions are in flight as the command
+allows. All servers are up and respond quickly, so the times are the shortest that the command can achieve.
 """
 
 from __future__ import annotations
@@ -15,50 +15,52 @@
 from nickelslip.configuration.rollout import Action, Instruction, Rollout, RolloutPolicy, RolloutStatus
 from nickelslip.configuration.rollout_runner import MAX_CONCURRENT_TARGETS, ROLLOUT_STATUS_WORDS
 
-STEP_MS = 50.0  # between the command's looks at its nodes
+ADVANCE_INTERVAL_MS = 50.0  # between the times at which the command advances the roll-out
 MAX_ROLLOUT_MS = 600_000.0
 DIGEST = "0" * 32
 
 
 @dataclass(frozen=True)
-class Spread:
-    """What became of one roll-out."""
+class SimulatedRollout:
+    """The result of one simulated roll-out."""
 
     course: str
     took_s: float
-    in_force_s: tuple[float, ...]  # when the change came into force at each node that got it, in order
+    in_force_s: tuple[float, ...]  # when each server that received the change applied it, ascending
 
-    def percentile(self, part: float) -> float:
-        """The time by which this part of the nodes that got it had it."""
-        return percentile_by_ceiling_rank(self.in_force_s, part)
+    def percentile(self, fraction: float) -> float:
+        """Return when this fraction of the servers that received the change had applied it."""
+        return percentile_by_ceiling_rank(self.in_force_s, fraction)
 
 
-def spread(servers: int, apply_ms: float, status_ms: float) -> Spread:
-    """One roll-out over so many servers."""
+def spread(server_count: int, apply_ms: float, status_ms: float) -> SimulatedRollout:
+    """Simulate one roll-out to this many servers."""
     canary_period_ms = ChangeRules().canary_period_ms
-    plan = Rollout([f"n{number}" for number in range(servers)], RolloutPolicy(), 0.0)
-    waiting: list[Instruction] = []
-    replies: list[tuple[float, str, Action]] = []  # a heap, by the time at which they come
-    in_force: dict[str, float] = {}
-    now = 0.0
-    while not plan.is_finished and now < MAX_ROLLOUT_MS:
-        waiting += plan.advance(now)
-        until = now + STEP_MS
+    rollout = Rollout([f"n{number}" for number in range(server_count)], RolloutPolicy(), 0.0)
+    pending: list[Instruction] = []
+    pending_replies: list[tuple[float, str, Action]] = []  # a heap ordered by arrival time
+    in_force_at_ms: dict[str, float] = {}
+    now_ms = 0.0
+    while not rollout.is_finished and now_ms < MAX_ROLLOUT_MS:
+        pending += rollout.advance(now_ms)
+        until_ms = now_ms + ADVANCE_INTERVAL_MS
         while True:
-            while waiting and len(replies) < MAX_CONCURRENT_TARGETS:
-                instruction = waiting.pop(0)
+            while pending and len(pending_replies) < MAX_CONCURRENT_TARGETS:
+                instruction = pending.pop(0)
                 reply_ms = status_ms if instruction.action is Action.CHECK_STATUS else apply_ms
-                heapq.heappush(replies, (now + reply_ms, instruction.target, instruction.action))
-            if not replies or replies[0][0] > until:
+                heapq.heappush(pending_replies, (now_ms + reply_ms, instruction.target, instruction.action))
+            if not pending_replies or pending_replies[0][0] > until_ms:
                 break
-            now, node, action = heapq.heappop(replies)
+            now_ms, target, action = heapq.heappop(pending_replies)
             if action is Action.APPLY:
-                in_force.setdefault(node, now)
-            step = "confirmed" if now >= in_force.get(node, now) + canary_period_ms else "on_probation"
-            plan.record_reply(now, node, action, _reply(step), DIGEST)
-        now = until
-    course = ROLLOUT_STATUS_WORDS[plan.status if plan.is_finished else RolloutStatus.IN_PROGRESS]
-    return Spread(course, now / 1000, tuple(sorted(applied_at_ms / 1000 for applied_at_ms in in_force.values())))
+                in_force_at_ms.setdefault(target, now_ms)
+            step = "confirmed" if now_ms >= in_force_at_ms.get(target, now_ms) + canary_period_ms else "on_probation"
+            rollout.record_reply(now_ms, target, action, _reply(step), DIGEST)
+        now_ms = until_ms
+    course = ROLLOUT_STATUS_WORDS[rollout.status if rollout.is_finished else RolloutStatus.IN_PROGRESS]
+    return SimulatedRollout(
+        course, now_ms / 1000, tuple(sorted(applied_at_ms / 1000 for applied_at_ms in in_force_at_ms.values()))
+    )
 
 
 def _reply(step: str) -> dict[str, object]:
--- a/benchmarks/capacity/summary.py
+++ b/benchmarks/capacity/summary.py
@@ -1,6 +1,6 @@
-"""The last line of a run: one JSON object with the keys by which versions are compared.
+"""The last output line of a run: one JSON object whose keys are compared between versions.
 
-What was not measured is null.
+A figure that was not measured is null.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def summary_of(measured: Measured) -> dict[str, Any]:
-    """The object of the last line."""
+    """Return the JSON object of the last output line."""
     figures = measured.figures
     course = measured.notes.get(f"rollout_{PLAN.servers}")
-    in_force = course == DONE  # a change that is undone again never was in force everywhere
+    in_force = course == DONE  # a change that was rolled back was never in force everywhere
     return {
         "added_ms_p99": figures.get(f"added_ms_p99_{PLAN.tenants}_1x"),
         "added_echo_ms_p99": figures.get(f"added_echo_ms_p99_{PLAN.tenants}_1x"),
@@ -33,7 +33,7 @@
         "simulated_rollout_end": course,
         "changes_lost": None,
         "mixed_generations": None,
-        "older_after_newer": None,  # need faults over real processes
+        "older_after_newer": None,  # these three need fault injection in real processes
         "hollow_error": {
             "memory_per_tenant": figures.get("hollow_error_memory"),
             "change_time": figures.get("hollow_error_change"),
--- a/benchmarks/capacity/unbounded.py
+++ b/benchmarks/capacity/unbounded.py
@@ -1,6 +1,6 @@
-"""The server's own program with the bounds on texts and names lifted: only for sizes that it refuses today.
+"""Runs the server with raised limits on document size and on names, for sizes that it would otherwise reject.
 
-`python -m benchmarks.capacity.unbounded serve`. Everything else is the program as operators run it.
+`python -m benchmarks.capacity.unbounded serve`. All else is as operators run it.
 """
 
 from __future__ import annotations
