--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,7 +1,9 @@
-"""Slopes of what a server costs, against the users' plan.
+"""Measures how a server's costs grow with size, and compares them with the users' plan.
 
-`python -m benchmarks.capacity [--quick] [--seed N] [--out FILE]` measures; the last line is one JSON object.
-`python -m benchmarks.capacity --page` makes docs/CAPACITY.md from docs/capacity/measured.json and measures nothing.
+`python -m benchmarks.capacity [--quick] [--seed N] [--out FILE]` measures. The last line of
+the output is one JSON object.
+`python -m benchmarks.capacity --page` makes docs/CAPACITY.md from docs/capacity/measured.json without
+measuring.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 import uvloop
 
 from benchmarks.capacity.documents import ROOT
-from benchmarks.capacity.page import page
+from benchmarks.capacity.page import render_page
 from benchmarks.capacity.results import measured_from
 from benchmarks.capacity.run import FULL, QUICK, Run
 from benchmarks.capacity.summary import summary_of
@@ -25,8 +27,8 @@
 
 
 def page_text() -> str:
-    """The page as the data file and the template have it."""
-    return page(measured_from(json.loads(DATA.read_text())), TEMPLATE.read_text())
+    """Return the page made from the data file and the template."""
+    return render_page(measured_from(json.loads(DATA.read_text())), TEMPLATE.read_text())
 
 
 @click.command()
@@ -40,7 +42,7 @@
         PAGE.write_text(page_text())
         return
     run = Run(QUICK if quick else FULL, seed, lambda line: click.echo(line, file=sys.stderr))
-    measured = uvloop.run(run.all(quick))
+    measured = uvloop.run(run.measure_all(quick))
     if out is not None:
         out.write_text(json.dumps(measured.as_dict(), indent=1) + "\n")
     click.echo(json.dumps(summary_of(measured)))
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,6 +1,6 @@
-"""docs/CAPACITY.md out of the data file: the template's prose with tables whose every figure was measured.
+"""Renders docs/CAPACITY.md from the data file: the template's text with tables of measured figures.
 
-The prose is in page.md beside this module; this module makes the tables and figures. It does no I/O.
+The text is in page.md beside this module, which makes the tables and figures. It does no I/O.
 """
 
 from __future__ import annotations
@@ -14,29 +14,32 @@
 
 NOT_MEASURED = "not measured"
 HOUR_S = 3600.0
-HEAD = (
+TABLE_HEAD = (
     "| what | at the plan's size | slope | run | the plan's limit | over by |",
     "| --- | --- | --- | --- | --- | --- |",
 )
-SERIES_HEAD = ("| series | dimension | run | measured: size = value | exponent |", "| --- | --- | --- | --- | --- |")
+SERIES_TABLE_HEAD = (
+    "| series | dimension | run | measured: size = value | exponent |",
+    "| --- | --- | --- | --- | --- |",
+)
 
 
-def page(measured: Measured, template: str) -> str:
-    """The whole page."""
+def render_page(measured: Measured, template: str) -> str:
+    """Return the complete page."""
     rows = rows_of(measured)
     return Template(template).substitute(
-        _plan_words(),
-        run=_run(measured),
-        roles="\n\n".join(_role(role, rows) for role in ROLES),
+        _plan_placeholders(),
+        run=_run_description(measured),
+        roles="\n\n".join(_role_section(role, rows) for role in ROLES),
         series=_series_table(measured),
-        worst=_worst(rows),
-        hollow=_hollow(measured),
-        **_failure_words(measured),
+        worst=_worst_rows_text(rows),
+        hollow=_in_process_errors(measured),
+        **_failure_placeholders(measured),
     )
 
 
 def number(value: float | None) -> str:
-    """A figure with three digits that count, or that it was not measured."""
+    """Return a figure with three significant digits, or the text for a figure that was not measured."""
     if value is None:
         return NOT_MEASURED
     if abs(value) >= MIN_WITH_SEPARATORS:
@@ -44,7 +47,7 @@
     return f"{value:.3g}"
 
 
-def _plan_words() -> dict[str, str]:
+def _plan_placeholders() -> dict[str, str]:
     return {
         "servers": f"{PLAN.servers:,}",
         "callers": f"{PLAN.callers:,}",
@@ -58,7 +61,7 @@
     }
 
 
-def _run(measured: Measured) -> str:
+def _run_description(measured: Measured) -> str:
     run = measured.run
     kind = "`--quick`" if run["quick"] else "a full run"
     return (
@@ -67,44 +70,44 @@
     )
 
 
-def _role(role: str, rows: Sequence[Row]) -> str:
-    lines = [f"### {role}", "", *HEAD]
-    lines += [_line(row) for row in rows if row.role == role]
+def _role_section(role: str, rows: Sequence[Row]) -> str:
+    lines = [f"### {role}", "", *TABLE_HEAD]
+    lines += [_table_line(row) for row in rows if row.role == role]
     return "\n".join(lines)
 
 
-def _line(row: Row) -> str:
+def _table_line(row: Row) -> str:
     value = NOT_MEASURED if row.value is None else f"{number(row.value)} {row.unit}"
     limit = "" if row.limit is None else f"{number(row.limit)} {row.unit}"
     over = f"**{number(row.factor)}**" if row.over else ""
-    return f"| {row.name} | {value} | {_slope(row)} | {_how(row)} | {limit} | {over} |"
+    return f"| {row.name} | {value} | {_exponent_cell(row)} | {_method_cell(row)} | {limit} | {over} |"
 
 
-def _slope(row: Row) -> str:
+def _exponent_cell(row: Row) -> str:
     if row.series is None:
         return ""
     return exponent(row.series)
 
 
 def exponent(series: Series) -> str:
-    """The exponent of a series with its standard error."""
+    """Return the exponent of a series with its standard error."""
     if series.fit is None:
         return "no fit"
     return f"{series.dimension} ^ {series.fit.exponent:.2f} ± {series.fit.error:.2f}"
 
 
-def _how(row: Row) -> str:
-    words = []
+def _method_cell(row: Row) -> str:
+    parts = []
     if row.series is not None:
         at = "" if row.size is None or row.series.measured_at(row.size) else ", extrapolated"
-        words.append(f"`{row.series.name}`, {row.series.source}{at}")
-    if row.how:
-        words.append(row.how)
-    return "; ".join(words)
+        parts.append(f"`{row.series.name}`, {row.series.source}{at}")
+    if row.method:
+        parts.append(row.method)
+    return "; ".join(parts)
 
 
 def _series_table(measured: Measured) -> str:
-    lines = list(SERIES_HEAD)
+    lines = list(SERIES_TABLE_HEAD)
     for series in measured.series.values():
         points = ", ".join(f"{number(point.size)} = {number(point.value)}" for point in series.points)
         lines.append(
@@ -114,18 +117,16 @@
     return "\n".join(lines)
 
 
-def _hollow(measured: Measured) -> str:
+def _in_process_errors(measured: Measured) -> str:
     names = {"memory by tenant": "memory", "time of a change": "change", "memory of a full history": "history"}
-    return ", ".join(
-        f"{words} {_percent(measured.figures.get(f'hollow_error_{name}'))}" for words, name in names.items()
-    )
+    return ", ".join(f"{text} {_percent(measured.figures.get(f'hollow_error_{name}'))}" for text, name in names.items())
 
 
 def _percent(value: float | None) -> str:
     return NOT_MEASURED if value is None else f"{value:+.0%}"
 
 
-def _worst(rows: Sequence[Row]) -> str:
+def _worst_rows_text(rows: Sequence[Row]) -> str:
     cost, bound = worst_of(rows, COST), worst_of(rows, BOUND)
     parts = []
     if cost is not None:
@@ -157,7 +158,7 @@
     return " ".join(parts)
 
 
-def _failure_words(measured: Measured) -> dict[str, str]:
+def _failure_placeholders(measured: Measured) -> dict[str, str]:
     figures = measured.figures
     return {
         "interval": number(figures.get("report_interval_s")),
