--- a/benchmarks/cold_start.py
+++ b/benchmarks/cold_start.py
@@ -1,9 +1,14 @@
-"""`python -m benchmarks.cold_start [--quick]`: hundreds of servers that start cold, and what that costs others.
+"""Measures the effect of hundreds of servers that start cold on the services around them.
 
-One run for each version (this one, 494928a, and that with full jitter laid over it, the textbook's way), on the same
-seeds and services: all start at once with every service cold; then a calm span; then one in which a quarter of the
-reports is lost; then half of them are killed and start cold beside the half that serves. Figures come from what the
-services around the servers saw. The last line is one JSON object.
+`python -m benchmarks.cold_start [--quick]` runs three versions with the same seeds and services: this one, revision
+494928a, and that revision with the textbook's full-jitter backoff added. Each run has four phases:
+
+1. All servers start at once, with every service cold.
+2. A calm phase.
+3. A quarter of the load reports is lost.
+4. Half of the servers are killed, and start cold while the other half serves.
+
+Figures come from what the services around the servers observed. The last line of the output is one JSON object.
 """
 
 from __future__ import annotations
@@ -19,18 +24,18 @@
 import click
 import uvloop
 
-from benchmarks.cold_start_run import FULL_SPANS, QUICK_SPANS, Spans, bound_ms, plan_for, run_version
-from benchmarks.cold_sums import measure_sums
+from benchmarks.cold_start_run import FULL_DURATIONS, QUICK_DURATIONS, PhaseDurations, bound_ms, plan_for, run_version
+from benchmarks.cold_sums import measure_combined_load
 from benchmarks.start_cost import bootstrap_interval, measure_start_costs
 from benchmarks.versions import RevisionNotFoundError, copy_package, unpack_revision
 
-BEFORE = "494928a"
+BEFORE_REVISION = "494928a"
 VERSIONS = ("this", "before", "jitter")
 QUICK_SIZES = [40]
 FULL_SIZES = [50, 100, 200, 300]
 QUICK_PAIRS = 8
 FULL_PAIRS = 30
-MAX_LAG_MS = 250.0  # with clients later than this the services fell behind, and the run does not count
+MAX_LAG_MS = 250.0  # a run with clients further behind their schedule is invalid: the fake services fell behind
 MEAN_FIGURES = (
     "directory_peak_over_mean",
     "records_over_survivable_ms",
@@ -55,21 +60,21 @@
 
 @dataclass
 class Benchmark:
-    """What is measured, and where.
+    """The versions to measure, and the figures of their runs.
 
     Attributes:
         folder: Where runs write their files.
-        cwds: By version, the folder of its package.
-        versions: What is run, in turn.
-        kept: Every run's figures.
+        package_folders: By version, the folder of its package.
+        versions: The versions to run, in turn.
+        all_figures: The figures of every run.
     """
 
     folder: Path
-    cwds: dict[str, Path]
+    package_folders: dict[str, Path]
     versions: list[str]
     seed: int
-    spans: Spans
-    kept: list[Figures] = field(default_factory=list)
+    durations: PhaseDurations
+    all_figures: list[Figures] = field(default_factory=list)
 
     def run_size(self, size: int, repeats: int) -> Runs:
         """Run every version at this size, in turn."""
@@ -83,14 +88,14 @@
         folder = self.folder / f"{version}-{size}-{repeat}"
         folder.mkdir()
         seed = self.seed + repeat
-        figures = uvloop.run(run_version(version, folder, size, seed, self.spans, self.cwds[version]))
-        self.kept.append({"version": version, "size": size, "seed": seed, **figures})
+        figures = uvloop.run(run_version(version, folder, size, seed, self.durations, self.package_folders[version]))
+        self.all_figures.append({"version": version, "size": size, "seed": seed, **figures})
         click.echo(f"{size:4} {version:7} {json.dumps(figures)}")
         return figures
 
 
 def summarize(runs: Runs, bound: float) -> Figures:
-    """Return the figures of all runs: this version's, and the others' with their names."""
+    """Return the figures over all runs. Those of other versions have the version's name as a suffix."""
     summary: Figures = {}
     for version, version_runs in runs.items():
         suffix = "" if version == "this" else f"_{version}"
@@ -120,8 +125,8 @@
     return None if math.isinf(figure) else round(figure, 3)
 
 
-def _start_cost_figures(cwds: dict[str, Path], quick: bool, seed: int) -> Figures:
-    folders = {name: cwds[name] for name in ("this", "before")}
+def _start_cost_figures(package_folders: dict[str, Path], quick: bool, seed: int) -> Figures:
+    folders = {name: package_folders[name] for name in ("this", "before")}
     costs = uvloop.run(measure_start_costs(folders, QUICK_PAIRS if quick else FULL_PAIRS))
     return {
         "start_cpu_ms": round(costs.median_ms["this"], 1),
@@ -131,16 +136,16 @@
     }
 
 
-def _prepare(folder: Path, versions: list[str], seed: int, spans: Spans) -> Benchmark:
-    """Unpack the versions; without this repository's history this one is measured alone."""
+def _prepare(folder: Path, versions: list[str], seed: int, durations: PhaseDurations) -> Benchmark:
+    """Unpack the versions. Without the repository's history only this version is measured."""
     old = folder / "before"
     try:
-        unpack_revision(BEFORE, old)
+        unpack_revision(BEFORE_REVISION, old)
     except RevisionNotFoundError as error:
         click.echo(f"measured alone: {error}", err=True)
         versions = ["this"]
-    cwds = {"this": copy_package(folder / "this"), "before": old, "jitter": old}
-    return Benchmark(folder, cwds, versions, seed, spans)
+    package_folders = {"this": copy_package(folder / "this"), "before": old, "jitter": old}
+    return Benchmark(folder, package_folders, versions, seed, durations)
 
 
 def _parse_sizes(sizes: str, quick: bool) -> list[int]:
@@ -164,22 +169,22 @@
 @click.option("--out", type=click.Path(path_type=Path), default=None, help="Write every run's figures here, as JSON.")
 def main(quick: bool, seed: int, sizes: str, versions: str, repeats: int, sums: str, out: Path | None) -> None:
     """Every version at every size, in turn."""
-    spans = QUICK_SPANS if quick else FULL_SPANS
+    durations = QUICK_DURATIONS if quick else FULL_DURATIONS
     sizes_to_run = _parse_sizes(sizes, quick)
     with tempfile.TemporaryDirectory(prefix="cold") as folder:
-        benchmark = _prepare(Path(folder), versions.split(","), seed, spans)
+        benchmark = _prepare(Path(folder), versions.split(","), seed, durations)
         result: Figures = {"benchmark": "cold_start", "seed": seed, "quick": quick}
         for size in sizes_to_run:
             runs = benchmark.run_size(size, repeats)
             figures = summarize(runs, bound_ms(plan_for(size, seed)))
             result |= {"processes": size, **figures} if len(sizes_to_run) == 1 else {f"at_{size}": figures}
         if sums:
-            sums_sizes = [int(size) for size in sums.split(",")]
-            result |= uvloop.run(measure_sums(lambda size: plan_for(size, seed), sums_sizes, quick))
+            combined_load_sizes = [int(size) for size in sums.split(",")]
+            result |= uvloop.run(measure_combined_load(lambda size: plan_for(size, seed), combined_load_sizes, quick))
         if "before" in benchmark.versions:
-            result |= _start_cost_figures(benchmark.cwds, quick, seed)
+            result |= _start_cost_figures(benchmark.package_folders, quick, seed)
     if out is not None:
-        out.write_text(json.dumps(benchmark.kept, indent=1))
+        out.write_text(json.dumps(benchmark.all_figures, indent=1))
     click.echo(json.dumps(result))
 
 
--- a/benchmarks/cold_start_run.py
+++ b/benchmarks/cold_start_run.py
@@ -1,4 +1,4 @@
-"""One run of the cold-start benchmark: one version of the program, its fleet and its figures."""
+"""One run of the cold-start benchmark: a fleet of one version of the server, and its figures."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from nickelslip.emulator.shared_processor import warm_up_fraction
 from nickelslip.emulator.worker_pool import WorkProfile
 
-LOAD_FRACTION = 0.55  # of what the warm machines can do
-SERVING_LOAD_FRACTION = 0.8  # the same, of those that serve while the others start
+LOAD_FRACTION = 0.55  # of the capacity of the warm machines
+SERVING_LOAD_FRACTION = 0.8  # of the capacity of the servers that serve while the others start
 MACHINE_WARM_UP_MS = 5000.0
 MACHINE_INITIAL_SPEED = 0.25
 COLD_CALLS_FACTOR = 2.5
 CALL_MS = 60.0
 SURVIVABLE_CALLS_PER_SERVER = 0.9
 SLOTS_PER_SERVER = 0.6
-NAIVE_SHARE_FACTOR = 2.0  # servers' shares of calls add up to so many times what the records service survives
+CALL_SHARE_FACTOR = 2.0  # sum of the servers' shares of calls, over the calls that the records service survives
 LOST_REPORTS_FRACTION = 0.25
 SERVERS_PER_HOST = 40
 MAX_HOSTS = 4
@@ -38,58 +38,58 @@
 MIN_BALANCERS = 4
 BIN_MS = 100.0
 SEARCH_STEP_MS = 100.0
-WINDOW_MS = 1000.0  # in which earned and asked weight are compared
+WINDOW_MS = 1000.0  # window in which served and requested priority weight are compared
 BOUND_STEP_MS = 10
 MAX_BOUND_MS = 60_000
 MS_PER_MINUTE = 60_000
-FULL_STRENGTH_FRACTION = 0.95
+FULL_SERVICE_FRACTION = 0.95
 SERVING_MARGIN_MS = 500
 BEFORE_RESTART_MS = 1500
 STARTUP_MARGIN_MS = 1000
-SHOWN_VIOLATIONS = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 CommandLine = Callable[[str], Sequence[str]]
 
 
 @dataclass(frozen=True)
-class Spans:
-    """How long each part of a run lasts, in seconds.
+class PhaseDurations:
+    """How long each phase of a run lasts, in seconds.
 
     Attributes:
-        rise: From the start of all servers.
-        calm: Nothing is done.
-        lossy: A part of the reports is lost.
-        settle: After half of the servers was killed.
-        half: After that half was started again.
+        rise: After the start of all servers.
+        calm: Without any intervention.
+        lossy: While a part of the load reports is lost.
+        settle: After half of the servers were killed.
+        restart: After that half was started again.
     """
 
     rise: float
     calm: float
     lossy: float
     settle: float
-    half: float
+    restart: float
 
 
-QUICK_SPANS = Spans(7.0, 3.0, 3.0, 4.5, 4.0)
-FULL_SPANS = Spans(15.0, 60.0, 30.0, 8.0, 15.0)
+QUICK_DURATIONS = PhaseDurations(7.0, 3.0, 3.0, 4.5, 4.0)
+FULL_DURATIONS = PhaseDurations(15.0, 60.0, 30.0, 8.0, 15.0)
 
 
 @dataclass(frozen=True)
-class Moments:
-    """When each part of a run began, in milliseconds."""
+class PhaseTimes:
+    """When each phase of a run began or ended, in milliseconds."""
 
     begin: float
     calm: float
     lossy: float
     lossy_end: float
-    half: float
+    restart: float
     end: float
 
 
 def plan_for(size: int, seed: int) -> Plan:
     """Return a fleet whose machines and records service start cold.
 
-    The records service survives half of what the servers' shares of calls add up to.
+    The servers' shares of calls add up to twice what the records service survives.
     """
     classes = {
         "read": ClassTraffic(0.6, 1.0, 1600.0, 2600.0, True),
@@ -121,7 +121,7 @@
         work=work,
         machine=machine,
         service=service,
-        call_share=NAIVE_SHARE_FACTOR * survivable_calls / size,
+        call_share=CALL_SHARE_FACTOR * survivable_calls / size,
         cold=True,
         relayed=False,
         read_list=True,
@@ -131,16 +131,16 @@
 
 
 def machine_capacity(classes: dict[str, ClassTraffic], work: WorkProfile, machine: MachineProfile) -> float:
-    """Return the requests per second that one warm machine can do."""
+    """Return the requests per second that one warm machine can process."""
     mean_ms = sum(traffic.request_fraction * work.work_ms[name] for name, traffic in classes.items())
     return MS_PER_S * machine.cores * machine.speed / mean_ms
 
 
-def bound_ms(plan: Plan, fraction: float = FULL_STRENGTH_FRACTION) -> float:
-    """Return the earliest time at which this fraction of the demand can be served after everything started cold.
+def bound_ms(plan: Plan, fraction: float = FULL_SERVICE_FRACTION) -> float:
+    """Return the earliest time after a cold start of everything at which this fraction of the demand can be served.
 
-    Two things bound it: the machines' warm-up, and the rate at which the records service answers the calls that are
-    not optional.
+    It is bounded by the warm-up of the machines and by the rate at which the records service answers the calls that
+    cannot be skipped.
     """
     service = plan.service
     calls_per_request = sum(
@@ -159,19 +159,21 @@
     return math.inf
 
 
-def time_to_strength(history: History, begin_ms: float, end_ms: float, fraction: float) -> float:
-    """Return after how long the weight earned is this fraction of the weight asked for; infinity if never.
+def time_to_served_fraction(history: History, begin_ms: float, end_ms: float, fraction: float) -> float:
+    """Return how long the fleet takes to serve this fraction of the requested priority weight; infinity if never.
 
-    It is the middle of the first second in which that holds. Answers count when they come: what was asked early and
-    queued until the fleet could do it shows no earlier strength.
+    It is the middle of the first second in which that holds. An answer counts at the time at which it arrives, so a
+    request that was queued until the fleet had capacity does not make the fleet appear ready earlier.
     """
-    earned = [(answer.event.at_ms, answer.priority_weight) for answer in fleet_properties.earned_answers(history)]
-    asked = [(event.at_ms, event.detail[1]) for event in history.of(Kind.CLIENT_REQUESTED)]
+    earned_weights = [
+        (answer.event.at_ms, answer.priority_weight) for answer in fleet_properties.earned_answers(history)
+    ]
+    requested_weights = [(event.at_ms, event.detail[1]) for event in history.of(Kind.CLIENT_REQUESTED)]
     at_ms = begin_ms
     while at_ms <= end_ms - WINDOW_MS:
-        earned_weight = _weight_within_window(earned, at_ms)
-        asked_weight = _weight_within_window(asked, at_ms)
-        if asked_weight and earned_weight >= fraction * asked_weight:
+        earned_weight = _weight_within_window(earned_weights, at_ms)
+        requested_weight = _weight_within_window(requested_weights, at_ms)
+        if requested_weight and earned_weight >= fraction * requested_weight:
             return at_ms - begin_ms + WINDOW_MS / 2
         at_ms += SEARCH_STEP_MS
     return math.inf
@@ -182,7 +184,10 @@
 
 
 def command_line_of(version: str) -> CommandLine:
-    """Return what gives the command line of a version, as its deploy file has it."""
+    """Return a function that returns the command line of a version for a configuration file.
+
+    It is the command line of that version's deploy file.
+    """
     if version == "this":
         start = ["deploy/serve.py"]
     elif version == "before":
@@ -192,84 +197,86 @@
     return lambda config: [sys.executable, "-B", *start, "serve", "--config", config]
 
 
-async def run_version(version: str, folder: Path, size: int, seed: int, spans: Spans, cwd: Path) -> dict[str, Any]:
-    """Run one version and return its figures, by their words in the benchmark's output."""
+async def run_version(
+    version: str, folder: Path, size: int, seed: int, durations: PhaseDurations, cwd: Path
+) -> dict[str, Any]:
+    """Run one version and return its figures by their keys in the benchmark's output."""
     plan = plan_for(size, seed)
     fleet = Fleet(plan, folder, command_line_of(version), cwd)
     async with fleet:
-        moments = await _run_parts(fleet, spans)
+        times = await _run_phases(fleet, durations)
         await fleet.stop_requests()
         service_figures = await fleet.figures()
     return {
-        **_strength_figures(fleet.history, moments),
-        **_directory_figures(fleet, moments),
-        **_load_figures(fleet, moments, service_figures),
+        **_served_figures(fleet.history, times),
+        **_directory_figures(fleet, times),
+        **_load_figures(fleet, times, service_figures),
     }
 
 
-async def _run_parts(fleet: Fleet, spans: Spans) -> Moments:
+async def _run_phases(fleet: Fleet, durations: PhaseDurations) -> PhaseTimes:
     plan = fleet.plan
     clock = fleet.history.clock
     await fleet.set_request_rate()
     begin = clock()
     await fleet.start()
-    await asyncio.sleep(spans.rise)
+    await asyncio.sleep(durations.rise)
     calm = clock()
-    await asyncio.sleep(spans.calm)
+    await asyncio.sleep(durations.calm)
     lossy = clock()
     await fleet.run_command("directory_loses", part=LOST_REPORTS_FRACTION)
-    await asyncio.sleep(spans.lossy)
+    await asyncio.sleep(durations.lossy)
     lossy_end = clock()
     await fleet.run_command("directory_loses", part=0.0)
     staying = fleet.names[::2]
     restarting = fleet.names[1::2]
     await fleet.kill(*restarting)
     await fleet.set_request_rate(plan.rate / LOAD_FRACTION * SERVING_LOAD_FRACTION * len(staying) / plan.size)
-    await asyncio.sleep(spans.settle)
-    half = clock()
+    await asyncio.sleep(durations.settle)
+    restart = clock()
     await fleet.start(*restarting)
-    await asyncio.sleep(spans.half)
-    return Moments(begin, calm, lossy, lossy_end, half, clock())
+    await asyncio.sleep(durations.restart)
+    return PhaseTimes(begin, calm, lossy, lossy_end, restart, clock())
 
 
-def _strength_figures(history: History, moments: Moments) -> dict[str, Any]:
-    before_half = served_fraction(history, moments.half - BEFORE_RESTART_MS, moments.half)
-    during_half = served_fraction(history, moments.half, moments.end - SERVING_MARGIN_MS)
+def _served_figures(history: History, times: PhaseTimes) -> dict[str, Any]:
+    served_before = served_fraction(history, times.restart - BEFORE_RESTART_MS, times.restart)
+    served_during = served_fraction(history, times.restart, times.end - SERVING_MARGIN_MS)
     return {
-        "to_95_ms": time_to_strength(history, moments.begin, moments.lossy, FULL_STRENGTH_FRACTION),
-        "share_calm": served_fraction(history, moments.calm, moments.lossy),
-        "share_rise": served_fraction(history, moments.begin, moments.calm),
-        "serving_loss": max(0.0, 1 - during_half / before_half) if before_half else 1.0,
-        "serving_before": before_half,
-        "serving_during": during_half,
+        "to_95_ms": time_to_served_fraction(history, times.begin, times.lossy, FULL_SERVICE_FRACTION),
+        "share_calm": served_fraction(history, times.calm, times.lossy),
+        "share_rise": served_fraction(history, times.begin, times.calm),
+        "serving_loss": max(0.0, 1 - served_during / served_before) if served_before else 1.0,
+        "serving_before": served_before,
+        "serving_during": served_during,
     }
 
 
-def _directory_figures(fleet: Fleet, moments: Moments) -> dict[str, Any]:
+def _directory_figures(fleet: Fleet, times: PhaseTimes) -> dict[str, Any]:
     history = fleet.history
     reports = history.of(Kind.REPORTED)
-    first_ms = min((event.at_ms for event in reports), default=moments.begin)
-    calm_count = sum(moments.calm <= event.at_ms < moments.lossy for event in reports)
-    calm_ms = moments.lossy - moments.calm
+    first_report_ms = min((event.at_ms for event in reports), default=times.begin)
+    calm_count = sum(times.calm <= event.at_ms < times.lossy for event in reports)
+    calm_ms = times.lossy - times.calm
     return {
         "directory_peak_over_mean": fleet_properties.peak_over_mean(
-            reports, BIN_MS, first_ms + STARTUP_MARGIN_MS, moments.lossy
+            reports, BIN_MS, first_report_ms + STARTUP_MARGIN_MS, times.lossy
         ),
         "reports_a_minute": MS_PER_MINUTE * calm_count / calm_ms / fleet.plan.size,
-        "falsely_unlisted": fleet_properties.unlisted_count(history, fleet.names, moments.lossy, moments.lossy_end),
-        "unlisted_calm": fleet_properties.unlisted_count(history, fleet.names, moments.calm, moments.lossy),
+        "falsely_unlisted": fleet_properties.unlisted_count(history, fleet.names, times.lossy, times.lossy_end),
+        "unlisted_calm": fleet_properties.unlisted_count(history, fleet.names, times.calm, times.lossy),
     }
 
 
-def _load_figures(fleet: Fleet, moments: Moments, service_figures: dict[str, float]) -> dict[str, Any]:
+def _load_figures(fleet: Fleet, times: PhaseTimes, service_figures: dict[str, float]) -> dict[str, Any]:
     history = fleet.history
     size = fleet.plan.size
-    linked = history.of(Kind.POOL_LINKED)
+    pool_linked = history.of(Kind.POOL_LINKED)
     pool_connections = [event for event in history.of(Kind.CONNECTED) if event.detail == "pool"]
-    connections_per_s = fleet_properties.counts_per_bin(pool_connections, MS_PER_S, moments.begin, moments.end)
+    connections_per_s = fleet_properties.counts_per_bin(pool_connections, MS_PER_S, times.begin, times.end)
     all_linked_ms = math.inf
-    if len(linked) >= size:
-        all_linked_ms = max(event.at_ms for event in linked[:size]) - moments.begin
+    if len(pool_linked) >= size:
+        all_linked_ms = max(event.at_ms for event in pool_linked[:size]) - times.begin
     violations = fleet.violations(scripted_falls=True)
     return {
         "records_over_survivable_ms": service_figures["records_over_ms"],
@@ -279,7 +286,7 @@
         "linked_ms": all_linked_ms,
         "falls_over": sum("machine" in line for line in checkers.falls(history)),
         "rules_broken": len(violations),
-        "broken": violations[:SHOWN_VIOLATIONS],
+        "broken": violations[:MAX_SHOWN_VIOLATIONS],
         "left_behind": len(fleet.remaining_pids()),
         "callers_lag_ms": service_figures["lag_ms"],
     }
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -1,9 +1,13 @@
-"""What many send together to something cold, and how soon many servers that restart together are ready.
+"""Measures the combined load on cold services, and how soon servers that restart together are ready.
 
-Two measurements of `benchmarks.cold_start`, both of this version alone. Sums: all of a fleet starts cold beside a cold
-records service, then half of it is killed and starts cold beside the half that serves; over the budget of each cold
-service twice its root and two more are put down to chance. Restarts: all start together, again and again, with the
-directory down, worker pools late and every core of this machine busy with something else.
+Both are part of `benchmarks.cold_start` and measure this version only.
+
+Combined load: a whole fleet starts cold with a cold records service. Then half of the fleet is killed and starts cold
+while the other half serves. Load above the budget of a cold service, by up to twice the root of the budget and two
+more, is attributed to chance.
+
+Restarts: all servers start together, several times, with the directory down, worker pools delayed and every core of
+this machine kept busy by other processes.
 """
 
 from __future__ import annotations
@@ -31,7 +35,7 @@
 from nickelslip.server import resp
 
 BALANCER_COUNT = 30
-POOL_DELAY_MS = 3000.0  # by which worker pools come up after their servers
+POOL_DELAY_MS = 3000.0  # how long after its server a worker pool starts
 MIN_RATE_PER_S = 1e-6
 CHECK_INTERVAL_S = 0.02
 MAX_READY_S = 30.0
@@ -46,10 +50,10 @@
 
 
 def asked_excess(history: History, machine: MachineProfile, mean_ms: float) -> float:
-    """Return the worst excess of what all load balancers together wrote to one server that was warming up.
+    """Return the worst excess of requests that all load balancers together wrote to one server during its warm-up.
 
-    The budget in any overload window is what the server can finish in that time and what it may have on its cores, both
-    by its speed in the middle of it.
+    The budget in an overload window is the number of requests that the server can finish in it, plus the number that it
+    may have on its cores. Both follow from the server's speed in the middle of the window.
     """
     starts_ms: dict[str, list[float]] = defaultdict(list)
     writes_ms: dict[str, list[float]] = defaultdict(list)
@@ -77,15 +81,15 @@
     for begin_ms in writes_ms[first:last]:
         age_ms = begin_ms - start_ms + window_ms / 2
         warm = warm_up_fraction(age_ms, machine.initial_speed_fraction, machine.warm_up_ms)
-        finished = machine.cores * machine.speed * warm * window_ms / mean_ms
-        on_cores = machine.cores * (1 + (machine.overload_per_core - 1) * warm)
+        finishable = machine.cores * machine.speed * warm * window_ms / mean_ms
+        max_on_cores = machine.cores * (1 + (machine.overload_per_core - 1) * warm)
         written = bisect_left(writes_ms, begin_ms + window_ms) - bisect_left(writes_ms, begin_ms)
-        worst = max(worst, excess(written, finished + on_cores))
+        worst = max(worst, excess(written, finishable + max_on_cores))
     return worst
 
 
-async def fleet_sums(plan: Plan, folder: Path, rise_s: float, half_s: float) -> dict[str, Any]:
-    """Return one fleet's worst excesses; up to 1 is chance."""
+async def combined_load_excesses(plan: Plan, folder: Path, rise_s: float, half_s: float) -> dict[str, Any]:
+    """Run one fleet and return its worst excesses. One of up to 1 is attributed to chance."""
     plan = replace(plan, balancers=BALANCER_COUNT)
     async with Fleet(plan, folder) as fleet:
         await fleet.set_request_rate()
@@ -111,7 +115,7 @@
 
 
 async def time_to_ready_s(address: tuple[str, int], clock: Callable[[], float], since_ms: float) -> float:
-    """Return how long it takes until a server at this address answers a check well; 30 s at most."""
+    """Return how long it takes until the server at this address reports that it is healthy; 30 s at most."""
     while (elapsed_s := (clock() - since_ms) / MS_PER_S) < MAX_READY_S:
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(MAX_READY_S - elapsed_s):
@@ -147,11 +151,11 @@
 
 
 async def _keep_cores_busy(stack: AsyncExitStack) -> None:
-    """Start a busy process for each core, which ends with the stack."""
+    """Start a busy process for each core. The processes are killed when the stack closes."""
     for _ in range(os.cpu_count() or 1):
-        busy = await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
-        stack.push_async_callback(busy.wait)
-        stack.callback(busy.kill)
+        busy_process = await asyncio.create_subprocess_exec(sys.executable, "-c", "while True: pass")
+        stack.push_async_callback(busy_process.wait)
+        stack.callback(busy_process.kill)
 
 
 async def _restart_all(fleet: Fleet) -> list[float]:
@@ -167,14 +171,16 @@
     return [time_s for time_s in times_s if time_s is not None]
 
 
-async def measure_sums(plan_for: Callable[[int], Plan], sizes: list[int], quick: bool) -> dict[str, Any]:
-    """Return the excesses by size, and the restarts of the largest size."""
+async def measure_combined_load(plan_for: Callable[[int], Plan], sizes: list[int], quick: bool) -> dict[str, Any]:
+    """Return the excesses at each size, and the restart times at the largest size."""
     results: dict[str, Any] = {}
     with tempfile.TemporaryDirectory(prefix="sums") as folder:
         for size in sizes:
             size_folder = Path(folder) / str(size)
             size_folder.mkdir()
-            figures = await fleet_sums(plan_for(size), size_folder, *(QUICK_SPANS_S if quick else FULL_SPANS_S))
+            figures = await combined_load_excesses(
+                plan_for(size), size_folder, *(QUICK_SPANS_S if quick else FULL_SPANS_S)
+            )
             results |= {f"{name}_{size}": round(figure, 3) for name, figure in figures.items()}
         restarts_folder = Path(folder) / "restarts"
         restarts_folder.mkdir()
