--- a/benchmarks/jittered.py
+++ b/benchmarks/jittered.py
@@ -1,8 +1,8 @@
-"""The textbook's cold start, laid over the version in the working directory: full-jitter backoff and nothing else.
+"""Runs the version in the working directory with the textbook's full-jitter backoff added, as a baseline.
 
-The first report, and each new attempt of the worker pool's connection, come after a pause drawn from 0 to a bound that
-doubles. It is a baseline to measure against and belongs to no product. Run as a file from the folder of revision
-494928a, which it puts before all others.
+The first load report, and each new attempt to connect to the worker pool, wait for a pause drawn from 0 to a bound that
+doubles. This is for benchmarks only. Run it as a file from the folder of revision 494928a, which it puts first on the
+import path.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 import anyio
 
-# Names of revision 494928a, which stay when those of this one change.
+# Names as they are in revision 494928a. They do not follow renames in this version.
 DIRECTORY_MODULE = "nickelslip.server.directory"
 WORKERS_MODULE = "nickelslip.server.workers"
 MS_PER_S = 1000
@@ -25,7 +25,7 @@
 
 
 class JitteredAnyio:
-    """A module's view of anyio, with jittered pauses.
+    """Stands in for the `anyio` module, with jittered pauses.
 
     Args:
         generator: Draws the pauses.
@@ -35,7 +35,7 @@
         self._generator = generator
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep for a time drawn from 0 to twice the one asked for, 2 s at most."""
+        """Sleep for a time drawn from 0 to twice the given time, at most 2 s."""
         await anyio.sleep(self._generator.uniform(0, min(MAX_BACKOFF_MS / MS_PER_S, 2 * seconds)))
 
     def __getattr__(self, name: str) -> Any:
@@ -43,9 +43,9 @@
 
 
 def install_jitter() -> None:
-    """Draw the pauses of the worker pool's connection anew, and have the first report wait."""
+    """Add jitter to the pauses of the worker pool's connection, and delay the first load report."""
     sys.path.insert(0, os.getcwd())
-    generator = random.Random(" ".join(sys.argv))  # another for each server
+    generator = random.Random(" ".join(sys.argv))  # a different seed for each server
     directory_class = import_module(DIRECTORY_MODULE).Directory
     run_reports = directory_class.run
 
--- a/benchmarks/sample_statistics.py
+++ b/benchmarks/sample_statistics.py
@@ -1,7 +1,7 @@
 """Medians and percentiles of measured samples.
 
-The three percentiles differ only in the element that they pick. Each benchmark keeps the one by which its published
-figures were made, so that figures of different versions can be compared.
+The three percentiles differ only in the sample that they select. Each benchmark keeps the one that its published
+figures used, so that figures of different versions can be compared.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 def upper_median(samples: Sequence[float]) -> float:
-    """Return the middle sample.
+    """Return the middle sample, or 0.0 if there are no samples.
 
-    Of an even number of samples it is the larger of the two in the middle, unlike `statistics.median`, which returns
-    their mean. It is 0.0 of no samples.
+    For an even number of samples this is the larger of the two in the middle, unlike `statistics.median`, which returns
+    their mean.
     """
     if not samples:
         return 0.0
@@ -22,9 +22,9 @@
 
 
 def percentile_by_rounded_rank(samples: Sequence[float], fraction: float) -> float:
-    """Return the sample whose rank, counted from 1, is the rounded fraction of the count.
+    """Return the sample whose 1-based rank is the fraction of the count, rounded; 0.0 if there are no samples.
 
-    The samples may be in any order. It is 0.0 of no samples.
+    The samples may be in any order.
     """
     if not samples:
         return 0.0
@@ -33,18 +33,24 @@
 
 
 def percentile_by_ceiling_rank(ordered_samples: Sequence[float], fraction: float) -> float:
-    """Return the sample whose rank, counted from 1, is the fraction of the count rounded up.
+    """Return the sample whose 1-based rank is the fraction of the count, rounded up.
 
-    The samples have to be in ascending order. Raises IndexError of no samples.
+    The samples must be in ascending order.
+
+    Raises:
+        IndexError: There are no samples.
     """
     rank = ceil(fraction * len(ordered_samples))
     return ordered_samples[max(0, rank - 1)]
 
 
 def percentile_by_floor_index(ordered_samples: Sequence[float], fraction: float) -> float:
-    """Return the sample whose index, counted from 0, is the fraction of the count rounded down.
+    """Return the sample whose 0-based index is the fraction of the count, rounded down.
+
+    The samples must be in ascending order.
 
-    The samples have to be in ascending order. Raises IndexError of no samples.
+    Raises:
+        IndexError: There are no samples.
     """
     index = int(fraction * len(ordered_samples))
     return ordered_samples[min(len(ordered_samples) - 1, index)]
--- a/benchmarks/start_cost.py
+++ b/benchmarks/start_cost.py
@@ -1,4 +1,4 @@
-"""What the program's own start costs: CPU time to the first answer, of several versions pair by pair."""
+"""Measures the CPU time of a server from its start to its first answer, and compares versions in pairs."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 CONNECT_PAUSE_S = 0.005
 ANSWER_BYTES = 64
 BOOTSTRAP_SAMPLES = 400
-BOOTSTRAP_TAIL = 20  # samples left out at either end, for 90%
+BOOTSTRAP_TAIL = 20  # samples dropped at either end, for a 90% interval
 
 
 @dataclass(frozen=True)
 class StartCosts:
-    """What starts cost.
+    """The CPU time of starts.
 
     Attributes:
-        median_ms: By version.
-        ratios: This version's over the other's, for each pair, in rising order.
+        median_ms: The median, by version.
+        ratios: This version's time over the other's for each pair, ascending.
     """
 
     median_ms: dict[str, float]
@@ -36,7 +36,7 @@
 
 
 async def first_answer_cpu_ms(command_line: CommandLine, folder: Path, cwd: Path, number: int) -> float:
-    """Return the CPU time of one process from its start to its first answer to a check."""
+    """Return the CPU time of one process from its start to its first answer to a health check."""
     fleet = Fleet(Plan(size=1, relayed=False, seed=number), folder)
     async with fleet:
         await fleet.run_command("pool", "n1")
@@ -63,13 +63,13 @@
 
 
 async def measure_start_costs(folders: dict[str, Path], pair_count: int) -> StartCosts:
-    """Start the versions "this" and "before", from their folders, in turn."""
+    """Start the versions "this" and "before" in turn, each from its folder, and return their costs."""
     costs_ms: dict[str, list[float]] = {name: [] for name in folders}
     for number in range(pair_count + 1):
         for name, cwd in folders.items():
             with tempfile.TemporaryDirectory(prefix="start") as folder:
                 cpu_ms = await first_answer_cpu_ms(command_line_of(name), Path(folder), cwd, number)
-            if number:  # the first pair warms the disk's cache
+            if number:  # the first pair only warms the disk cache
                 costs_ms[name].append(cpu_ms)
     pairs = zip(costs_ms["this"], costs_ms["before"], strict=True)
     ratios = sorted(this_ms / before_ms for this_ms, before_ms in pairs)
@@ -77,7 +77,7 @@
 
 
 def bootstrap_interval(figures: list[float], seed: int) -> list[float]:
-    """Return the middle 90% of the means of samples drawn from these figures."""
+    """Return the 90% bootstrap interval of the mean of these figures."""
     generator = random.Random(seed)
     means = sorted(statistics.mean(generator.choices(figures, k=len(figures))) for _ in range(BOOTSTRAP_SAMPLES))
     return [round(means[BOOTSTRAP_TAIL], 3), round(means[-BOOTSTRAP_TAIL - 1], 3)]
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,7 +1,7 @@
-"""Earlier versions of the program, to measure beside this one.
+"""Prepares this version of the package and earlier ones for comparison.
 
-They come from this repository's own history. Nothing is fetched: a checkout without its history cannot be measured
-against.
+Earlier versions come from the repository's local history. Nothing is fetched, so a checkout without its history has no
+version to compare with.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def unpack_revision(revision: str, folder: Path) -> Path:
-    """Unpack the package of a revision into a folder and return that.
+    """Unpack the package of a revision into a folder, compile it, and return the folder.
 
     Raises:
         RevisionNotFoundError: The revision is not in this checkout.
@@ -37,7 +37,7 @@
 
 
 def copy_package(folder: Path) -> Path:
-    """Copy the package as it stands here into a folder, compile it as the platform's build does, and return that."""
+    """Copy the current package into a folder, compile it as the platform's build does, and return the folder."""
     shutil.copytree(ROOT / "deploy", folder / "deploy")
     shutil.copytree(ROOT / PACKAGE, folder / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
     _compile(folder)
