--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,10 +1,10 @@
-"""Configuration pushed under load: what is kept, what is rolled back and how soon, and what it costs.
+"""Measures configuration changes under load: which are kept, which are rolled back and how soon, and their cost.
 
-`python -m benchmarks.configuration [--quick] [--seed N]`. Several lanes run at once. Each has a server in a process of
-its own under `benchmarks.generation_watch`, with fake services on loopback and clients in open loop. It takes good
-changes, harmful ones, and harmless ones at the very start of a burst. A further process runs two servers side by side,
-with changes off and on, under the same traffic, and compares the processor time of a request. The last line is one
-JSON object.
+`python -m benchmarks.configuration [--quick] [--seed N]` runs several lanes at once. Each lane has a server in its own
+process under `benchmarks.generation_watch`, with fake services on loopback and clients in open loop. It receives good
+changes, harmful ones, and harmless ones at the very start of a burst. Another process runs two servers side by side
+under the same traffic, with changes off and on, and compares the processor time of a request. The last line of the
+output is one JSON object.
 """
 
 from __future__ import annotations
@@ -29,22 +29,23 @@
 from nickelslip.configuration.control_client import ControlClient, ServerUnreachableError
 
 WORK_MS = {"balance": 40.0, "payout": 20.0}
-CALLS = {"balance": True, "payout": False}
+MAKES_CALL = {"balance": True, "payout": False}
 CLASS_WEIGHTS = {"balance": 0.68, "payout": 0.32}
 TENANT_WEIGHTS = {"daugava": 0.4, "vecriga": 0.3, "jurmala": 0.2, "cesis": 0.1}
 LATENCY_OBJECTIVE_MS = {"balance": 600.0, "payout": 300.0}
 TIMEOUT_MS = {"balance": 2000.0, "payout": 1200.0}
 CORES = 4
-RATE_PER_S = 75.0  # 0.63 of what the cores can do
+RATE_PER_S = 75.0  # 0.63 of the capacity of the cores
 BURST_FACTOR = 2.0
 CALL_MS = 5.0
 START_TIMEOUT_S = 20
 QUICK_COSTS_S, FULL_COSTS_S = 12.0, 60.0
 CANARY_PERIOD_MS, MAX_CANARY_PERIOD_MS, BASELINE_MS = 5000.0, 6000.0, 8000.0
-AFTER_ROLL_BACK_S, AFTER_BURST_S = 2.5, 7.0  # after a change that was undone, and until the baseline is one again
-LANES, QUICK_ROUNDS, FULL_ROUNDS = 6, 2, 8
+# Pauses after a roll-back, and after a burst until the baseline is valid again.
+AFTER_ROLL_BACK_S, AFTER_BURST_S = 2.5, 7.0
+LANE_COUNT, QUICK_ROUND_COUNT, FULL_ROUND_COUNT = 6, 2, 8
 CPU_WORK_MS, CPU_RATE_PER_S, CPU_WINDOW_S = {"balance": 4.0, "payout": 2.0}, 250.0, 2.0
-KINDS = ("good", "harmful", "burst")
+CHANGE_KINDS = ("good", "harmful", "burst")
 
 
 def document(
@@ -85,7 +86,7 @@
                 "credit": {"balance": 1, "payout": 3}[name],
                 "quoted_ms": LATENCY_OBJECTIVE_MS[name],
                 "abandon_ms": TIMEOUT_MS[name],
-                "calls": CALLS[name],
+                "calls": MAKES_CALL[name],
                 "repeat": {"balance": "replayable", "payout": "single-use"}[name],
             }
             for name in CLASS_WEIGHTS
@@ -102,24 +103,24 @@
     }
 
 
-def change_of(kind: str, chance: random.Random) -> dict[str, Any]:
-    """Return a document with a change of this kind; its values are drawn."""
-    part = chance.uniform(1.0, 1.1)
+def random_change(kind: str, generator: random.Random) -> dict[str, Any]:
+    """Return a partial document with a change of this kind, with random values."""
+    part = generator.uniform(1.0, 1.1)
     if kind != "harmful":
-        return chance.choice(
+        return generator.choice(
             [
                 {"grades": {"payout": {"credit": 3 * part}}},
                 {"grades": {"balance": {"quoted_ms": 600 * part}}},
                 {"machine": {"answer_slack_ms": 60 * part}},
                 {"calls": {"share": 6 * part}},
-                {"machine": {"running_most": chance.randint(20, 31)}},
+                {"machine": {"running_most": generator.randint(20, 31)}},
                 {"customers": {"cesis": {"share_per_s": 20 * part}}},
                 {"callers": {"idle_ms": 15000 * part}},
                 {"machine": {"memory_kb": 40000 * part}},
                 {"grades": {"payout": {"reserve": 1, "credit": 3 * part}}},
             ]
         )
-    return chance.choice(
+    return generator.choice(
         [
             {"machine": {"running_most": 1, "answer_slack_ms": 60 * part}, "grades": {"payout": {"reserve": 0}}},
             {"grades": {"payout": {"quoted_ms": 5 * part}}},
@@ -131,14 +132,14 @@
 
 
 class Server:
-    """A server in a process of its own, with its fake services and clients in this one.
+    """A server in its own process, with its fake services and clients in this one.
 
     Args:
-        folder: For its files; it is made.
-        seed: For the server, the worker pool and the clients.
-        changes: Whether it takes changes.
+        folder: The folder for its files. It is created.
+        seed: Seeds the server, the worker pool and the clients.
+        changes: Whether it accepts changes.
         work_ms: Mean work of a run, by traffic class.
-        rate_per_s: Of requests.
+        rate_per_s: Rate of requests.
         watched: Whether generations are compared at each event.
     """
 
@@ -154,14 +155,17 @@
         self.report = folder / "report.json"
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start all of it, and wait until the server has its worker pool."""
+        """Start the fake services, the server and the clients.
+
+        The clients start 0.5 s after the server listens, so that it can connect to its worker pool first.
+        """
         self.folder.mkdir(parents=True)
-        self.worker_pool = FakeWorkerPool(tasks, CORES, self._work_ms, CALLS, self._seed)
+        self.worker_pool = FakeWorkerPool(tasks, CORES, self._work_ms, MAKES_CALL, self._seed)
         pool = await serve_on_free_port(tasks, self.worker_pool.serve)
         service = await serve_on_free_port(tasks, partial(serve_records, call_ms=CALL_MS))
         udp = await anyio.create_udp_socket(local_host="127.0.0.1")
         directory = udp.extra(anyio.abc.SocketAttribute.local_port)
-        tasks.start_soon(self._hear, udp)
+        tasks.start_soon(self._discard_reports, udp)
         probe = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = probe.extra(anyio.abc.SocketAttribute.local_port)
         await probe.aclose()
@@ -174,12 +178,12 @@
             stderr=self.log,
             env={**os.environ, "WATCHED": "yes" if self._watched else "no"},
         )
-        await wait_until_it_listens(port)
+        await wait_until_listening(port)
         await anyio.sleep(0.5)
         self.clients = OpenLoopClients(port, self.traffic, self._seed, lambda: time.time() * 1000)
         tasks.start_soon(self.clients.run, tasks)
 
-    async def _hear(self, udp: anyio.abc.UDPSocket) -> None:
+    async def _discard_reports(self, udp: anyio.abc.UDPSocket) -> None:
         async for _ in udp:
             pass
 
@@ -188,7 +192,7 @@
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0])
 
     async def stop(self) -> dict[str, Any]:
-        """Wait for open requests, stop the server, and return the counts of the lane."""
+        """Wait for the open requests, stop the server, and return the counts of the lane."""
         self.clients.is_stopping = True
         await anyio.sleep(max(TIMEOUT_MS.values()) / 1000 + 0.5)
         self.process.send_signal(signal.SIGTERM)
@@ -198,7 +202,7 @@
         if self.process.poll() is None:
             self.process.kill()
         self.log.close()
-        seen = json.loads(self.report.read_text()) if self.report.exists() else {}
+        watch_report = json.loads(self.report.read_text()) if self.report.exists() else {}
         self._print_unanswered()
         requests = self.traffic.requests.values()
         return {
@@ -209,7 +213,7 @@
             "satisfied": sum(request.answer_word == "done" for request in requests),
             "lag_ms": self.traffic.max_lag_ms,
             "clean": self.process.returncode == 0,
-            **{f"seen_{name}": value for name, value in seen.items()},
+            **{f"seen_{name}": value for name, value in watch_report.items()},
         }
 
     def _print_unanswered(self) -> None:
@@ -227,10 +231,11 @@
         return sum(count > 1 and classes[request_id] == "payout" for request_id, count in starts)
 
 
-async def wait_until_it_listens(port: int) -> None:
-    """Return when a connection to a loopback port succeeds.
+async def wait_until_listening(port: int) -> None:
+    """Wait until a connection to a loopback port succeeds.
 
-    Raises TimeoutError after START_TIMEOUT_S.
+    Raises:
+        TimeoutError: None succeeded within START_TIMEOUT_S.
     """
     with anyio.fail_after(START_TIMEOUT_S):
         while True:
@@ -241,14 +246,14 @@
                 await anyio.sleep(0.05)
 
 
-async def push(server: Server, kind: str, chance: random.Random) -> dict[str, Any]:
-    """Push one change, wait until it is confirmed or rolled back, and return what came of it."""
+async def push(server: Server, kind: str, generator: random.Random) -> dict[str, Any]:
+    """Push one change, wait until it is confirmed or rolled back, and return the outcome."""
     if kind == "burst":
         server.traffic.rate_per_s = RATE_PER_S * BURST_FACTOR
-    change = change_of(kind, chance)
+    change = random_change(kind, generator)
     async with ControlClient(str(server.folder / "control")) as control:
         reply = await control.ask("apply", document=change, origin=kind)
-        begun = time.monotonic()
+        started_at_s = time.monotonic()
         if not reply["ok"]:
             return {"kind": kind, "end": "denied", "why": reply["text"], "change": change}
         digest = reply["change"]["digest"]
@@ -257,26 +262,26 @@
             if status["digest"] != digest or status["step"] == "confirmed":
                 break
             await anyio.sleep(0.05)
-    kept = status["digest"] == digest
-    elapsed_ms = (time.monotonic() - begun) * 1000
+    is_kept = status["digest"] == digest
+    elapsed_ms = (time.monotonic() - started_at_s) * 1000
     if kind == "burst":
         server.traffic.rate_per_s = RATE_PER_S
         await anyio.sleep(AFTER_BURST_S)
-    elif not kept:
+    elif not is_kept:
         await anyio.sleep(AFTER_ROLL_BACK_S)
     return {
         "kind": kind,
-        "end": "kept" if kept else "undone",
+        "end": "kept" if is_kept else "undone",
         "ms": elapsed_ms,
         "change": change,
         "verdict": status["verdict"],
-        "apply_us": status["apply_us"][-1 if kept else -2 :][0],
+        "apply_us": status["apply_us"][-1 if is_kept else -2 :][0],
     }
 
 
 async def lane(seed: int, rounds: int) -> dict[str, Any]:
-    """Run one server with all changes that are pushed to it."""
-    chance = random.Random(seed)
+    """Run one server, push all changes of the lane to it, and return the results."""
+    generator = random.Random(seed)
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
             server = Server(Path(folder) / "n", seed, True, WORK_MS, RATE_PER_S, True)
@@ -284,38 +289,42 @@
             await anyio.sleep(BASELINE_MS / 1000 + 1)
             pushes = []
             for number in range(rounds):
-                kinds = chance.sample(KINDS, len(KINDS)) if rounds > QUICK_ROUNDS else chance.sample(KINDS[:2], 2)
+                kinds = (
+                    generator.sample(CHANGE_KINDS, len(CHANGE_KINDS))
+                    if rounds > QUICK_ROUND_COUNT
+                    else generator.sample(CHANGE_KINDS[:2], 2)
+                )
                 for kind in kinds:
-                    pushes.append(await push(server, kind, chance))
-                if rounds <= QUICK_ROUNDS and number == rounds - 1:
-                    pushes.append(await push(server, "burst", chance))
+                    pushes.append(await push(server, kind, generator))
+                if rounds <= QUICK_ROUND_COUNT and number == rounds - 1:
+                    pushes.append(await push(server, "burst", generator))
             end = await server.stop()
             tasks.cancel_scope.cancel()
     return {"pushes": pushes, **end}
 
 
 async def costs(seed: int, seconds: float) -> dict[str, Any]:
-    """Run two servers under the same traffic, and compare the processor time of a request, changes off and on."""
+    """Run two servers, with changes off and on, under the same traffic; compare the processor time of a request."""
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
-            pair = [
+            servers = [
                 Server(Path(folder) / name, seed, on, CPU_WORK_MS, CPU_RATE_PER_S, False)
                 for name, on in (("off", False), ("on", True))
             ]
-            for server in pair:
+            for server in servers:
                 await server.start(tasks)
             await anyio.sleep(3.0)
             figures: list[tuple[float, float]] = []
-            until = time.monotonic() + seconds
-            while time.monotonic() < until:
-                marks = [(server.cpu_ns(), len(server.traffic.requests)) for server in pair]
+            end_at_s = time.monotonic() + seconds
+            while time.monotonic() < end_at_s:
+                starting_points = [(server.cpu_ns(), len(server.traffic.requests)) for server in servers]
                 await anyio.sleep(CPU_WINDOW_S)
-                each = [
-                    (server.cpu_ns() - mark[0]) / 1000 / max(1, len(server.traffic.requests) - mark[1])
-                    for server, mark in zip(pair, marks, strict=True)
+                window_us = [
+                    (server.cpu_ns() - start_point[0]) / 1000 / max(1, len(server.traffic.requests) - start_point[1])
+                    for server, start_point in zip(servers, starting_points, strict=True)
                 ]
-                figures.append((each[0], each[1]))
-            ends = [await server.stop() for server in pair]
+                figures.append((window_us[0], window_us[1]))
+            ends = [await server.stop() for server in servers]
             tasks.cancel_scope.cancel()
     ratios = sorted(on / off for off, on in figures)
     return {
@@ -330,9 +339,9 @@
 
 
 def summary_of(lanes: list[dict[str, Any]], cost: dict[str, Any]) -> dict[str, Any]:
-    """Return the figures of the whole run."""
+    """Return the figures of the whole run, by their keys in the output."""
     pushes = [push for lane in lanes for push in lane["pushes"]]
-    by_kind = {kind: [push for push in pushes if push["kind"] == kind] for kind in KINDS}
+    by_kind = {kind: [push for push in pushes if push["kind"] == kind] for kind in CHANGE_KINDS}
     harmless = by_kind["good"] + by_kind["burst"]
     roll_back_ms = [push["ms"] for push in by_kind["harmful"] if push["end"] == "undone"]
     apply_us = [push["apply_us"] for push in pushes if "apply_us" in push]
@@ -368,7 +377,7 @@
 @click.command()
 @click.option("--quick", is_flag=True, help="Under a minute.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--lanes", default=LANES, show_default=True)
+@click.option("--lanes", default=LANE_COUNT, show_default=True)
 @click.option("--part", type=click.Choice(("all", "lane", "costs")), default="all", hidden=True)
 @click.option("--rounds", default=0, hidden=True)
 def main(quick: bool, seed: int, lanes: int, part: str, rounds: int) -> None:
@@ -376,7 +385,7 @@
     if part != "all":
         click.echo(json.dumps(run_part(part, quick, seed, rounds)))
         return
-    rounds = rounds or (QUICK_ROUNDS if quick else FULL_ROUNDS)
+    rounds = rounds or (QUICK_ROUND_COUNT if quick else FULL_ROUND_COUNT)
     processes = [start_part("lane", 1000 * seed + number, rounds, quick) for number in range(lanes)]
     cost_seed = 1000 * seed + lanes
     if quick:
@@ -393,7 +402,11 @@
 
 
 def run_part(part: str, quick: bool, seed: int, rounds: int) -> dict[str, Any]:
-    """Run one lane or the pair for the costs in this process; the program ends if its server does not answer."""
+    """Run one lane or the cost comparison in this process.
+
+    Raises:
+        SystemExit: The server does not answer.
+    """
     try:
         if part == "lane":
             return anyio.run(lane, seed, rounds)
@@ -403,7 +416,7 @@
 
 
 def start_part(part: str, seed: int, rounds: int, quick: bool) -> subprocess.Popen[bytes]:
-    """Start one lane or the pair for the costs in a process of its own."""
+    """Start one lane or the cost comparison in its own process."""
     arguments = ["--part", part, "--seed", str(seed), "--rounds", str(rounds)]
     if quick:
         arguments.append("--quick")
@@ -411,13 +424,13 @@
 
 
 def result_of(process: subprocess.Popen[bytes]) -> Any:
-    """Wait for a process of `start_part`, and return the JSON object in its last line."""
+    """Wait for a process of `start_part`, and return the JSON object in the last line of its output."""
     output, _ = process.communicate()
     return json.loads(output.splitlines()[-1])
 
 
 def print_pushes(number: int, result: dict[str, Any]) -> None:
-    """Print a line for each change that was pushed in a lane."""
+    """Print a line for each change that was pushed to a lane's server."""
     for pushed in result["pushes"]:
         reason = (pushed.get("verdict") or {}).get("reason", pushed.get("why", ""))
         click.echo(
--- a/benchmarks/fake_services.py
+++ b/benchmarks/fake_services.py
@@ -1,8 +1,8 @@
-"""Fakes of all that a server talks to: worker pool, records service and load balancers.
+"""Fakes of the services around a server: worker pool, records service and load balancers.
 
-They speak the published protocols on loopback addresses and count what they see. Runs wait for a free core in the order
-in which they were started. The clients send in open loop: a request is sent at its drawn time, whatever became of those
-before it, so that a slow server gets no fewer of them.
+They use the published protocols on loopback addresses and count requests, runs and answers. Runs wait for a free core
+in the order in which they were started. The clients send in open loop: each request is sent at its drawn time, whether
+or not earlier ones were answered, so a slow server does not receive fewer requests.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 from nickelslip.server import resp
 
 REQUEST_BODY = b"from the till"
-FEW_REQUESTS_PER_CONNECTION = 4  # with so many open, another connection is opened
+FEW_REQUESTS_PER_CONNECTION = 4  # from this many open requests on, another connection is opened
 MAX_REQUESTS_PER_CONNECTION = 32
 MAX_KEPT_NOTIFICATIONS = 4000
 CALL_REPLY_TIMEOUT_S = 3.0
 CALL_BODY = b"look up"
-HALF_OF_WORK = 0.5  # a run calls when it has done this fraction
+CALL_AT_WORK_FRACTION = 0.5  # fraction of its work after which a run makes its call
 
 
 class FakeWorkerPool:
-    """A worker pool with some cores.
+    """A worker pool with a fixed number of cores.
 
-    Each run works once, calls once if its traffic class does, and works the rest.
+    Each run does half of its work, makes a call if its traffic class does, and does the other half.
 
     Args:
-        tasks: Where runs are started.
+        tasks: The task group in which runs are started.
         cores: How many runs work at once.
         work_ms: Mean work of a run, by traffic class.
-        calls: Whether a run calls, by traffic class.
-        seed: For the work of each run.
+        calls: Whether a run makes a call, by traffic class.
+        seed: Seeds the work of each run.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
         self._last_number = 0
         self._stream: anyio.abc.SocketStream | None = None
         self._replies: dict[str, anyio.Event] = {}
-        self._stopped: set[str] = set()
+        self._suspended: set[str] = set()
         self._send_lock = anyio.Lock()
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Execute the commands of one link; notifications go to the link that was bound last."""
+        """Execute the commands of one connection. Notifications go to the connection that was bound last."""
         buffer = b""
         with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
             async for data in stream:
@@ -77,15 +77,17 @@
         if operation == "bind":
             await self._bind(command, stream)
         elif operation == "poll":
-            busy = (self.cores - self._free_cores.value) / self.cores
-            await self._send(op="polled", tag=command["tag"], values=[busy, busy * self.cores, 0.2, 8])
+            busy_fraction = (self.cores - self._free_cores.value) / self.cores
+            await self._send(
+                op="polled", tag=command["tag"], values=[busy_fraction, busy_fraction * self.cores, 0.2, 8]
+            )
         elif operation == "spawn":
             traffic_class = str(command["class"])
             self.starts[request_id] += 1
             self.classes[request_id] = traffic_class
             self._tasks.start_soon(self._run, request_id, traffic_class, b64decode(str(command["body"])))
         elif operation == "suspend":
-            self._stopped.add(request_id)
+            self._suspended.add(request_id)
         elif operation in ("supply", "pass") and request_id in self._replies:
             self._replies[request_id].set()
 
@@ -111,12 +113,12 @@
         started_at = time.monotonic()
         work_ms = self._work_ms[traffic_class] * self._random.uniform(0.7, 1.3)
         for _ in range(2):
-            await self._work(request_id, work_ms * HALF_OF_WORK)
-            if self._calls[traffic_class] and request_id not in self._stopped and request_id not in self._replies:
+            await self._work(request_id, work_ms * CALL_AT_WORK_FRACTION)
+            if self._calls[traffic_class] and request_id not in self._suspended and request_id not in self._replies:
                 await self._call(request_id)
         self._replies.pop(request_id, None)
-        end = "broken_off" if request_id in self._stopped else "fine"
-        self._stopped.discard(request_id)
+        end = "broken_off" if request_id in self._suspended else "fine"
+        self._suspended.discard(request_id)
         await self._notify(
             op="finished",
             id=request_id,
@@ -127,7 +129,7 @@
 
     async def _work(self, request_id: str, work_ms: float) -> None:
         async with self._free_cores:
-            if request_id not in self._stopped:
+            if request_id not in self._suspended:
                 await anyio.sleep(work_ms / 1000)
 
     async def _call(self, request_id: str) -> None:
@@ -138,15 +140,15 @@
 
 
 async def serve_records(stream: anyio.abc.SocketStream, call_ms: float) -> None:
-    """Answer each call of a records service after `call_ms`; calls on one connection are answered in turn."""
+    """Answer each call as a records service, after `call_ms`. Calls on one connection are answered in turn."""
     buffer = b""
     with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
         async for data in stream:
             buffer += data
             while b"\r\n" in buffer:
                 line, _, rest = buffer.partition(b"\r\n")
-                verb, call_id, *more = line.split(b" ")
-                size = int(more[1]) + 2 if more else 0
+                verb, call_id, *arguments = line.split(b" ")
+                size = int(arguments[1]) + 2 if arguments else 0
                 if len(rest) < size:
                     break
                 buffer = rest[size:]
@@ -157,7 +159,7 @@
 
 @dataclass
 class ClientRequest:
-    """A request as its client sees it; `sent_at_s` is a moment of the monotonic clock."""
+    """A request as its client sees it. `sent_at_s` is a time of the monotonic clock."""
 
     traffic_class: str
     tenant: str
@@ -169,7 +171,7 @@
 
 @dataclass
 class Traffic:
-    """What clients send, by traffic class and tenant, and what became of it; the rate may be changed at any time."""
+    """What clients send, by traffic class and tenant, and the results. The rate may be changed at any time."""
 
     rate_per_s: float
     class_weights: dict[str, float]
@@ -177,11 +179,11 @@
     timeout_ms: dict[str, float]
     max_connections: int = 8
     requests: dict[str, ClientRequest] = field(default_factory=dict)
-    max_lag_ms: float = 0.0  # of the clients themselves behind the drawn times
+    max_lag_ms: float = 0.0  # how far the clients themselves fell behind the drawn times
 
 
 class ClientConnection:
-    """A connection of the clients, and the ids of the requests that are open on it, by tag."""
+    """A client connection, with the ids of its open requests by tag."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
         self.stream = stream
@@ -192,13 +194,13 @@
 class OpenLoopClients:
     """Clients that send in open loop over a few connections.
 
-    Connections are opened when they are needed, as load balancers do: the server closes those that are idle.
+    Connections are opened on demand, as load balancers do, since the server closes idle ones.
 
     Args:
-        port: The server's, on loopback.
-        traffic: What is sent; results are kept in it.
-        seed: For times, classes, tenants and ids.
-        now_ms: The clock by which arrivals are stamped.
+        port: The server's port on loopback.
+        traffic: What to send. Results are stored in it.
+        seed: Seeds the times, classes, tenants and ids.
+        now_ms: Clock for the timestamps of requests.
     """
 
     def __init__(self, port: int, traffic: Traffic, seed: int, now_ms: Callable[[], float]) -> None:
@@ -224,15 +226,18 @@
             await self._send(tasks)
 
     async def _usable_connection(self, tasks: anyio.abc.TaskGroup) -> ClientConnection | None:
-        """Return the connection with the fewest open requests, a new one if those are many, None if all are full."""
+        """Return the connection with the fewest open requests.
+
+        Opens a new one if that one has many open requests. Returns None if all connections are full.
+        """
         usable = [connection for connection in self._connections if not connection.is_closing]
-        emptiest = min(usable, key=lambda connection: len(connection.open_requests), default=None)
-        if emptiest is None:
+        least_loaded = min(usable, key=lambda connection: len(connection.open_requests), default=None)
+        if least_loaded is None:
             return await self._connect(tasks)
-        open_count = len(emptiest.open_requests)
+        open_count = len(least_loaded.open_requests)
         if open_count >= FEW_REQUESTS_PER_CONNECTION and len(self._connections) < self.traffic.max_connections:
             return await self._connect(tasks)
-        return emptiest if open_count < MAX_REQUESTS_PER_CONNECTION else None
+        return least_loaded if open_count < MAX_REQUESTS_PER_CONNECTION else None
 
     async def _connect(self, tasks: anyio.abc.TaskGroup) -> ClientConnection:
         stream = await anyio.connect_tcp("127.0.0.1", self._port)
@@ -249,7 +254,7 @@
         request_id = f"{self._random.getrandbits(64):016x}"
         connection = await self._usable_connection(tasks)
         if connection is None:
-            return  # as in a load balancer without a free place, the request reaches no server
+            return  # like a load balancer whose connections are all full: the request reaches no server
         self._last_tag += 1
         tag = self._last_tag
         traffic.requests[request_id] = ClientRequest(traffic_class, tenant, time.monotonic())
@@ -273,12 +278,12 @@
                 start = 0
                 while (parsed := resp.parse(buffer, start, len(buffer))) is not None:
                     (tag, word, *_), start = parsed
-                    self._answered(connection, tag, word)
+                    self._record_answer(connection, tag, word)
                 del buffer[:start]
         self._connections.remove(connection)
         await connection.stream.aclose()
 
-    def _answered(self, connection: ClientConnection, tag: bytes, word: bytes) -> None:
+    def _record_answer(self, connection: ClientConnection, tag: bytes, word: bytes) -> None:
         if tag == b"0":
             connection.is_closing = True
             return
--- a/benchmarks/generation_watch.py
+++ b/benchmarks/generation_watch.py
@@ -1,10 +1,10 @@
-"""A server whose configurations are compared at each event.
+"""Runs a server and checks at each event that a request stays with one configuration.
 
-`python -m benchmarks.generation_watch REPORT serve --config FILE` runs it.
+`python -m benchmarks.generation_watch REPORT serve --config FILE` starts the server.
 
-At every event of every request, the class statistics by which the controller holds it and the generation that the
-server keeps for it have to be of the same configuration, from its reading to its end. What was seen is written to
-REPORT when the server ends. What the server does is not changed.
+The controller keeps class statistics for each request, and the server keeps a generation. From the time a request is
+read until it ends, both must belong to the same configuration at every event. The counts are written to REPORT when the
+server exits. The behaviour of the server is not changed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class GenerationWatch:
-    """Counts requests that were seen under more than one configuration.
+    """Finds requests that were processed under more than one configuration.
 
     Configurations are compared by the identity of their settings.
     """
@@ -30,30 +30,30 @@
     def __init__(self) -> None:
         self.adoption_count = 0
         self.event_count = 0
-        self.events_across_generations = 0  # of requests of an earlier generation than the one in force
-        self.first_seen: dict[int, tuple[int, int]] = {}  # settings of the controller and of the server, by request
+        self.events_across_generations = 0  # of requests whose generation is no longer in force
+        self.first_seen: dict[int, tuple[int, int]] = {}  # ids of the controller's and server's settings, by request
         self.mixed_requests: set[int] = set()
-        self._kept: list[object] = []  # so that no identity is used again
+        self._references: list[object] = []  # keeps the objects alive, so that no id is reused
         self._settings_of_statistics: dict[int, int] = {}
 
     def record_adoption(self, controller: AdmissionController, settings: object) -> None:
-        """Note by which settings the controller's class statistics were made."""
+        """Record the settings for which the controller's class statistics were created."""
         self.adoption_count += 1
-        self._kept.append(settings)
+        self._references.append(settings)
         for statistics in controller._classes.values():
-            self._kept.append(statistics)
+            self._references.append(statistics)
             self._settings_of_statistics[id(statistics)] = id(settings)
 
     def record_event(self, executor: DecisionExecutor, number: int) -> None:
-        """Compare the configurations under which the controller and the server hold a request."""
+        """Compare the configurations that the controller and the server keep for a request."""
         request = executor.context.requests.get(number)
         controller = executor.controller
         tracked = controller._requests.by_id.get(number) if controller is not None else None
         if request is None or tracked is None:
             return
         self.event_count += 1
-        seen = (self._settings_of_statistics[id(tracked.statistics)], id(request.generation.settings))
-        if seen[0] != seen[1] or self.first_seen.setdefault(number, seen) != seen:
+        observed = (self._settings_of_statistics[id(tracked.statistics)], id(request.generation.settings))
+        if observed[0] != observed[1] or self.first_seen.setdefault(number, observed) != observed:
             self.mixed_requests.add(number)
         self.events_across_generations += request.generation is not executor.context.generation
 
@@ -69,9 +69,9 @@
 
 
 def request_number(arguments: Sequence[object]) -> int | None:
-    """Return the number of the request that a method of the controller is called for.
+    """Return the number of the request for which a controller method is called, or None if it is for no request.
 
-    The first argument is the number itself, or an object that has it as `id`. None if the call is for no request.
+    The first argument is the number itself, or an object with the number as `id`.
     """
     if not arguments:
         return None
@@ -81,7 +81,7 @@
 
 
 def install(watch: GenerationWatch) -> None:
-    """Have the watch called at each adoption of settings, and before and after each decision about a request."""
+    """Call the watch at each adoption of settings, and before and after each decision about a request."""
     adopt = AdmissionController._adopt
     decide = DecisionExecutor.decide
 
@@ -102,7 +102,7 @@
 
 
 def main() -> None:
-    """Serve, and write the report at the end."""
+    """Run the server, and write the report when it exits."""
     report, *arguments = sys.argv[1:]
     watch = GenerationWatch()
     if os.environ.get("WATCHED") != "no":
