--- a/deploy/serve.py
+++ b/deploy/serve.py
@@ -1,6 +1,7 @@
-"""The program as the platform starts it: the command nickelslip, found without the search by which -m finds a module.
+"""Runs the nickelslip command as the platform starts it.
 
-Owns nothing but the place of the package beside this folder. Every start is spared 3 ms of CPU by it.
+The package is imported from the parent of this folder, without the module search of `python -m`. That saves 3 ms of CPU
+at each start.
 """
 
 import sys
