--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
-"""Something to try a server with: small fakes of all that it talks to, and a load balancer with a few requests.
+"""A demonstration: small fakes of the services around a server, and a load balancer that sends a few requests.
 
-Start the server (`make run`), then this program from the same folder; the order does not matter. First one
-request is sent alone, then a handful at once, more than two cores can answer within the latency objective. It measures
-nothing. It imports nothing of nickelslip, so that it shows the whole of each protocol and runs from any folder.
+Start the server (`make run`) and this program from the same folder, in either order. The load balancer sends a single
+request first. Then it sends a burst, more than two cores can answer within the latency objective. Nothing is measured.
+The program imports nothing from nickelslip, so it shows each protocol in full and runs from any folder.
 """
 
 import json
@@ -16,18 +16,18 @@
 import anyio.abc
 
 CORES = 2
-RUN_S = 0.15
-TOGETHER = 12
+WORK_S = 0.15
+BURST_SIZE = 12
 
 
 def address(text: str) -> tuple[str, int]:
-    """Return host and port of `host:port`."""
+    """Split `host:port` into host and port."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
 class WorkerPool:
-    """A worker pool with two cores, on which each run calls the records once and turns its body round."""
+    """A worker pool with two cores, in which each run calls the records service once and reverses its body."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.tasks = tasks
@@ -37,7 +37,7 @@
         self.send_lock = anyio.Lock()
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Execute the commands of one link."""
+        """Execute the commands of one connection."""
         buffer = b""
         async for data in stream:
             *lines, buffer = (buffer + data).split(b"\n")
@@ -56,7 +56,7 @@
         """Run one request, with one call to the records service."""
         started_at = time.monotonic()
         async with self.cores:
-            await anyio.sleep(RUN_S)
+            await anyio.sleep(WORK_S)
         self.replies[request_id] = anyio.Event()
         await self.send(stream, op="blocked", id=request_id, body=b64encode(b"look up").decode())
         await self.replies[request_id].wait()
@@ -71,22 +71,22 @@
         )
 
     async def send(self, stream: anyio.abc.SocketStream, **notification: object) -> None:
-        """Send a notification; numbered if the server has to have it."""
+        """Send a notification, with a sequence number if it must not be lost."""
         async with self.send_lock:
             if notification["op"] in ("blocked", "finished"):
                 notification["seq"] = next(self.numbers)
             await stream.send(json.dumps(notification).encode() + b"\n")
 
 
-async def records(stream: anyio.abc.SocketStream) -> None:
-    """A records service that answers every call with a word."""
+async def serve_records(stream: anyio.abc.SocketStream) -> None:
+    """Serve as a records service that answers every call with the same word."""
     buffer = b""
     async for data in stream:
         buffer += data
         while b"\r\n" in buffer:
             line, _, rest = buffer.partition(b"\r\n")
-            verb, request_id, *more = line.split(b" ")
-            size = int(more[1]) + 2 if more else 0
+            verb, request_id, *arguments = line.split(b" ")
+            size = int(arguments[1]) + 2 if arguments else 0
             if len(rest) < size:
                 break
             buffer = rest[size:]
@@ -94,13 +94,13 @@
                 await stream.send(b"%b DONE 5\r\nfound\r\n" % request_id)
 
 
-async def directory(sock: anyio.abc.UDPSocket) -> None:
-    """A directory that shows the first report, and each change."""
-    last = b""
+async def print_reports(sock: anyio.abc.UDPSocket) -> None:
+    """Serve as a directory that prints the first load report, and each one that differs from the one before."""
+    last_report = b""
     async for report, _ in sock:
-        if report != last:
+        if report != last_report:
             print(f"directory: {report.decode()}")
-            last = report
+            last_report = report
 
 
 def message(*parts: bytes) -> bytes:
@@ -108,7 +108,7 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-async def answer(stream: anyio.abc.ByteReceiveStream) -> list[bytes]:
+async def read_answer(stream: anyio.abc.ByteReceiveStream) -> list[bytes]:
     """Read the parts of one answer."""
 
     async def line() -> bytes:
@@ -127,30 +127,30 @@
     return parts
 
 
-async def ask(stream: anyio.abc.SocketStream, tag: int, traffic_class: bytes) -> None:
+async def send_request(stream: anyio.abc.SocketStream, tag: int, traffic_class: bytes) -> None:
     """Send one request."""
     now = int(time.time() * 1000)
     fields = f"req={time.time_ns() % 2**64:016x},ts={now},via=1,owner=acme,timeout=2000,need=24.5,level=0.5"
     await stream.send(message(b"ASK", b"%d" % tag, traffic_class, fields.encode(), b"stressed"))
 
 
-async def show(stream: anyio.abc.SocketStream) -> None:
+async def print_answer(stream: anyio.abc.SocketStream) -> None:
     """Print the next answer."""
-    tag, word, fields, body = await answer(stream)
-    what = {b"done": "satisfied", b"later": "dismissed"}.get(word, "forfeited")
-    print(f"  {tag.decode():>2} {what} {body.decode()} {fields.decode()}")
+    tag, word, fields, body = await read_answer(stream)
+    outcome = {b"done": "satisfied", b"later": "dismissed"}.get(word, "forfeited")
+    print(f"  {tag.decode():>2} {outcome} {body.decode()} {fields.decode()}")
 
 
 async def main(path: Path) -> None:
-    """Start the fakes, then send requests as a load balancer."""
+    """Start the fake services, then send requests as a load balancer."""
     config = json.loads(path.read_text())
     async with anyio.create_task_group() as tasks:
-        for name, handler in (("pool", WorkerPool(tasks).serve), ("records", records)):
+        for name, handler in (("pool", WorkerPool(tasks).serve), ("records", serve_records)):
             host, port = address(config[name])
             listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
             tasks.start_soon(listener.serve, handler)
         host, port = address(config["lookup"])
-        tasks.start_soon(directory, await anyio.create_udp_socket(local_host=host, local_port=port))
+        tasks.start_soon(print_reports, await anyio.create_udp_socket(local_host=host, local_port=port))
         stream = None
         while stream is None:
             try:
@@ -160,13 +160,13 @@
                 await anyio.sleep(1)
         await anyio.sleep(1)
         print("one alone:")
-        await ask(stream, 1, b"payout")
-        await show(stream)
-        print(f"{TOGETHER} at once:")
-        for tag in range(2, 2 + TOGETHER):
-            await ask(stream, tag, b"balance")
-        for _ in range(TOGETHER):
-            await show(stream)
+        await send_request(stream, 1, b"payout")
+        await print_answer(stream)
+        print(f"{BURST_SIZE} at once:")
+        for tag in range(2, 2 + BURST_SIZE):
+            await send_request(stream, tag, b"balance")
+        for _ in range(BURST_SIZE):
+            await print_answer(stream)
         await stream.aclose()
         tasks.cancel_scope.cancel()
 
