--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -57,9 +57,7 @@
 class Measured:
     """All measurements of one run."""
 
-    run: dict[str, Any] = field(
-        default_factory=dict
-    )  # the run's settings and environment, such as seed, quick and Python version
+    run: dict[str, Any] = field(default_factory=dict)  # settings and environment: seed, quick, versions
     series: dict[str, Series] = field(default_factory=dict)
     figures: dict[str, float | None] = field(default_factory=dict)  # single figures, None where not measured
     notes: dict[str, str] = field(default_factory=dict)  # texts, such as the final status of a roll-out
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -48,24 +48,24 @@
 CHANGE_KINDS = ("good", "harmful", "burst")
 
 
-def document(
-    folder: Path, pool: int, service: int, directory: int, listen_on: int, seed: int, changes: bool
+def document_for(
+    folder: Path, pool_port: int, records_port: int, directory_port: int, listen_port: int, seed: int, changes: bool
 ) -> dict[str, Any]:
     """Return the configuration of a server as a document."""
     return {
         "version": 1,
         "node": {
             "name": "n1",
-            "listen": f"127.0.0.1:{listen_on}",
+            "listen": f"127.0.0.1:{listen_port}",
             "seed": f"{seed:x}",
             "stop_ms": 3200,
             "memory_mb": 128,
             "descriptors": 256,
         },
         "peers": {
-            "pool": f"127.0.0.1:{pool}",
-            "records": f"127.0.0.1:{service}",
-            "directory": f"127.0.0.1:{directory}",
+            "pool": f"127.0.0.1:{pool_port}",
+            "records": f"127.0.0.1:{records_port}",
+            "directory": f"127.0.0.1:{directory_port}",
         },
         "machine": {
             "cores": CORES,
@@ -152,7 +152,7 @@
         self._work_ms = work_ms
         self._watched = watched
         self.traffic = Traffic(rate_per_s, CLASS_WEIGHTS, TENANT_WEIGHTS, TIMEOUT_MS)
-        self.report = folder / "report.json"
+        self.report_path = folder / "report.json"
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
         """Start the fake services, the server and the clients.
@@ -161,19 +161,31 @@
         """
         self.folder.mkdir(parents=True)
         self.worker_pool = FakeWorkerPool(tasks, CORES, self._work_ms, MAKES_CALL, self._seed)
-        pool = await serve_on_free_port(tasks, self.worker_pool.serve)
-        service = await serve_on_free_port(tasks, partial(serve_records, call_ms=CALL_MS))
+        pool_port = await serve_on_free_port(tasks, self.worker_pool.serve)
+        records_port = await serve_on_free_port(tasks, partial(serve_records, call_ms=CALL_MS))
         udp = await anyio.create_udp_socket(local_host="127.0.0.1")
-        directory = udp.extra(anyio.abc.SocketAttribute.local_port)
+        directory_port = udp.extra(anyio.abc.SocketAttribute.local_port)
         tasks.start_soon(self._discard_reports, udp)
         probe = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = probe.extra(anyio.abc.SocketAttribute.local_port)
         await probe.aclose()
         config = self.folder / "config.json"
-        config.write_text(json.dumps(document(self.folder, pool, service, directory, port, self._seed, self._changes)))
+        config.write_text(
+            json.dumps(
+                document_for(self.folder, pool_port, records_port, directory_port, port, self._seed, self._changes)
+            )
+        )
         self.log = (self.folder / "log").open("wb")
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.generation_watch", str(self.report), "serve", "--config", str(config)],
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.generation_watch",
+                str(self.report_path),
+                "serve",
+                "--config",
+                str(config),
+            ],
             stdout=self.log,
             stderr=self.log,
             env={**os.environ, "WATCHED": "yes" if self._watched else "no"},
@@ -202,7 +214,7 @@
         if self.process.poll() is None:
             self.process.kill()
         self.log.close()
-        watch_report = json.loads(self.report.read_text()) if self.report.exists() else {}
+        watch_report = json.loads(self.report_path.read_text()) if self.report_path.exists() else {}
         self._print_unanswered()
         requests = self.traffic.requests.values()
         return {
@@ -246,7 +258,7 @@
                 await anyio.sleep(0.05)
 
 
-async def push(server: Server, kind: str, generator: random.Random) -> dict[str, Any]:
+async def push_change(server: Server, kind: str, generator: random.Random) -> dict[str, Any]:
     """Push one change, wait until it is confirmed or rolled back, and return the outcome."""
     if kind == "burst":
         server.traffic.rate_per_s = RATE_PER_S * BURST_FACTOR
@@ -279,7 +291,7 @@
     }
 
 
-async def lane(seed: int, rounds: int) -> dict[str, Any]:
+async def run_lane(seed: int, rounds: int) -> dict[str, Any]:
     """Run one server, push all changes of the lane to it, and return the results."""
     generator = random.Random(seed)
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
@@ -295,15 +307,15 @@
                     else generator.sample(CHANGE_KINDS[:2], 2)
                 )
                 for kind in kinds:
-                    pushes.append(await push(server, kind, generator))
+                    pushes.append(await push_change(server, kind, generator))
                 if rounds <= QUICK_ROUND_COUNT and number == rounds - 1:
-                    pushes.append(await push(server, "burst", generator))
+                    pushes.append(await push_change(server, "burst", generator))
             end = await server.stop()
             tasks.cancel_scope.cancel()
     return {"pushes": pushes, **end}
 
 
-async def costs(seed: int, seconds: float) -> dict[str, Any]:
+async def compare_costs(seed: int, seconds: float) -> dict[str, Any]:
     """Run two servers, with changes off and on, under the same traffic; compare the processor time of a request."""
     with tempfile.TemporaryDirectory(prefix="ns") as folder:
         async with anyio.create_task_group() as tasks:
@@ -409,8 +421,8 @@
     """
     try:
         if part == "lane":
-            return anyio.run(lane, seed, rounds)
-        return anyio.run(costs, seed, QUICK_COSTS_S if quick else FULL_COSTS_S)
+            return anyio.run(run_lane, seed, rounds)
+        return anyio.run(compare_costs, seed, QUICK_COSTS_S if quick else FULL_COSTS_S)
     except ServerUnreachableError as error:
         raise SystemExit(f"no answer: {error}") from None
 
