--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -4,7 +4,7 @@
 command may or may not have arrived. Once the next link has delivered all missed notifications, `resend_decision`
 decides for each such command whether it is sent again.
 
-A start that is not sent again then is only ever repeated by `take_runs_to_start_again`, when its client no longer
+A start that is not sent again then is only ever repeated by `pop_runs_to_restart`, when its client no longer
 waits for the answer and the worker pool cannot stop runs.
 """
 
@@ -53,7 +53,7 @@
 
 def _is_start_repeatable(request: Request) -> bool:
     """Whether a start may be repeated: no notification of the run has arrived, and a second run does no harm."""
-    return not request.heard_since_last_command and _is_idempotent(request)
+    return not request.has_notification_since_last_command and _is_idempotent(request)
 
 
 def _is_blocked_at_call(request: Request, call_seq: int) -> bool:
@@ -72,7 +72,11 @@
     idempotent run without a notification since then is run again instead. Otherwise it would stay blocked at its call
     and occupy its slot until its deadline.
     """
-    return request.state is RequestState.RUNNING and not request.heard_since_last_command and _is_idempotent(request)
+    return (
+        request.state is RequestState.RUNNING
+        and not request.has_notification_since_last_command
+        and _is_idempotent(request)
+    )
 
 
 def _is_idempotent(request: Request) -> bool:
@@ -141,7 +145,7 @@
         )
         self._unconfirmed.clear()
 
-    def await_catch_up(self, tag: str) -> None:
+    def expect_catch_up(self, tag: str) -> None:
         """Treat the answer to the query with this tag as proof that all missed notifications are read."""
         self._catch_up_tag = tag
 
@@ -173,11 +177,11 @@
                 commands.append(StopRun(command.request))
         return commands
 
-    def run_observed(self, request: Request) -> None:
+    def run_confirmed(self, request: Request) -> None:
         """Record that a notification of this run has arrived, which confirms the run."""
         self._unconfirmed_runs.pop(request, None)
 
-    def is_absent_after_stop(self, request: Request) -> bool:
+    def record_stop(self, request: Request) -> bool:
         """Count a stop of this run, and return whether the stops so far prove that the run does not exist.
 
         No notification ever arrives for a run whose start was lost. Without this check it would occupy its slot and
@@ -193,17 +197,17 @@
         del self._unconfirmed_runs[request]
         return True
 
-    def take_runs_to_start_again(self) -> list[Request]:
-        """Return the unconfirmed runs to start again because no client waits for them; each is returned only once.
+    def pop_runs_to_restart(self) -> list[Request]:
+        """Remove and return the unconfirmed runs to start again because no client waits for them.
 
-        This is for worker pools that cannot stop runs. By the protocol, such a start never begins a run: either the
-        run is already in progress, or the worker pool replies that it is too late to start it. Both notifications
-        settle whether the run exists.
+        Each run is returned only once. This is for worker pools that cannot stop runs. By the protocol, such a start
+        never begins a run: either the run is already in progress, or the worker pool replies that it is too late to
+        start it. Both notifications settle whether the run exists.
         """
         requests = [
             request
             for request in self._unconfirmed_runs
-            if _has_no_waiting_client(request) and not request.heard_since_last_command
+            if _has_no_waiting_client(request) and not request.has_notification_since_last_command
         ]
         for request in requests:
             del self._unconfirmed_runs[request]
@@ -211,7 +215,7 @@
 
 
 def _has_no_waiting_client(request: Request) -> bool:
-    return request.answered or request.client_gone
+    return request.is_answered or request.is_client_disconnected
 
 
 def _is_query(command: RunCommand | QueryGauges, tag: str) -> bool:
--- a/nickelslip/server/graceful_shutdown.py
+++ b/nickelslip/server/graceful_shutdown.py
@@ -92,7 +92,9 @@
             listener.stop_accepting()
 
     def _has_unanswered_requests(self) -> bool:
-        return any(not request.answered and not request.client_gone for request in self._requests.values())
+        return any(
+            not request.is_answered and not request.is_client_disconnected for request in self._requests.values()
+        )
 
     async def _close_connections(self) -> None:
         """Close all connections in the remaining time."""
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -141,7 +141,7 @@
     def call(self, request: Request, wait_ms: float) -> None:
         """Send the call that the run requested; it times out after `wait_ms`."""
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         """Abandon the call in flight."""
 
 
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -60,7 +60,7 @@
             return
         request.call_transports.append(connection)
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         """Abandon this request's call, if it has one."""
         connection = self._connection_by_request.pop(request, None)
         if connection is not None:
--- a/nickelslip/server/request_lifecycle.py
+++ b/nickelslip/server/request_lifecycle.py
@@ -51,7 +51,7 @@
         return event
     if actions.clock() < request.call_deadline_at_ms:
         return None
-    actions.dependency_client.give_up(request)
+    actions.dependency_client.abandon_call(request)
     return CallReturned(ABANDONED_CALL_OUTCOME)
 
 
@@ -69,7 +69,7 @@
 
 def _handle_call_requested(sink: DecisionSink, request: Request, event: CallRequested) -> None:
     """Record the call that the run requests, and ask the admission controller for permission to make it."""
-    request.heard_since_last_command = True
+    request.has_notification_since_last_command = True
     request.call = event
     if request.state in (RequestState.RUNNING, RequestState.DEGRADED):
         request.enter(RequestState.AWAITING_CALL)
@@ -94,7 +94,7 @@
 def _handle_run_finished(actions: RequestActions, sink: DecisionSink, request: Request, event: RunFinished) -> None:
     """Report the end of the run and answer with its result; the request of a stopped run is queued again."""
     if request.state is RequestState.CALL_IN_FLIGHT:
-        actions.dependency_client.give_up(request)
+        actions.dependency_client.abandon_call(request)
     request.has_unfinished_run = False
     if event.outcome is Outcome.CANCELLED and request.state in (RequestState.RUNNING, RequestState.DEGRADED):
         request.enter(RequestState.QUEUED)
@@ -114,9 +114,9 @@
     if request.state is RequestState.ORPHANED or request.state in FINAL_STATES:
         return
     if request.state is RequestState.CALL_IN_FLIGHT:
-        actions.dependency_client.give_up(request)
-    request.client_gone = True
+        actions.dependency_client.abandon_call(request)
+    request.is_client_disconnected = True
     request.enter(RequestState.CANCELLED)
-    if request.on_finished is not None and not request.answered:
+    if request.on_finished is not None and not request.is_answered:
         request.on_finished(request, RequestState.CANCELLED)
     sink.client_disconnected(request)
--- a/nickelslip/server/requests.py
+++ b/nickelslip/server/requests.py
@@ -105,10 +105,11 @@
         number: Identifier as a number.
         generation: The configuration that applies to the request.
         state: Current state.
-        answered: Whether an answer has been written.
-        client_gone: Whether the client cancelled the request or closed its connection.
+        is_answered: Whether an answer has been written.
+        is_client_disconnected: Whether the client cancelled the request or closed its connection.
         has_unfinished_run: Whether the worker pool has an unfinished run of it.
-        heard_since_last_command: Whether a notification of that run has arrived since it was last started or resumed.
+        has_notification_since_last_command: Whether a notification of that run has arrived since it was last started
+            or resumed.
         call_transports: The connections on which its calls were sent.
         call: The latest call that its run requested.
         call_started_at_ms: When the latest call was sent.
@@ -126,10 +127,10 @@
         self.number = int(received.id_hex, 16)
         self.generation = generation
         self.state = RequestState.QUEUED
-        self.answered = False
-        self.client_gone = False
+        self.is_answered = False
+        self.is_client_disconnected = False
         self.has_unfinished_run = False
-        self.heard_since_last_command = False
+        self.has_notification_since_last_command = False
         self.call_transports: list[object] = []
         self.call = CallRequested(0, b"")
         self.call_started_at_ms = 0.0
@@ -156,9 +157,9 @@
 
     def answer(self, answer: Answer) -> None:
         """Write the answer, unless one has been written or the client has disconnected."""
-        if self.answered or self.client_gone:
+        if self.is_answered or self.is_client_disconnected:
             return
-        self.answered = True
+        self.is_answered = True
         self._write_answer(answer)
         if self.on_finished is not None:
             self.on_finished(self, answer.state)
--- a/nickelslip/server/state_changes.py
+++ b/nickelslip/server/state_changes.py
@@ -34,7 +34,7 @@
 
 def _start_run(actions: RequestActions, request: Request) -> None:
     request.has_unfinished_run = True
-    request.heard_since_last_command = False
+    request.has_notification_since_last_command = False
     request.enter(RequestState.RUNNING)
     actions.worker_pool.start(request)
 
@@ -66,7 +66,7 @@
 def _reject_or_fail(actions: RequestActions, request: Request, change: StateChange) -> None:
     """Answer a rejected or failed request, and abandon its call in flight."""
     if request.state is RequestState.CALL_IN_FLIGHT:
-        actions.dependency_client.give_up(request)
+        actions.dependency_client.abandon_call(request)
     request.answer(
         Answer(
             change.state,
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -100,19 +100,19 @@
         """
         if not self._can_stop_runs or not self.is_up:
             return
-        if self._delivery.is_absent_after_stop(request):
+        if self._delivery.record_stop(request):
             request.deliver(RunFinished(Outcome.CANCELLED, 0.0))
             return
         self._send(StopRun(request))
 
     def resume_with_reply(self, request: Request, body: bytes) -> None:
         """Resume the request's run with the reply to its call."""
-        request.heard_since_last_command = False
+        request.has_notification_since_last_command = False
         self._send(ResumeWithReply(request, body))
 
     def resume_without_call(self, request: Request) -> None:
         """Resume the request's run without the call for which it is waiting."""
-        request.heard_since_last_command = False
+        request.has_notification_since_last_command = False
         self._send(ResumeWithoutCall(request, request.call.seq))
 
     def request_gauges(self) -> None:
@@ -196,7 +196,7 @@
         request = self._owner.requests.get(notification.request_number)
         if request is None:
             return
-        self._delivery.run_observed(request)
+        self._delivery.run_confirmed(request)
         match notification:
             case RunEnded(request_id=request_id, result=None):
                 self._owner.log.error("malformed_run_result", id=request_id)
@@ -216,7 +216,7 @@
         self._connection.mark_bound()
         self._delivery.link_bound()
         self.request_gauges()
-        self._delivery.await_catch_up(self._last_query_tag)
+        self._delivery.expect_catch_up(self._last_query_tag)
         unsent = self._unsent
         self._unsent = deque()
         for command in unsent:
@@ -234,7 +234,7 @@
         for command in self._delivery.commands_to_resend(tag):
             self._write(command)
         if not self._delivery.is_catching_up and not self._can_stop_runs and self.is_up:
-            for request in self._delivery.take_runs_to_start_again():
+            for request in self._delivery.pop_runs_to_restart():
                 self.start(request)
         if self._delivery.is_all_confirmed:
             self._connection.mark_all_confirmed()
--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -71,7 +71,7 @@
         rig.node.dependency_client._idle_connections[0]._stream.abort(CloseReason.RESET)
         await rig.pool.block(B)
         await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
-        assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].answered
+        assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].is_answered
 
 
 async def test_a_timed_out_call_is_cancelled_so_that_no_late_reply_can_arrive():
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -109,7 +109,7 @@
         reply_line = A.encode() + b" " + reply
         if order == "before":
             os.write(call_fd, reply_line)  # in the kernel's receive buffer, not yet read by the server
-        rig.node.dependency_client.give_up(request)
+        rig.node.dependency_client.abandon_call(request)
         request.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -158,7 +158,9 @@
             peer.send(b"".join(encode_request(f"{index:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
         for peer in peers:
             peer.send(b"".join(resp.message(b"NEVERMIND", b"%d" % tag) for tag in range(1, 33)))
-        await wait_until(lambda: all(request.client_gone or request.answered for request in rig.node.requests.values()))
+        await wait_until(
+            lambda: all(request.is_client_disconnected or request.is_answered for request in rig.node.requests.values())
+        )
         for request in list(rig.node.requests.values()):
             await wait_until(lambda request=request: rig.pool.told("spawn", request.received.id_hex))
             await rig.pool.finish(request.received.id_hex, end="broken_off")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -142,13 +142,13 @@
         (START, {}, False, SEND_AGAIN),
         (START, {"safety": RetrySafety.IDEMPOTENCY_KEY}, True, DO_NOT_SEND),
         (START, {"safety": RetrySafety.NON_IDEMPOTENT}, True, DO_NOT_SEND),
-        (START, {"heard_since_last_command": True}, True, DO_NOT_SEND),  # it is known to have arrived
+        (START, {"has_notification_since_last_command": True}, True, DO_NOT_SEND),  # it is known to have arrived
         (START, {"has_unfinished_run": False}, True, DO_NOT_SEND),
         (START, {"state": RequestState.CANCELLED}, True, DO_NOT_SEND),
         (REPLY, {}, True, START_OVER),
         (REPLY, {}, False, DO_NOT_SEND),
         (REPLY, {"safety": RetrySafety.NON_IDEMPOTENT}, True, DO_NOT_SEND),
-        (REPLY, {"heard_since_last_command": True}, True, DO_NOT_SEND),
+        (REPLY, {"has_notification_since_last_command": True}, True, DO_NOT_SEND),
         (REPLY, {"state": RequestState.ORPHANED}, True, DO_NOT_SEND),
         (SKIP_CALL, {"state": RequestState.DEGRADED}, True, SEND_AGAIN),
         (SKIP_CALL, {"state": RequestState.DEGRADED, "safety": RetrySafety.NON_IDEMPOTENT}, False, SEND_AGAIN),
@@ -164,12 +164,17 @@
 def test_a_possibly_lost_command_is_resent_only_if_a_duplicate_does_no_harm(
     command, changed_fields, can_stop_runs, decision
 ):
-    fields = {"state": RequestState.RUNNING, "has_unfinished_run": True, "heard_since_last_command": False, "seq": 7}
+    fields = {
+        "state": RequestState.RUNNING,
+        "has_unfinished_run": True,
+        "has_notification_since_last_command": False,
+        "seq": 7,
+    }
     fields |= {"safety": RetrySafety.IDEMPOTENT} | changed_fields
     request = SimpleNamespace(
         state=fields["state"],
         has_unfinished_run=fields["has_unfinished_run"],
-        heard_since_last_command=fields["heard_since_last_command"],
+        has_notification_since_last_command=fields["has_notification_since_last_command"],
         call=SimpleNamespace(seq=fields["seq"]),
         received=SimpleNamespace(traffic_class="read"),
         generation=SimpleNamespace(retry_safety_by_class={"read": fields["safety"]}),
