--- a/benchmarks/generation_watch.py
+++ b/benchmarks/generation_watch.py
@@ -82,7 +82,7 @@
 
 def install(watch: GenerationWatch) -> None:
     """Have the watch called at each adoption of settings, and before and after each decision about a request."""
-    adopt = AdmissionController._adopt
+    adopt = AdmissionController._adopt_settings
     decide = DecisionExecutor.decide
 
     def adopt_and_record(controller: AdmissionController, settings: Settings) -> None:
@@ -97,7 +97,7 @@
         if number is not None:
             watch.record_event(executor, number)
 
-    AdmissionController._adopt = adopt_and_record  # type: ignore[method-assign, assignment]
+    AdmissionController._adopt_settings = adopt_and_record  # type: ignore[method-assign, assignment]
     DecisionExecutor.decide = decide_and_record  # type: ignore[method-assign, assignment]
 
 
--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -96,9 +96,9 @@
         self._idle_connections = IdleConnectionTimeout(settings)
         self._wake_at_ms = inf
         self._decisions = Decisions()
-        self._adopt(settings)
+        self._adopt_settings(settings)
 
-    def _adopt(self, settings: Settings) -> None:
+    def _adopt_settings(self, settings: Settings) -> None:
         """Apply the settings that the controller itself uses.
 
         Traffic classes keep their statistics. Open requests keep the class settings under which they arrived.
@@ -208,7 +208,7 @@
 
     def settings_changed(self, now_ms: float, settings: Settings) -> Decisions:
         """Apply new settings. Open requests and all statistics are kept."""
-        self._adopt(settings)
+        self._adopt_settings(settings)
         self._overload.apply_settings(settings)
         self._dependency_limit.apply_settings(settings, self._overload)
         for rule in (
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -120,7 +120,7 @@
     client_count: int = 1
     tenants: tuple[Tenant, ...] = ()
     over_quota_value_fraction: float = 1.0
-    value_counts_work: bool = False  # the priority weight is per unit of work, not per request
+    is_value_per_work_unit: bool = False  # the priority weight is per unit of work, not per request
     clients_mark_retries: bool = False
     preemption: Preemption = Preemption.NEVER
     load_signal: LoadSignal = LoadSignal.NONE
--- a/nickelslip/admission/queue_priority.py
+++ b/nickelslip/admission/queue_priority.py
@@ -37,7 +37,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Read from the settings how value is counted, and whether retries are marked."""
-        self._value_counts_work = settings.value_counts_work
+        self._is_value_per_work_unit = settings.is_value_per_work_unit
         self._clients_mark_retries = settings.clients_mark_retries
         self._over_quota_value_fraction = settings.over_quota_value_fraction
 
@@ -59,7 +59,7 @@
 
     def _class_value_per_ms(self, request: TrackedRequest) -> float:
         statistics = request.statistics
-        value_per_ms = statistics.value_per_ms(1.0 if self._value_counts_work else request.expected_run_ms)
+        value_per_ms = statistics.value_per_ms(1.0 if self._is_value_per_work_unit else request.expected_run_ms)
         if statistics.is_starved:
             return max(value_per_ms, self._starved_classes.best_value_per_ms)
         return value_per_ms
--- a/nickelslip/admission/starved_classes.py
+++ b/nickelslip/admission/starved_classes.py
@@ -28,7 +28,7 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Read from the settings how value is counted, and whether retries are marked."""
-        self._value_counts_work = settings.value_counts_work
+        self._is_value_per_work_unit = settings.is_value_per_work_unit
         self._clients_mark_retries = settings.clients_mark_retries
 
     def update(self, now_ms: float, classes: Iterable[ClassStatistics]) -> None:
@@ -39,5 +39,5 @@
             start_count = statistics.starts.total(now_ms).sample_count
             tolerated_shortfall = STARVATION_STANDARD_DEVIATIONS * sqrt(required_count)
             statistics.is_starved = self._clients_mark_retries and start_count + tolerated_shortfall < required_count
-            run_ms = 1.0 if self._value_counts_work else statistics.run_ms.mean(now_ms)
+            run_ms = 1.0 if self._is_value_per_work_unit else statistics.run_ms.mean(now_ms)
             self.best_value_per_ms = max(self.best_value_per_ms, statistics.value_per_ms(run_ms))
--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -327,7 +327,7 @@
         detail = "no earlier generation is kept" if generation is None else f"generation {generation} is not kept"
         raise ChangeRejectedError(RejectionReason.NOT_FOUND, detail)
 
-    def move_peers(self, now_ms: float, config: Config, document: Document, origin: str) -> Adoption:
+    def replace_peer_addresses(self, now_ms: float, config: Config, document: Document, origin: str) -> Adoption:
         """Put a configuration that differs only in peer addresses into force, even if a change is staged or current.
 
         A change in its canary period stays in it. Both the generation in force and the one to which the change would
--- a/nickelslip/configuration/commands.py
+++ b/nickelslip/configuration/commands.py
@@ -28,7 +28,7 @@
 from nickelslip.configuration.json5_reader import parse_document
 from nickelslip.configuration.layers import LayeredDocument, apply_layers, merge, values_by_path
 from nickelslip.configuration.loading import load_layers, read_file
-from nickelslip.configuration.plan import Plan, plan_of, shown
+from nickelslip.configuration.plan import Plan, format_value, plan_of
 from nickelslip.configuration.rollout import Rollout, RolloutPolicy, RolloutStatus
 from nickelslip.configuration.rollout_runner import (
     ROLLOUT_STATUS_TEXTS,
@@ -128,7 +128,7 @@
     lines = [fault_line(fault) for fault in layered.warnings]
     if with_origins:
         lines += [
-            f"{'.'.join(path)} = {shown(value)}  ({layered.origin_of(path)})"
+            f"{'.'.join(path)} = {format_value(value)}  ({layered.origin_of(path)})"
             for path, value in values_by_path(layered.document).items()
         ]
     settings = layered.config.settings
--- a/nickelslip/configuration/document_conversion.py
+++ b/nickelslip/configuration/document_conversion.py
@@ -90,7 +90,7 @@
         client_count=clients["callers"],
         tenants=tuple(Tenant(name, section["share_per_s"]) for name, section in whole["customers"].items()),
         over_quota_value_fraction=whole["ranking"]["beyond_share_worth"],
-        value_counts_work=whole["ranking"]["counted_by_work"],
+        is_value_per_work_unit=whole["ranking"]["counted_by_work"],
         clients_mark_retries=clients["marks_again"],
         preemption=PREEMPTION_CHOICES[machine["stopping"]],
         load_signal=LOAD_SIGNAL_CHOICES[clients["said"]],
@@ -143,7 +143,7 @@
         "callers": _callers_section(settings),
         "ranking": {
             "beyond_share_worth": settings.over_quota_value_fraction,
-            "counted_by_work": settings.value_counts_work,
+            "counted_by_work": settings.is_value_per_work_unit,
         },
         "calls": {
             "share": settings.dependency_concurrency_share,
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -45,7 +45,7 @@
     restart_reason: str = ""
 
     def __str__(self) -> str:
-        line = f"{'.'.join(self.path)}: {shown(self.old)} -> {shown(self.new)} ({self.effect.value})"
+        line = f"{'.'.join(self.path)}: {format_value(self.old)} -> {format_value(self.new)} ({self.effect.value})"
         return f"{line}; {self.restart_reason}" if self.restart_reason else line
 
     def as_dict(self) -> dict[str, Any]:
@@ -98,7 +98,7 @@
         }
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return a value as text, as an operator would write it."""
     if value is None:
         return "absent"
@@ -107,9 +107,9 @@
     if isinstance(value, float):
         return f"{value:g}"
     if isinstance(value, list | tuple):
-        return "[" + ", ".join(map(shown, value)) + "]"
+        return "[" + ", ".join(map(format_value, value)) + "]"
     if isinstance(value, Mapping):
-        return "{" + ", ".join(f"{name}: {shown(inner)}" for name, inner in value.items()) + "}"
+        return "{" + ", ".join(f"{name}: {format_value(inner)}" for name, inner in value.items()) + "}"
     return str(value)
 
 
--- a/nickelslip/server/call_limit.py
+++ b/nickelslip/server/call_limit.py
@@ -48,7 +48,7 @@
     def update(self) -> None:
         """Update the controller if the limit has changed or if calls are to be paused."""
         now_ms = self._clock()
-        self._slow_start.time_passed(now_ms)
+        self._slow_start.check_warm_up_time(now_ms)
         self._log_phase()
         max_concurrent_calls = self._slow_start.max_concurrent_calls
         pause_ms = self._slow_start.call_pause_ms(now_ms)
--- a/nickelslip/server/change_applier.py
+++ b/nickelslip/server/change_applier.py
@@ -154,7 +154,7 @@
 
     async def adopt_peer_addresses(self, config: Config, document: Document, origin: str) -> None:
         """Adopt a configuration that differs only in the addresses of peers."""
-        generation, record = self._changes.move_peers(self._server.clock(), config, document, origin)
+        generation, record = self._changes.replace_peer_addresses(self._server.clock(), config, document, origin)
         self._adopt(generation)
         await self._history.write_or_queue(record)
 
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -167,7 +167,7 @@
                 continue
             had_partial_frame = decoder.has_partial_frame
             messages = decoder.feed(bytes(stream.data[stream.start : stream.end]))
-            stream.take(stream.end)
+            stream.consume(stream.end)
             if messages or not had_partial_frame:
                 started_s = time.monotonic()
             for message in messages:
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -85,8 +85,8 @@
     def stop_accepting(self) -> None:
         """Accept no further connections."""
 
-    async def shut_down(self, left_ms: float) -> None:
-        """Close all connections within `left_ms`."""
+    async def shut_down(self, remaining_ms: float) -> None:
+        """Close all connections within `remaining_ms`."""
 
 
 class ReloadHandler(Protocol):
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -147,7 +147,7 @@
         if message is None:
             return None
         parts, end = message
-        self.stream.take(end)
+        self.stream.consume(end)
         return parts
 
     def _note_used(self) -> None:
--- a/nickelslip/server/load_balancer_listener.py
+++ b/nickelslip/server/load_balancer_listener.py
@@ -122,8 +122,8 @@
         anyio.notify_closing(self._listener)
         self._listener.close()
 
-    async def shut_down(self, left_ms: float) -> None:
-        """Close every connection within `left_ms`.
+    async def shut_down(self, remaining_ms: float) -> None:
+        """Close every connection within `remaining_ms`.
 
         Load balancers close their connections on request. An idle connection that stays open is closed once nothing
         can arrive any more that was sent before the load balancer received the request. Shortly before the time is
@@ -135,7 +135,7 @@
         began_at_ms = self._server.clock()
         while self.table.connections:
             await anyio.sleep(SHUTDOWN_POLL_INTERVAL_S)
-            self._close_connections(began_at_ms + 2 * CLOSE_CROSSING_MS, began_at_ms + left_ms - CLOSE_CROSSING_MS)
+            self._close_connections(began_at_ms + 2 * CLOSE_CROSSING_MS, began_at_ms + remaining_ms - CLOSE_CROSSING_MS)
 
     def _close_connections(self, close_idle_at_ms: float, close_unread_at_ms: float) -> None:
         """Close idle connections from `close_idle_at_ms` on, and those with unread input from `close_unread_at_ms`."""
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -205,12 +205,12 @@
                 return
             request = self._request
             if request is None or reply.request_id != request.received.id_hex.encode():
-                stream.take(reply.end)
+                stream.consume(reply.end)
                 continue
             self._pool.call_ended(request)
             self._request = None
             self._became_idle_at_ms = self._context.clock()
-            stream.take(reply.end)
+            stream.consume(reply.end)
             self._apply_event(PooledConnectionEvent.REPLY_READ)
             request.deliver(CallReturned(reply.outcome, reply.body))
             if stream.data is not None:
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -85,7 +85,7 @@
         self.end += self._receive(data, timeout_reason)
         self._release_if_empty()
 
-    def take(self, end_index: int) -> None:
+    def consume(self, end_index: int) -> None:
         """Mark all bytes before `end_index` as consumed."""
         self.start = max(self.start, end_index)
         self._release_if_empty()
@@ -106,7 +106,7 @@
         with anyio.move_on_after(LINGER_TIMEOUT_S):
             try:
                 while not self.close_reason:
-                    self.take(self.end)
+                    self.consume(self.end)
                     await self._wait_for(anyio.wait_readable)
                     if not self._sock.recv_into(DISCARDED):
                         return
--- a/nickelslip/server/worker_pool_protocol.py
+++ b/nickelslip/server/worker_pool_protocol.py
@@ -316,10 +316,10 @@
             if newline >= 0:
                 line = Line(self._head or bytes(stream.data[stream.start : newline]), bool(self._head))
                 self._head = b""
-                stream.take(newline + 1)
+                stream.consume(newline + 1)
                 return line
             if stream.end - stream.start < BUFFER_BYTES:
                 return None
             self._head = self._head or bytes(stream.data[stream.start : stream.end])
-            stream.take(stream.end)
+            stream.consume(stream.end)
         return None
--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -196,7 +196,7 @@
             now_ms,
         )
 
-    def time_passed(self, now_ms: float) -> None:
+    def check_warm_up_time(self, now_ms: float) -> None:
         """Consider the machine warm once its warm-up time has passed.
 
         A server that makes few calls cannot tell from their answers that it is warm. The warm-up time starts again at
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 from nickelslip.server.log_output import LogWriter
 from tests.support.platform_settings import PLATFORM_SETTINGS
 
-GOOD = {
+VALID_CONFIGURATION = {
     "name": "n3",
     "listen": "127.0.0.1:6565",
     "pool": "127.0.0.1:7300",
@@ -30,7 +30,7 @@
 
 def configuration_with(path, value):
     """Return the valid configuration with another value at a dotted path; None removes the field."""
-    config = copy.deepcopy(GOOD)
+    config = copy.deepcopy(VALID_CONFIGURATION)
     *parents, last = path.split(".")
     container = config
     for key in parents:
@@ -43,7 +43,7 @@
 
 
 def test_environment_variables_override_the_file():
-    config = config_from_platform(GOOD, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "[::1]:7"})
+    config = config_from_platform(VALID_CONFIGURATION, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "[::1]:7"})
     assert (config.name, config.listen, config.seed) == ("n9", ("::1", 7), 0x8C1F30D27A5BE964)
     assert config.gauges == ("cpu_busy", "runnable", "mem_used", "sockets")
 
@@ -97,7 +97,7 @@
     assert CliRunner().invoke(main, ["check", "--config", str(tmp_path / "none")]).exit_code == 2
     file.write_text("{")
     assert "not JSON5" in CliRunner().invoke(main, ["check", "--config", str(file)]).output
-    file.write_text(json.dumps(GOOD))
+    file.write_text(json.dumps(VALID_CONFIGURATION))
     assert CliRunner().invoke(main, ["check", "--config", str(file)]).output.startswith("n3: 3 service grades")
     assert CliRunner().invoke(main, ["version"]).output.strip()
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -27,7 +27,7 @@
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.start_selection import select_start
 from nickelslip.configuration.validation import InvalidDocumentError
-from tests.test_config import GOOD
+from tests.test_config import VALID_CONFIGURATION
 
 OURS = """// a small server
 {version: 1,
@@ -63,7 +63,7 @@
         3.0,
     )
     assert config_from(document_of(config)) == config
-    platform = config_from_platform(GOOD, {})
+    platform = config_from_platform(VALID_CONFIGURATION, {})
     assert config_from(document_of(platform)) == platform
 
 
@@ -214,7 +214,7 @@
         changes.mark_applied(2.0)
         now = changes.in_force
         document = {**now.document, "peers": {**now.document["peers"], "pool": "127.0.0.1:99"}}
-        changes.move_peers(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
+        changes.replace_peer_addresses(3.0, replace(now.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
         record = changes.roll_back(4.0, "harm")[1] if undo else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
         assert changes.in_force.generation.config.settings.core_count == (2 if undo else 3)
@@ -280,7 +280,7 @@
             elif command == "moved" and changes.current is None:
                 held = changes.in_force
                 pool = f"127.0.0.1:{which + 1}"
-                _, record = changes.move_peers(
+                _, record = changes.replace_peer_addresses(
                     now,
                     replace(held.generation.config, pool=("127.0.0.1", which + 1)),
                     {**held.document, "peers": {**held.document["peers"], "pool": pool}},
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -57,7 +57,7 @@
 @pytest.fixture
 def generation_watch(monkeypatch):
     """Return a watch that records under which generations each request is processed."""
-    for patched_class, name in ((AdmissionController, "_adopt"), (DecisionExecutor, "decide")):
+    for patched_class, name in ((AdmissionController, "_adopt_settings"), (DecisionExecutor, "decide")):
         monkeypatch.setattr(patched_class, name, getattr(patched_class, name))  # restored after the test
     watch = GenerationWatch()
     install(watch)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -88,7 +88,7 @@
     """Answer every call after the same time until the start is warm or `end_at_ms` is reached; return the time then."""
     while slow_start.phase is not SlowStartPhase.WARM and now_ms < end_at_ms:
         now_ms = max(now_ms, now_ms + slow_start.call_pause_ms(now_ms))
-        slow_start.time_passed(now_ms)
+        slow_start.check_warm_up_time(now_ms)
         if slow_start.phase in (SlowStartPhase.PROCESS_STARTED,):
             slow_start.worker_pool_connected(now_ms, 0.0)
         if slow_start.next_report_at_ms <= now_ms:
@@ -192,9 +192,9 @@
     slow_start = create_slow_start()
     slow_start.worker_pool_connected(0.0, 0.0)
     slow_start.report_sent(slow_start.next_report_at_ms)
-    slow_start.time_passed(WARM_UP_MS - 1)
+    slow_start.check_warm_up_time(WARM_UP_MS - 1)
     assert slow_start.phase is SlowStartPhase.LISTED
-    slow_start.time_passed(WARM_UP_MS)
+    slow_start.check_warm_up_time(WARM_UP_MS)
     assert slow_start.phase is SlowStartPhase.WARM
 
 
@@ -232,7 +232,7 @@
                 "fast_answer",
                 "slow_answer",
                 "call_failed",
-                "time_passed",
+                "check_warm_up_time",
             )
         ),
         st.floats(0, 500),
@@ -255,7 +255,7 @@
         "fast_answer": lambda at_ms: slow_start.call_answered(at_ms, 10.0),
         "slow_answer": lambda at_ms: slow_start.call_answered(at_ms, 300.0),
         "call_failed": slow_start.call_failed,
-        "time_passed": slow_start.time_passed,
+        "check_warm_up_time": slow_start.check_warm_up_time,
     }
     for event, wait_ms in events:
         now_ms += wait_ms
