--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -24,9 +24,9 @@
         await rig.records.reply(B, status, body + b"b")
         await rig.records.reply("00000000000000ff", "DONE", b"unknown request", to=A)
         await rig.records.reply(A, status, body)
-        await wait_until(lambda: rig.pool.told("supply", A) and rig.pool.told("supply", B))
-        assert b64decode(rig.pool.told("supply", A)[0]["body"]) == body
-        assert b64decode(rig.pool.told("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
+        await wait_until(lambda: rig.pool.received_commands("supply", A) and rig.pool.received_commands("supply", B))
+        assert b64decode(rig.pool.received_commands("supply", A)[0]["body"]) == body
+        assert b64decode(rig.pool.received_commands("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -65,7 +65,7 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         await rig.records.reply(A, "DONE", b"")
-        await wait_until(lambda: rig.pool.told("supply", A))
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.running(client, B, "pay")
         # The task that reads from the connection does not notice this yet.
         rig.node.dependency_client._idle_connections[0]._stream.abort(CloseReason.RESET)
@@ -82,7 +82,7 @@
         # Closing the connection cancels the call, so no late reply can arrive.
         await wait_until(lambda: not rig.records.lines[A])
         await rig.running(client, B)
-        assert not rig.pool.told("supply", A)
+        assert not rig.pool.received_commands("supply", A)
 
 
 async def test_cancelling_a_request_during_its_call_cancels_the_call():
@@ -115,7 +115,7 @@
         await rig.records.lines[A].send(text.encode())
         assert (await client.answer())[:2] == (2, "error")
         await rig.records.reply(B, "DONE", b"")
-        await wait_until(lambda: rig.pool.told("supply", B))
+        await wait_until(lambda: rig.pool.received_commands("supply", B))
 
 
 async def test_a_pooled_connection_near_its_idle_timeout_is_not_reused():
@@ -123,18 +123,18 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
         await rig.records.reply(A, "DONE", b"")
-        await wait_until(lambda: rig.pool.told("supply", A))
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.calling(client, B)
         assert rig.records.links == 1
         await rig.records.reply(B, "DONE", b"")
-        await wait_until(lambda: rig.pool.told("supply", B))
+        await wait_until(lambda: rig.pool.received_commands("supply", B))
         await anyio.sleep(0.12)
         await rig.calling(client, C)
         assert rig.records.links == 2
         await rig.records.reply(C, "DONE", b"")
         await rig.records.reply(C, "DONE", b"")  # a duplicate reply, which the next call must not receive
-        await wait_until(lambda: rig.pool.told("supply", C))
+        await wait_until(lambda: rig.pool.received_commands("supply", C))
         await rig.pool.block(C)
         await wait_until(lambda: rig.records.seen.count(("OP", C, CALL_BODY)) == 2)
         await anyio.sleep(0.02)
-        assert rig.records.links == 3 and len(rig.pool.told("supply", C)) == 1
+        assert rig.records.links == 3 and len(rig.pool.received_commands("supply", C)) == 1
--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -28,7 +28,7 @@
         await rig.running(client, B)
         await anyio.sleep(0.25)
         await client.ask(C)
-        assert (await client.answer())[:2] == (3, "later") and not rig.pool.told("spawn", C)
+        assert (await client.answer())[:2] == (3, "later") and not rig.pool.received_commands("spawn", C)
         await rig.pool.finish(A)
         await rig.pool.finish(B)
         assert [(await client.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("stop_signal", (signal.SIGTERM, signal.SIGINT))
 async def test_the_program_serves_and_shuts_down_on_a_signal_without_writing_files(stop_signal, tmp_path):
     async with ServerRig(in_subprocess=True) as rig:
-        rig.pool.up.set()
+        rig.pool.accepts_binds.set()
         port = free_port()
         file = tmp_path / "config.json"
         file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{port}"}))
@@ -77,7 +77,7 @@
                             client = await rig.caller()
                         except OSError:
                             await anyio.sleep(0.02)
-                await wait_until(lambda: rig.pool.polls)
+                await wait_until(lambda: rig.pool.gauge_query_count)
                 file.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 await rig.running(client, A)
--- a/tests/server/test_idempotency.py
+++ b/tests/server/test_idempotency.py
@@ -21,7 +21,7 @@
         await client.ask(C, "book", opkey="k1", resent=1)
         assert (await client.answer())[1::2] == ("done", b"once")
         await rig.running(client, "00000000000000d4", "book", opkey="k2")
-        assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
+        assert not rig.pool.received_commands("spawn", B) and not rig.pool.received_commands("spawn", C)
 
 
 async def test_a_duplicate_of_a_failed_request_fails_without_running():
@@ -31,7 +31,7 @@
         await rig.pool.finish(A, end="fault")
         assert (await client.answer())[1] == "error"
         await client.ask(B, "book", opkey="k1", resent=1)
-        assert (await client.answer())[:2] == (2, "error") and not rig.pool.told("spawn", B)
+        assert (await client.answer())[:2] == (2, "error") and not rig.pool.received_commands("spawn", B)
 
 
 async def test_a_read_of_the_same_subject_is_answered_from_the_cache_until_the_response_expires():
@@ -54,7 +54,7 @@
             await rig.pool.finish(request_id, body=b"12345678")
             await client.answer()
         await client.ask(C, "book", opkey="k1", resent=1)
-        assert (await client.answer())[:2] == (3, "error") and not rig.pool.told("spawn", C)
+        assert (await client.answer())[:2] == (3, "error") and not rig.pool.received_commands("spawn", C)
         assert (
             rig.node.idempotency_table.results.size_bytes == 8
             and rig.node.generation.settings.idempotency_record_kb >= 20
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -24,8 +24,8 @@
         client = await (await rig.up()).caller()
         body = bytes(range(256)) * 8
         await rig.running(client, A, body=body)
-        assert rig.pool.told("spawn", A)[0]["class"] == "read"
-        assert b64decode(rig.pool.told("spawn", A)[0]["body"]) == body
+        assert rig.pool.received_commands("spawn", A)[0]["class"] == "read"
+        assert b64decode(rig.pool.received_commands("spawn", A)[0]["body"]) == body
         await rig.pool.finish(A, body=body * 2)
         tag, status, fields, result = await client.answer()
         assert (tag, status, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
@@ -48,7 +48,9 @@
         for request_id in request_ids:
             await client.ask(request_id)
         assert (await client.answer())[:2] == (33, "error")
-        await wait_until(lambda: all(rig.pool.told("spawn", request_id) for request_id in request_ids[:32]))
+        await wait_until(
+            lambda: all(rig.pool.received_commands("spawn", request_id) for request_id in request_ids[:32])
+        )
         for request_id in reversed(request_ids[:32]):
             await rig.pool.finish(request_id, body=request_id.encode())
         answers = [await client.answer() for _ in range(32)]
@@ -145,9 +147,9 @@
         await client.ask(changed_fields.pop("req", A), **changed_fields)
         assert (await client.answer())[:2] == (1, "error")
         await client.ask(B, class_name="read")
-        await wait_until(lambda: rig.pool.told("spawn", B))
+        await wait_until(lambda: rig.pool.received_commands("spawn", B))
         await rig.pool.finish(B)
-        assert (await client.answer())[:2] == (2, "done") and not rig.pool.told("spawn", A)
+        assert (await client.answer())[:2] == (2, "done") and not rig.pool.received_commands("spawn", A)
 
 
 async def test_an_unknown_verb_and_a_duplicate_request_id_are_each_answered_with_one_failure():
@@ -159,7 +161,7 @@
         await client.ask(A)
         assert (await client.answer())[:2] == (2, "error")
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and len(rig.pool.told("spawn", A)) == 1
+        assert (await client.answer())[:2] == (1, "done") and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
@@ -184,7 +186,7 @@
             await anyio.aclose_forcefully(client.stream)
         else:
             await client.stream.aclose()
-        await wait_until(lambda: rig.pool.told("suspend", A))
+        await wait_until(lambda: rig.pool.received_commands("suspend", A))
         assert len(rig.node.requests) == 1
         await rig.pool.finish(A, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
@@ -239,7 +241,7 @@
             await rig.pool.finish(request_id, body=bytes(4096))
             assert (await client.answer())[0] == tag
             rig.pool.seen.clear()
-            rig.pool.notices.clear()
+            rig.pool.notifications.clear()
             if number in (200, 600):
                 # Commands are kept until a later query is answered; they must not be counted as left over.
                 await wait_until(lambda: rig.node.worker_pool._delivery.is_all_confirmed)
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -28,42 +28,46 @@
         await rig.pool.finish(B)  # while there is no link
         assert (await client.answer())[:2] == (2, "done")
         assert [each["seq"] for each in rig.pool.seen if each["op"] == "bind"] == [0, 1]
-        await rig.pool.say(**rig.pool.notices[0])
+        await rig.pool.send_line(**rig.pool.notifications[0])
         await rig.pool.finish("00000000000000ff")
-        await rig.pool.tell("chatter", A, end="hello")
-        await rig.pool.say(op="unknown", end="suspend", id=A)
+        await rig.pool.notify("chatter", A, end="hello")
+        await rig.pool.send_line(op="unknown", end="suspend", id=A)
         await rig.running(client, C)
         await rig.pool.finish(C)
         assert (await client.answer())[:2] == (3, "done")
-        assert [len(rig.pool.told("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
+        assert [len(rig.pool.received_commands("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
 
 
 async def test_only_idempotent_starts_are_resent_after_a_broken_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False  # so that no command is confirmed
+        rig.pool.answers_gauge_queries = False  # so that no command is confirmed
         await rig.running(client, A, "read")
         await rig.running(client, B, "pay", timeout=600)
-        rig.pool.measures = True
+        rig.pool.answers_gauge_queries = True
         await rig.pool.cut()
-        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await wait_until(lambda: rig.node.worker_pool.is_up)
-        assert len(rig.pool.told("spawn", B)) == 1
+        assert len(rig.pool.received_commands("spawn", B)) == 1
         assert (await client.answer())[:2] == (2, "error")  # it may have run, so it is neither rejected nor retried
 
 
 async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_delays_no_other_run():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         await rig.running(client, A)
         await rig.pool.cut()
         await wait_until(lambda: rig.pool.links == 2 and rig.node.worker_pool.is_up)
         await rig.running(client, B)  # although no query is answered
-        assert len(rig.pool.told("spawn", A)) == 1
-        rig.pool.measures = True
+        assert len(rig.pool.received_commands("spawn", A)) == 1
+        rig.pool.answers_gauge_queries = True
         await rig.pool.cut()
-        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2 and len(rig.pool.told("spawn", B)) == 2)
+        await wait_until(
+            lambda: (
+                len(rig.pool.received_commands("spawn", A)) == 2 and len(rig.pool.received_commands("spawn", B)) == 2
+            )
+        )
         for tag, request_id in ((1, A), (2, B)):
             await rig.pool.finish(request_id)
             assert (await client.answer())[:2] == (tag, "done")
@@ -75,8 +79,8 @@
         await rig.running(client, A, "pay")
         rig.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # the reading task does not notice this yet
         rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
-        await wait_until(lambda: rig.pool.told("supply", A))
-        assert rig.pool.links == 2 and len(rig.pool.told("spawn", A)) == 1
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
+        assert rig.pool.links == 2 and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 async def test_commands_wait_until_the_worker_pool_is_reachable_again():
@@ -87,9 +91,9 @@
         await client.ask(A)
         await wait_until(lambda: rig.node.requests)
         await anyio.sleep(0.1)
-        assert not rig.pool.told("spawn", A)
+        assert not rig.pool.received_commands("spawn", A)
         await rig.pool.listen(rig._tasks, port)
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -106,14 +110,14 @@
         rig.node.reload()
         rig.config = {**config_before, "stop_ms": 5}  # this change needs a restart
         await rig.move()
-        rig.pool.measures = False  # no command is confirmed at the new address
+        rig.pool.answers_gauge_queries = False  # no command is confirmed at the new address
         await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
         assert rig.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
         assert rig.node.generation.config.stop_ms == 700
         await rig.running(client, C, "pay")
-        assert not rig.pool.told("spawn", A) and not rig.pool.told("spawn", B)
+        assert not rig.pool.received_commands("spawn", A) and not rig.pool.received_commands("spawn", B)
         await old_records.reply(A, "DONE", b"late")  # a call in flight continues at the old address
-        await wait_until(lambda: rig.pool.told("supply", A))
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.pool.block(C)
         await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.seen)
         for tag, request_id in ((1, A), (2, B), (3, C)):
@@ -127,13 +131,13 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         old, config_before = rig.pool, dict(rig.config)
-        old.measures = False  # so that the move waits for a confirmation
+        old.answers_gauge_queries = False  # so that the move waits for a confirmation
         await rig.move()
         await wait_until(lambda: rig.node.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
         rig.pool, rig.config = old, config_before
         rig.node.reload()
         await client.ask(A)
-        await wait_until(lambda: old.told("spawn", A), 1.0)  # sooner than an unresponsive link is detected
+        await wait_until(lambda: old.received_commands("spawn", A), 1.0)  # sooner than an unresponsive link is detected
         await old.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -148,11 +152,11 @@
         await rig.move()
         first = rig.pool
         await rig.move()
-        await wait_until(lambda: first.told("spawn", A) or rig.pool.told("spawn", A))
-        await wait_until(lambda: rig.pool.binds() and rig.node.worker_pool.is_up)
+        await wait_until(lambda: first.received_commands("spawn", A) or rig.pool.received_commands("spawn", A))
+        await wait_until(lambda: rig.pool.received_binds() and rig.node.worker_pool.is_up)
         assert time.monotonic() - started_at < 0.3
         # Both addresses belong to the same worker pool, so the run is started at only one of them.
-        assert len(first.told("spawn", A)) + len(rig.pool.told("spawn", A)) == 1
+        assert len(first.received_commands("spawn", A)) + len(rig.pool.received_commands("spawn", A)) == 1
 
 
 async def test_an_address_superseded_just_as_its_connection_opened_is_not_bound(monkeypatch):
@@ -173,20 +177,20 @@
         newest = await rig.another_pool()
         monkeypatch.setattr(worker_pool_connection, "connect", connect_and_change_address)
         await rig.move()
-        await wait_until(lambda: newest.told("spawn", A) and rig.node.worker_pool.is_up)
-        assert superseded and not superseded[0].binds()
+        await wait_until(lambda: newest.received_commands("spawn", A) and rig.node.worker_pool.is_up)
+        assert superseded and not superseded[0].received_binds()
 
 
 async def test_a_non_idempotent_run_whose_start_was_lost_frees_its_slot_once_answered():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         await rig.running(client, A, "pay", timeout=200)
-        rig.pool.measures = True
+        rig.pool.answers_gauge_queries = True
         await rig.pool.cut()  # the start is lost, so the run never exists
         assert (await client.answer())[:2] == (1, "error")
         await wait_until(lambda: not rig.node.requests)
-        assert len(rig.pool.told("spawn", A)) == 1
+        assert len(rig.pool.received_commands("spawn", A)) == 1
 
 
 async def test_a_reply_lost_with_a_link_restarts_only_an_idempotent_run():
@@ -194,23 +198,23 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
         await rig.calling(client, B, "pay")
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         for request_id in (A, B):
             await rig.records.reply(request_id, "DONE", b"")
-            await wait_until(lambda request_id=request_id: rig.pool.told("supply", request_id))
-        rig.pool.measures = True
+            await wait_until(lambda request_id=request_id: rig.pool.received_commands("supply", request_id))
+        rig.pool.answers_gauge_queries = True
         await rig.pool.cut()
-        await wait_until(lambda: rig.pool.told("suspend", A))
+        await wait_until(lambda: rig.pool.received_commands("suspend", A))
         await rig.pool.finish(A, end="broken_off")
-        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
-        assert not rig.pool.told("suspend", B) and len(rig.pool.told("supply", B)) == 1
+        await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
+        assert not rig.pool.received_commands("suspend", B) and len(rig.pool.received_commands("supply", B)) == 1
 
 
 async def test_a_start_that_was_not_executed_and_a_failed_run_fail_their_requests():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        await rig.pool.say(op="unknown", end="spawn", id=A)
+        await rig.pool.send_line(op="unknown", end="spawn", id=A)
         assert (await client.answer())[:2] == (1, "error")
         await rig.running(client, B, "pay")
         await rig.pool.finish(B, end="fault")
@@ -242,7 +246,7 @@
         await wait_until(
             lambda: any(gauges.cpu_utilization == 0.5 and gauges.connection_count == 3 for _, gauges in calls)
         )
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         previous_count = len(calls)
         await wait_until(lambda: len(calls) > previous_count + 3)
         assert calls[-1][1].cpu_utilization is None
@@ -270,9 +274,9 @@
     monkeypatch.setattr(worker_pool_connection, "MAX_QUERIES_WITHOUT_READ", 3)
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         await wait_until(lambda: rig.pool.links == 2)
-        rig.pool.measures = True
+        rig.pool.answers_gauge_queries = True
         await rig.running(client, A)
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
--- a/tests/support/fake_worker_pool.py
+++ b/tests/support/fake_worker_pool.py
@@ -18,29 +18,29 @@
 
     Attributes:
         seq: The number of the last notification.
-        notices: All notifications so far; those that a new link has not received are sent again.
-        up: Set once links may be bound.
-        measures: Whether gauge queries are answered.
-        polls: How many gauge queries were received.
+        notifications: All notifications so far; those that a new link has not received are sent again.
+        accepts_binds: Set once links may be bound.
+        answers_gauge_queries: Whether gauge queries are answered.
+        gauge_query_count: How many gauge queries were received.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.saying = anyio.Lock()
+        self.send_lock = anyio.Lock()
         self.seq = 0
-        self.notices: list[dict[str, object]] = []
-        self.up = anyio.Event()
-        self.measures = True
-        self.polls = 0
+        self.notifications: list[dict[str, object]] = []
+        self.accepts_binds = anyio.Event()
+        self.answers_gauge_queries = True
+        self.gauge_query_count = 0
 
     async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
         """Keep each command, except gauge queries, and answer a query and a bind."""
         *lines, rest = buffered.split(b"\n")
         for command in map(json.loads, lines):
             if command["op"] == "poll":
-                self.polls += 1
-                if self.measures:
-                    await self.say(op="polled", tag=command["tag"], values=[0.5, 1, 0.1, 3])
+                self.gauge_query_count += 1
+                if self.answers_gauge_queries:
+                    await self.send_line(op="polled", tag=command["tag"], values=[0.5, 1, 0.1, 3])
                 continue
             self.seen.append(command)
             if command["op"] == "bind":
@@ -48,36 +48,36 @@
         return rest
 
     async def _bind(self, last_seq: int) -> None:
-        await self.up.wait()
-        await self.say(op="bound", end="running", ms=5.0)
-        for notice in self.notices:
-            if notice["seq"] > last_seq:  # type: ignore[operator]
-                await self.say(**notice)
+        await self.accepts_binds.wait()
+        await self.send_line(op="bound", end="running", ms=5.0)
+        for notification in self.notifications:
+            if notification["seq"] > last_seq:  # type: ignore[operator]
+                await self.send_line(**notification)
 
-    async def say(self, **line: object) -> None:
+    async def send_line(self, **line: object) -> None:
         """Send one line on the last link, if there is one."""
-        async with self.saying:
+        async with self.send_lock:
             if self.stream is not None:
                 await self.stream.send(json.dumps(line).encode() + b"\n")
 
-    async def tell(self, op: str, request_id: str, **fields: object) -> None:
+    async def notify(self, op: str, request_id: str, **fields: object) -> None:
         """Send a notification under the next number, and keep it for later links."""
         self.seq += 1
-        self.notices.append({"op": op, "seq": self.seq, "id": request_id, **fields})
-        await self.say(**self.notices[-1])
+        self.notifications.append({"op": op, "seq": self.seq, "id": request_id, **fields})
+        await self.send_line(**self.notifications[-1])
 
     async def finish(self, request_id: str, end: str = "fine", body: bytes = b"result") -> None:
         """Notify that the run ended."""
-        await self.tell("finished", request_id, end=end, ms=20.0, body=b64encode(body).decode())
+        await self.notify("finished", request_id, end=end, ms=20.0, body=b64encode(body).decode())
 
     async def block(self, request_id: str, body: bytes = CALL_BODY) -> None:
         """Notify that the run reached its call."""
-        await self.tell("blocked", request_id, body=b64encode(body).decode())
+        await self.notify("blocked", request_id, body=b64encode(body).decode())
 
-    def binds(self) -> list[dict[str, object]]:
+    def received_binds(self) -> list[dict[str, object]]:
         """Return the bind commands received."""
         return [command for command in self.seen if command["op"] == "bind"]
 
-    def told(self, op: str, request_id: str) -> list[dict[str, object]]:
+    def received_commands(self, op: str, request_id: str) -> list[dict[str, object]]:
         """Return the commands of this kind received for the request."""
         return [command for command in self.seen if command["op"] == op and command.get("id") == request_id]
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -141,9 +141,9 @@
     async def another_pool(self) -> FakeWorkerPool:
         """Return the same worker pool at another address."""
         pool = FakeWorkerPool()
-        pool.notices = self.pool.notices
+        pool.notifications = self.pool.notifications
         pool.seq = self.pool.seq
-        pool.up.set()
+        pool.accepts_binds.set()
         await pool.listen(self._tasks)
         return pool
 
@@ -177,7 +177,7 @@
 
     async def up(self) -> ServerRig:
         """Have the worker pool answer, and wait until the server has bound its link."""
-        self.pool.up.set()
+        self.pool.accepts_binds.set()
         await wait_until(lambda: self.node.phase is Phase.SERVING and self.node.worker_pool.is_up)
         return self
 
@@ -202,7 +202,7 @@
     ) -> int:
         """Send a request, and wait until its run has been started; return its number."""
         tag = await client.ask(request_id, class_name, **fields)
-        await wait_until(lambda: self.pool.told("spawn", request_id))
+        await wait_until(lambda: self.pool.received_commands("spawn", request_id))
         return tag
 
     async def calling(
@@ -238,7 +238,7 @@
         ) as process,
     ):
         try:
-            await wait_until(lambda: rig.pool.polls, PROGRAM_START_S)
+            await wait_until(lambda: rig.pool.gauge_query_count, PROGRAM_START_S)
             yield process
         finally:
             process.kill()
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -53,7 +53,7 @@
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
-        await rig.pool.tell("finished", A, **malformed_fields)
+        await rig.pool.notify("finished", A, **malformed_fields)
         assert (await client.answer())[1::2] == ("error", b"")  # no result is made up
         await wait_until(lambda: not rig.node.requests)
         await rig.running(client, B, "pay")  # the only slot is free again
@@ -75,9 +75,9 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay", timeout=300)
-        await rig.pool.tell("blocked", A, body="!!!")
+        await rig.pool.notify("blocked", A, body="!!!")
         assert (await client.answer())[1] == "error"
-        assert not rig.records.seen and not rig.pool.told("supply", A)
+        assert not rig.records.seen and not rig.pool.received_commands("supply", A)
 
 
 async def test_a_full_mailbox_still_accepts_the_end_of_a_run(monkeypatch):
@@ -115,11 +115,11 @@
             with suppress(OSError):
                 os.write(call_fd, reply_line)
         assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
-        assert len(rig.records.seen) == 1 and not rig.pool.told("supply", A)
+        assert len(rig.records.seen) == 1 and not rig.pool.received_commands("supply", A)
         await rig.calling(client, B, "pay")  # the late reply is not delivered to another request
         await rig.records.reply(B, "DONE", b"B's own")
-        await wait_until(lambda: rig.pool.told("supply", B))
-        assert rig.pool.told("supply", B)[0]["body"] == b64encode(b"B's own").decode()
+        await wait_until(lambda: rig.pool.received_commands("supply", B))
+        assert rig.pool.received_commands("supply", B)[0]["body"] == b64encode(b"B's own").decode()
 
 
 async def test_an_error_in_one_call_fails_that_call_alone(monkeypatch):
@@ -132,7 +132,7 @@
             await rig.records.reply(A, "DONE", b"reply")
             assert (await client.answer())[1] == "error"  # the call may have run
         await rig.records.reply(B, "DONE", b"reply")
-        await wait_until(lambda: rig.pool.told("supply", B))
+        await wait_until(lambda: rig.pool.received_commands("supply", B))
         await rig.pool.finish(B)
         assert (await client.answer())[1] == "done" and rig.clean is None
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -56,7 +56,7 @@
         set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
         peer.send(encode_request(A))  # in the kernel's receive buffer, not yet read by the server
         listener.close_idle(500.0)
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
 
@@ -71,7 +71,7 @@
         listener.close_idle(500.0)
         peer.send(encode_request(A))  # the server's FIN has been sent but not read
         got = await peer.to_the_end()  # no reset, which would discard the first answer
-        assert b"healthy" in got and b"closing" in got and not rig.pool.told("spawn", A)
+        assert b"healthy" in got and b"closing" in got and not rig.pool.received_commands("spawn", A)
         await wait_until(lambda: not listener.table.connections)
 
 
@@ -84,11 +84,11 @@
         oldest.send(encode_request(A))
         newcomer = RawClient(rig.port)
         rig.node.listeners[0]._accept()
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await oldest.until(b"result")
         other.send(encode_request(B))  # crosses the close
-        assert b"healthy" in await other.to_the_end() and not rig.pool.told("spawn", B)
+        assert b"healthy" in await other.to_the_end() and not rig.pool.received_commands("spawn", B)
         newcomer.send(STATUS)
         assert b"healthy" in await newcomer.until(b"healthy")
 
@@ -101,7 +101,7 @@
         excess = RawClient(rig.port)
         excess.send(encode_request(B))
         rig.node.listeners[0]._accept()
-        assert await excess.to_the_end() == b"" and not rig.pool.told("spawn", B)
+        assert await excess.to_the_end() == b"" and not rig.pool.received_commands("spawn", B)
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -130,13 +130,13 @@
         peer = RawClient(rig.port)
         peers.append(peer)
         if order == "after":
-            assert await peer.to_the_end() == b"" and not rig.pool.told("spawn", A)
+            assert await peer.to_the_end() == b"" and not rig.pool.received_commands("spawn", A)
         else:
             await wait_until(lambda: rig.node.listeners[0].table.connections)
             with anyio.move_on_after(0.05):
                 await anyio.sleep(1)
             peer.send(encode_request(A))
-            await wait_until(lambda: rig.pool.told("spawn", A))
+            await wait_until(lambda: rig.pool.received_commands("spawn", A))
             await rig.pool.finish(A)
             assert b"result" in await peer.until(b"result")
 
@@ -152,7 +152,7 @@
         listener.close_idle(500.0)
         assert not listener.table.shed_idle_connection()
         peer.send(message[20:])
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
 
@@ -204,7 +204,7 @@
         silent = [RawClient(rig.port) for _ in range(40)]
         last = RawClient(rig.port)
         last.send(encode_request(A))
-        await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
+        await wait_until(lambda: rig.pool.received_commands("spawn", A), 1.0)
         assert len(rig.node.listeners[0].table.connections) <= 10
         await rig.pool.finish(A)
         assert b"result" in await last.until(b"result")
@@ -223,7 +223,7 @@
         await wait_until(lambda: len(listener.table.lingering) == 9)
         active = RawClient(rig.port)
         active.send(encode_request(A))
-        await wait_until(lambda: rig.pool.told("spawn", A), 1.0)
+        await wait_until(lambda: rig.pool.received_commands("spawn", A), 1.0)
         assert rig.connection_of(idle).close_began_at_ms is None  # it has sent a valid message and is not shed
         await rig.pool.finish(A)
         assert b"result" in await active.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -89,14 +89,14 @@
         assert reply["change"]["step"] == "on_probation" and rig.node.generation.number == 2
         assert "book" not in rig.node.generation.retry_safety_by_class  # removed, but its earlier requests continue
         await rig.records.reply(A, "DONE", b"reply")
-        await wait_until(lambda: rig.pool.told("supply", A))
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.pool.finish(A)
         await rig.pool.finish(B, body=b"booked")
-        await wait_until(lambda: rig.pool.told("spawn", queued_id))
+        await wait_until(lambda: rig.pool.received_commands("spawn", queued_id))
         await rig.pool.finish(queued_id)
         outcomes = dict([(await client.answer())[:2] for _ in range(4)])
         assert outcomes == {1: "done", 2: "done", 3: "done", 4: "done"}
-        assert len(rig.pool.told("spawn", A)) == 1 and not rig.pool.told("spawn", C)
+        assert len(rig.pool.received_commands("spawn", A)) == 1 and not rig.pool.received_commands("spawn", C)
         await client.ask("00000000000000e5", "book", opkey="k2")
         assert (await client.answer())[:2] == (5, "error")
         assert (
@@ -191,7 +191,7 @@
 
 async def test_changes_during_a_worker_pool_outage_a_peer_address_change_and_a_drain():
     async with ServerRig(change_rules=RULES) as rig:
-        rig.pool.up.set()
+        rig.pool.accepts_binds.set()
         await wait_until(lambda: rig.node.phase is Phase.SERVING)
         client = await rig.caller()
         await rig.pool.down()
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -52,7 +52,7 @@
 ):
     async with ServerRig(in_subprocess=True, cpus=32) as rig:
         rig.config["limits"]["sockets"] = 120
-        rig.pool.up.set()
+        rig.pool.accepts_binds.set()
         async with run_program(rig, tmp_path) as process:
             with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, 120)
@@ -61,13 +61,13 @@
                 client = RawClient(rig.port)
                 stack.callback(client.sock.close)
                 client.send(encode_request(A, "read"))
-                await wait_until(lambda: rig.pool.told("spawn", A), 2.0)
+                await wait_until(lambda: rig.pool.received_commands("spawn", A), 2.0)
                 await rig.pool.block(A)
                 await wait_until(lambda: rig.records.seen, 1.0)  # a descriptor is left for a call
                 await rig.pool.cut()  # a descriptor is left to reconnect the link
-                await wait_until(lambda: len(rig.pool.binds()) == 2, 2.0)
+                await wait_until(lambda: len(rig.pool.received_binds()) == 2, 2.0)
                 await rig.records.reply(A, "DONE", b"reply")
-                await wait_until(lambda: rig.pool.told("supply", A), 1.0)
+                await wait_until(lambda: rig.pool.received_commands("supply", A), 1.0)
                 await rig.pool.finish(A)
                 assert b"result" in await client.until(b"result")
                 health_client = RawClient(rig.port)
@@ -84,7 +84,7 @@
 async def test_requests_are_served_under_a_small_descriptor_limit(descriptors, tmp_path):
     async with ServerRig(in_subprocess=True, cpus=32) as rig:
         rig.config["limits"]["sockets"] = descriptors
-        rig.pool.up.set()
+        rig.pool.accepts_binds.set()
         async with run_program(rig, tmp_path) as process:
             with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, descriptors)
@@ -92,7 +92,7 @@
                 client = await rig.caller()
                 await rig.calling(client, A, "read")
                 await rig.records.reply(A, "DONE", b"reply")
-                await wait_until(lambda: rig.pool.told("supply", A))
+                await wait_until(lambda: rig.pool.received_commands("supply", A))
                 await rig.pool.finish(A)
                 assert (await client.answer())[:2] == (1, "done")
                 await client.stream.aclose()
@@ -162,7 +162,7 @@
             lambda: all(request.is_client_disconnected or request.is_answered for request in rig.node.requests.values())
         )
         for request in list(rig.node.requests.values()):
-            await wait_until(lambda request=request: rig.pool.told("spawn", request.received.id_hex))
+            await wait_until(lambda request=request: rig.pool.received_commands("spawn", request.received.id_hex))
             await rig.pool.finish(request.received.id_hex, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
         for peer in peers:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -49,33 +49,35 @@
             "ms": 20.0,
             "body": b64encode(b"once").decode(),
         }
-        rig.pool.notices.append(notification)
+        rig.pool.notifications.append(notification)
         stream = rig.node.worker_pool._connection._stream
         if order == "before":
             send_unread_line(rig, **notification)
         # In the same event loop step: the reader that was woken finds the stream closed.
         stream.abort(CloseReason.RESET)
         assert (await client.answer())[1::2] == ("done", b"once")
-        await wait_until(lambda: len(rig.pool.binds()) == 2 and not rig.node.requests)
-        assert rig.pool.binds()[1]["seq"] == 0 and len(rig.pool.told("spawn", A)) == 1
+        await wait_until(lambda: len(rig.pool.received_binds()) == 2 and not rig.node.requests)
+        assert rig.pool.received_binds()[1]["seq"] == 0 and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 @pytest.mark.parametrize("first_start", ("lost", "running"))
 async def test_an_unconfirmed_non_idempotent_start_is_resent_after_its_request_if_runs_cannot_be_stopped(first_start):
     async with ServerRig(cpus=1, **{"stop-mode": "silent"}) as rig:
         client = await (await rig.up()).caller()
-        rig.pool.measures = False
+        rig.pool.answers_gauge_queries = False
         await rig.running(client, A, "pay", timeout=200)
-        rig.pool.measures = True
+        rig.pool.answers_gauge_queries = True
         await rig.pool.cut()
         await wait_until(lambda: rig.node.worker_pool.is_up)
-        assert len(rig.pool.told("spawn", A)) == 1  # it may be running, so it is not resent while the request is open
+        assert (
+            len(rig.pool.received_commands("spawn", A)) == 1
+        )  # it may be running, so it is not resent while the request is open
         assert (await client.answer())[1] == "error"
-        await wait_until(lambda: len(rig.pool.told("spawn", A)) == 2)
+        await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await rig.pool.finish(A, end="late" if first_start == "lost" else "fine")
         await wait_until(lambda: not rig.node.requests)
         await rig.running(client, B, "pay")  # the only slot is free again
-        assert len(rig.pool.told("spawn", A)) == 2
+        assert len(rig.pool.received_commands("spawn", A)) == 2
 
 
 async def test_a_link_failure_during_a_replacement_neither_loses_nor_repeats_commands():
@@ -83,17 +85,17 @@
         client = await (await rig.up()).caller()
         await rig.running(client, A, "pay")
         old = rig.pool
-        old.measures = False  # written commands stay unconfirmed, so the move waits
+        old.answers_gauge_queries = False  # written commands stay unconfirmed, so the move waits
         await rig.move()
         await wait_until(lambda: rig.node.worker_pool._connection.state is LinkState.MOVING)
         await client.ask(B, "pay")  # not sent on any link yet
         await old.cut()
-        await wait_until(lambda: rig.pool.told("spawn", B))
-        assert not old.told("spawn", B) and len(rig.pool.told("spawn", B)) == 1
+        await wait_until(lambda: rig.pool.received_commands("spawn", B))
+        assert not old.received_commands("spawn", B) and len(rig.pool.received_commands("spawn", B)) == 1
         for tag, request_id in ((1, A), (2, B)):
             await rig.pool.finish(request_id)
             assert (await client.answer())[:2] == (tag, "done")
-        assert not rig.pool.told("spawn", A)  # non-idempotent: an unconfirmed start is not resent
+        assert not rig.pool.received_commands("spawn", A)  # non-idempotent: an unconfirmed start is not resent
 
 
 @pytest.mark.parametrize("returns_to_first", (False, True))
@@ -110,12 +112,14 @@
             await rig.move()
         newest = rig.pool
         if not returns_to_first:  # the first link may take commands until its replacement begins
-            await wait_until(lambda: rig.node.worker_pool._connection.state is not LinkState.UP or newest.binds())
+            await wait_until(
+                lambda: rig.node.worker_pool._connection.state is not LinkState.UP or newest.received_binds()
+            )
         await client.ask(A)
-        await wait_until(lambda: newest.told("spawn", A))
+        await wait_until(lambda: newest.received_commands("spawn", A))
         await newest.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and not second.told("spawn", A)
-        assert returns_to_first or not first.told("spawn", A)
+        assert (await client.answer())[:2] == (1, "done") and not second.received_commands("spawn", A)
+        assert returns_to_first or not first.received_commands("spawn", A)
 
 
 async def test_load_reports_resume_when_the_directory_returns_at_another_address():
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -49,7 +49,7 @@
         assert rig.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
         tag = await rig.running(client, A, without="owner")
         await client.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
-        await wait_until(lambda: rig.pool.told("suspend", A))
+        await wait_until(lambda: rig.pool.received_commands("suspend", A))
         await rig.pool.finish(A, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
 
@@ -60,12 +60,13 @@
         for request_id in (A, B, C):
             await rig.calling(client, request_id, without="owner")
         await rig.records.reply(A, "DONE", b"reply")
-        await wait_until(lambda: rig.pool.told("supply", A))
+        await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.records.cut()  # replayable: either is right
         with anyio.fail_after(3):
             for request_id in (B, C):
                 await wait_until(
                     lambda request_id=request_id: (
-                        rig.pool.told("pass", request_id) or rig.records.seen.count(("OP", request_id, CALL_BODY)) > 1
+                        rig.pool.received_commands("pass", request_id)
+                        or rig.records.seen.count(("OP", request_id, CALL_BODY)) > 1
                     )
                 )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -160,15 +160,15 @@
             },
         )
         try:
-            rig.pool.up.set()
-            await wait_until(lambda: rig.pool.binds(), 20)
+            rig.pool.accepts_binds.set()
+            await wait_until(lambda: rig.pool.received_binds(), 20)
             client = await rig.caller()
             await client.ask(A)
-            await wait_until(lambda: rig.pool.told("spawn", A))
+            await wait_until(lambda: rig.pool.received_commands("spawn", A))
             await rig.pool.block(A)
             await wait_until(lambda: A in rig.records.lines)
             await rig.records.reply(A, "DONE", b"found")
-            await wait_until(lambda: rig.pool.told("supply", A))
+            await wait_until(lambda: rig.pool.received_commands("supply", A))
             await rig.pool.finish(A)
             assert (await client.answer())[:2] == (1, "done")
             links = rig.pool.links
@@ -177,7 +177,7 @@
             await rig.pool.cut()  # and a link that is lost
             await wait_until(lambda: rig.pool.links > links)
             await client.ask(B)
-            await wait_until(lambda: rig.pool.told("spawn", B))
+            await wait_until(lambda: rig.pool.received_commands("spawn", B))
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
             maps = Path(f"/proc/{process.pid}/maps").read_text()
             assert not children and "/libc.so" in maps, "one process, linked against the C library"
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -36,14 +36,14 @@
             assert (await client.answer())[1::2] == ("done", b"once")
         await client.ask(C, "book", opkey="k1", resent=1)
         assert (await client.answer())[1::2] == ("done", b"once")  # a true duplicate still gets the result
-        assert not rig.pool.told("spawn", B) and not rig.pool.told("spawn", C)
+        assert not rig.pool.received_commands("spawn", B) and not rig.pool.received_commands("spawn", C)
 
 
 async def test_a_key_can_be_reused_if_its_request_was_not_executed():
     async with ServerRig() as rig:
         other_client, client = await (await rig.up()).caller(), await rig.caller()
         await rig.running(other_client, A, "book", opkey="k1", body=b"made up")
-        await rig.pool.say(op="unknown", end="spawn", id=A)
+        await rig.pool.send_line(op="unknown", end="spawn", id=A)
         assert (await other_client.answer())[1] == "error"
         await wait_until(lambda: not rig.node.requests)
         await rig.running(client, B, "book", opkey="k1")
@@ -55,7 +55,7 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await client.ask(A, "book", opkey="k" * 257)
-        assert (await client.answer())[1] == "error" and not rig.pool.told("spawn", A)
+        assert (await client.answer())[1] == "error" and not rig.pool.received_commands("spawn", A)
         await client.ask(D, "read", subject="k" * 257)
         assert (await client.answer())[1] == "error"
 
@@ -70,9 +70,9 @@
         await wait_until(lambda: len(rig.node.requests) == 1)
         await client.ask(B, "book", opkey="k1", resent=1)
         await rig.pool.finish(C)
-        await wait_until(lambda: rig.pool.told("spawn", B))
+        await wait_until(lambda: rig.pool.received_commands("spawn", B))
         await rig.pool.finish(B, body=b"once")
-        assert not rig.pool.told("spawn", A)
+        assert not rig.pool.received_commands("spawn", A)
         assert sorted([(await client.answer())[1::2] for _ in range(2)]) == [("done", b"once"), ("done", b"result")]
 
 
@@ -92,7 +92,7 @@
         assert (await client.answer())[1::2] == ("done", b"once")
         await wait_until(lambda: time.time() * 1000 > started_at_ms + 600)
         await client.ask(B, "book", opkey="k1", resent=1, ts=started_at_ms + 290)
-        assert (await client.answer())[1::2] == ("done", b"once") and not rig.pool.told("spawn", B)
+        assert (await client.answer())[1::2] == ("done", b"once") and not rig.pool.received_commands("spawn", B)
         # Received after the window, so not a duplicate.
         await rig.running(client, C, "book", opkey="k1", ts=started_at_ms + 500)
 
@@ -109,7 +109,7 @@
         )
         await client.ask(B, "book", opkey="k1", resent=1)
         await wait_until(lambda: len(rig.node.requests) == 2)
-        assert not rig.pool.told("spawn", B)
+        assert not rig.pool.received_commands("spawn", B)
         await rig.pool.finish(A, body=b"once")
         assert (await client.answer())[1::2] == ("done", b"once")
         await wait_until(lambda: not rig.node.requests)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -68,7 +68,7 @@
         assert listener_with_late_client.late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0, (
             "the connection was accepted and would be reset"
         )
-        assert not rig.pool.told("spawn", A)
+        assert not rig.pool.received_commands("spawn", A)
         listener_with_late_client.late.close()
 
 
@@ -78,7 +78,7 @@
         peer = RawClient(rig.port)
         peer.send(encode_request(A))
         rig.node.listeners[0].stop_accepting()  # before the server accepts the connection
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
         with pytest.raises(OSError):
@@ -92,7 +92,7 @@
         rig.node.begin_shutdown()
         late = RawClient(rig.port)
         late.send(encode_request(B))
-        await wait_until(lambda: rig.pool.told("spawn", B))
+        await wait_until(lambda: rig.pool.received_commands("spawn", B))
         await wait_until(lambda: rig.listener.fileno() < 0)
         assert rig.node.phase is Phase.DRAINING  # both answers are outstanding
         with pytest.raises(OSError):
@@ -144,7 +144,7 @@
             monkeypatch.setattr(connection.stream, "shut_down", shut_down_while_request_arrives)
         rig.node.begin_shutdown()
         got = await peer.to_the_end()
-        assert b"healthy" in got and not rig.pool.told("spawn", A)
+        assert b"healthy" in got and not rig.pool.received_commands("spawn", A)
         # The request is answered only if it was read; otherwise the client sends it again.
         assert (b"later" in got) is (order == "before")
         await wait_until(lambda: rig.clean is True)
@@ -160,7 +160,7 @@
         with anyio.move_on_after(0.15):  # longer than the server waits for messages that cross a close
             await anyio.sleep(1)
         peer.send(message[30:])  # it reached the machine within the grace period, so it is run
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await peer.until(b"result")
         peer.sock.close()
@@ -220,7 +220,7 @@
         rig.node.begin_shutdown()
         await rig.move()  # the new worker pool address takes over the runs of the old one
         rig.node.begin_shutdown()
-        await wait_until(lambda: len(rig.pool.binds()) == 1 and rig.node.worker_pool.is_up)
+        await wait_until(lambda: len(rig.pool.received_binds()) == 1 and rig.node.worker_pool.is_up)
         await rig.pool.finish(A)
         assert [(await client.answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
         await client.stream.aclose()
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -68,7 +68,7 @@
 
 
 async def finish_request(rig: ServerRig, peer: RawClient, request_id: str) -> None:
-    await wait_until(lambda: rig.pool.told("spawn", request_id))
+    await wait_until(lambda: rig.pool.received_commands("spawn", request_id))
     await rig.pool.finish(request_id)
     assert b"result" in await peer.until(b"result")
 
@@ -81,7 +81,7 @@
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
         other = await connect_idle_client(rig)
         other.send(clock.encode_request(B))  # an open request, which keeps a server that shuts down from ending earlier
-        await wait_until(lambda: rig.pool.told("spawn", B))
+        await wait_until(lambda: rig.pool.received_commands("spawn", B))
         clock.advance(MESSAGE_TIMEOUT_MS + 500.0)
         if shutting_down:
             rig.node.begin_shutdown()
@@ -134,7 +134,7 @@
         peer = await connect_idle_client(rig)
         began_at_s = time.monotonic()
         peer.send(encode_request(A) + encode_request(B, tag=3)[:30])
-        await wait_until(lambda: rig.pool.told("spawn", A))
+        await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await wait_until(lambda: rig.connection_of(peer) in rig.node.listeners[0].table.slow_writers)
         await anyio.sleep(0.5)
         connection = rig.connection_of(peer)
