--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -26,7 +26,10 @@
         await rig.records.reply(A, status, body)
         await wait_until(lambda: rig.pool.received_commands("supply", A) and rig.pool.received_commands("supply", B))
         assert b64decode(rig.pool.received_commands("supply", A)[0]["body"]) == body
-        assert b64decode(rig.pool.received_commands("supply", B)[0]["body"]) == body + b"b" and rig.records.links == 2
+        assert (
+            b64decode(rig.pool.received_commands("supply", B)[0]["body"]) == body + b"b"
+            and rig.records.connection_count == 2
+        )
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
 
@@ -38,26 +41,26 @@
         await rig.calling(client, A, "pay")
         await rig.records.reply(A, status)
         if is_retried:
-            await wait_until(lambda: rig.records.seen.count(("OP", A, CALL_BODY)) == 2)
+            await wait_until(lambda: rig.records.received.count(("OP", A, CALL_BODY)) == 2)
         else:
             assert (await client.answer())[:2] == (1, "error")
-            assert rig.records.seen.count(("OP", A, CALL_BODY)) == 1
+            assert rig.records.received.count(("OP", A, CALL_BODY)) == 1
 
 
 async def test_a_non_idempotent_call_is_retried_after_a_refused_connection_but_not_after_a_broken_one():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
-        await rig.records.cut()
+        await rig.records.abort_connections()
         assert (await client.answer())[:2] == (1, "error")
         await rig.pool.finish(A, end="broken_off")
-        await rig.records.down()
+        await rig.records.stop()
         await rig.running(client, B, "pay")
         await rig.pool.block(B)
         await anyio.sleep(0.05)
         assert rig.node.requests  # the connection is refused, and the call is retried later
         await rig.records.listen(rig._tasks, rig.records.port)
-        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
+        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.received)
 
 
 async def test_a_call_on_a_closed_pooled_connection_is_sent_on_a_new_one():
@@ -70,8 +73,8 @@
         # The task that reads from the connection does not notice this yet.
         rig.node.dependency_client._idle_connections[0]._stream.abort(CloseReason.RESET)
         await rig.pool.block(B)
-        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.seen)
-        assert rig.records.links == 2 and not rig.node.requests[int(B, 16)].is_answered
+        await wait_until(lambda: ("OP", B, CALL_BODY) in rig.records.received)
+        assert rig.records.connection_count == 2 and not rig.node.requests[int(B, 16)].is_answered
 
 
 async def test_a_timed_out_call_is_cancelled_so_that_no_late_reply_can_arrive():
@@ -80,7 +83,7 @@
         await rig.calling(client, A, "pay", timeout=300)
         assert (await client.answer())[:2] == (1, "error")
         # Closing the connection cancels the call, so no late reply can arrive.
-        await wait_until(lambda: not rig.records.lines[A])
+        await wait_until(lambda: not rig.records.connections_by_request[A])
         await rig.running(client, B)
         assert not rig.pool.received_commands("supply", A)
 
@@ -90,7 +93,7 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A)
         await client.send("NEVERMIND", "1")
-        await wait_until(lambda: not rig.records.lines[A])
+        await wait_until(lambda: not rig.records.connections_by_request[A])
         await rig.pool.finish(A, end="broken_off")
         await wait_until(lambda: not rig.node.requests)
 
@@ -112,7 +115,7 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, B, "pay")
         await rig.calling(client, A, "pay")
-        await rig.records.lines[A].send(text.encode())
+        await rig.records.connections_by_request[A].send(text.encode())
         assert (await client.answer())[:2] == (2, "error")
         await rig.records.reply(B, "DONE", b"")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
@@ -125,16 +128,16 @@
         await rig.records.reply(A, "DONE", b"")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.calling(client, B)
-        assert rig.records.links == 1
+        assert rig.records.connection_count == 1
         await rig.records.reply(B, "DONE", b"")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
         await anyio.sleep(0.12)
         await rig.calling(client, C)
-        assert rig.records.links == 2
+        assert rig.records.connection_count == 2
         await rig.records.reply(C, "DONE", b"")
         await rig.records.reply(C, "DONE", b"")  # a duplicate reply, which the next call must not receive
         await wait_until(lambda: rig.pool.received_commands("supply", C))
         await rig.pool.block(C)
-        await wait_until(lambda: rig.records.seen.count(("OP", C, CALL_BODY)) == 2)
+        await wait_until(lambda: rig.records.received.count(("OP", C, CALL_BODY)) == 2)
         await anyio.sleep(0.02)
-        assert rig.records.links == 3 and len(rig.pool.received_commands("supply", C)) == 1
+        assert rig.records.connection_count == 3 and len(rig.pool.received_commands("supply", C)) == 1
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -74,7 +74,7 @@
         )
         client = await rig.caller()
         await client.send("STATUS", "1", "")
-        assert (await client.answer())[1] == "healthy" and listener.accepts >= 4
+        assert (await client.answer())[1] == "healthy" and listener.accept_count >= 4
 
 
 async def test_silent_connections_are_shed_before_idle_ones_and_those_with_open_requests_never():
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -240,7 +240,7 @@
             tag = await rig.running(client, request_id, body=bytes(2048))
             await rig.pool.finish(request_id, body=bytes(4096))
             assert (await client.answer())[0] == tag
-            rig.pool.seen.clear()
+            rig.pool.received.clear()
             rig.pool.notifications.clear()
             if number in (200, 600):
                 # Commands are kept until a later query is answered; they must not be counted as left over.
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -24,10 +24,10 @@
         await rig.running(client, B)
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
-        await rig.pool.cut()
+        await rig.pool.abort_connections()
         await rig.pool.finish(B)  # while there is no link
         assert (await client.answer())[:2] == (2, "done")
-        assert [each["seq"] for each in rig.pool.seen if each["op"] == "bind"] == [0, 1]
+        assert [each["seq"] for each in rig.pool.received if each["op"] == "bind"] == [0, 1]
         await rig.pool.send_line(**rig.pool.notifications[0])
         await rig.pool.finish("00000000000000ff")
         await rig.pool.notify("chatter", A, end="hello")
@@ -45,7 +45,7 @@
         await rig.running(client, A, "read")
         await rig.running(client, B, "pay", timeout=600)
         rig.pool.answers_gauge_queries = True
-        await rig.pool.cut()
+        await rig.pool.abort_connections()
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await wait_until(lambda: rig.node.worker_pool.is_up)
         assert len(rig.pool.received_commands("spawn", B)) == 1
@@ -57,12 +57,12 @@
         client = await (await rig.up()).caller()
         rig.pool.answers_gauge_queries = False
         await rig.running(client, A)
-        await rig.pool.cut()
-        await wait_until(lambda: rig.pool.links == 2 and rig.node.worker_pool.is_up)
+        await rig.pool.abort_connections()
+        await wait_until(lambda: rig.pool.connection_count == 2 and rig.node.worker_pool.is_up)
         await rig.running(client, B)  # although no query is answered
         assert len(rig.pool.received_commands("spawn", A)) == 1
         rig.pool.answers_gauge_queries = True
-        await rig.pool.cut()
+        await rig.pool.abort_connections()
         await wait_until(
             lambda: (
                 len(rig.pool.received_commands("spawn", A)) == 2 and len(rig.pool.received_commands("spawn", B)) == 2
@@ -80,14 +80,14 @@
         rig.node.worker_pool._connection._stream.abort(CloseReason.RESET)  # the reading task does not notice this yet
         rig.node.worker_pool.resume_with_reply(rig.node.requests[int(A, 16)], b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
-        assert rig.pool.links == 2 and len(rig.pool.received_commands("spawn", A)) == 1
+        assert rig.pool.connection_count == 2 and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 async def test_commands_wait_until_the_worker_pool_is_reachable_again():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         port = rig.pool.port
-        await rig.pool.down()
+        await rig.pool.stop()
         await client.ask(A)
         await wait_until(lambda: rig.node.requests)
         await anyio.sleep(0.1)
@@ -111,15 +111,15 @@
         rig.config = {**config_before, "stop_ms": 5}  # this change needs a restart
         await rig.move()
         rig.pool.answers_gauge_queries = False  # no command is confirmed at the new address
-        await wait_until(lambda: rig.pool.seen and rig.node.worker_pool.is_up)
-        assert rig.pool.seen[0] == {"op": "bind", "seq": 1} and old_pool.links == 1
+        await wait_until(lambda: rig.pool.received and rig.node.worker_pool.is_up)
+        assert rig.pool.received[0] == {"op": "bind", "seq": 1} and old_pool.connection_count == 1
         assert rig.node.generation.config.stop_ms == 700
         await rig.running(client, C, "pay")
         assert not rig.pool.received_commands("spawn", A) and not rig.pool.received_commands("spawn", B)
         await old_records.reply(A, "DONE", b"late")  # a call in flight continues at the old address
         await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.pool.block(C)
-        await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.seen)
+        await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.received)
         for tag, request_id in ((1, A), (2, B), (3, C)):
             await rig.pool.finish(request_id)
             assert (await client.answer())[:2] == (tag, "done")
@@ -145,7 +145,7 @@
 async def test_new_addresses_are_adopted_while_there_is_no_link():
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
-        await rig.pool.down()
+        await rig.pool.stop()
         await client.ask(A)
         await anyio.sleep(0.3)  # until the pauses between connection attempts are longer
         started_at = time.monotonic()
@@ -172,7 +172,7 @@
                 rig.node.reload()
             return stream
 
-        await rig.pool.down()
+        await rig.pool.stop()
         await client.ask(A)
         newest = await rig.another_pool()
         monkeypatch.setattr(worker_pool_connection, "connect", connect_and_change_address)
@@ -187,7 +187,7 @@
         rig.pool.answers_gauge_queries = False
         await rig.running(client, A, "pay", timeout=200)
         rig.pool.answers_gauge_queries = True
-        await rig.pool.cut()  # the start is lost, so the run never exists
+        await rig.pool.abort_connections()  # the start is lost, so the run never exists
         assert (await client.answer())[:2] == (1, "error")
         await wait_until(lambda: not rig.node.requests)
         assert len(rig.pool.received_commands("spawn", A)) == 1
@@ -203,7 +203,7 @@
             await rig.records.reply(request_id, "DONE", b"")
             await wait_until(lambda request_id=request_id: rig.pool.received_commands("supply", request_id))
         rig.pool.answers_gauge_queries = True
-        await rig.pool.cut()
+        await rig.pool.abort_connections()
         await wait_until(lambda: rig.pool.received_commands("suspend", A))
         await rig.pool.finish(A, end="broken_off")
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
@@ -230,7 +230,7 @@
         await rig.running(client, A)
         await rig.pool.stream.send(line)
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.connection_count == 1
 
 
 async def test_gauges_are_passed_to_the_timer_which_also_fires_without_them(monkeypatch):
@@ -275,7 +275,7 @@
     async with ServerRig() as rig:
         client = await (await rig.up()).caller()
         rig.pool.answers_gauge_queries = False
-        await wait_until(lambda: rig.pool.links == 2)
+        await wait_until(lambda: rig.pool.connection_count == 2)
         rig.pool.answers_gauge_queries = True
         await rig.running(client, A)
         await rig.pool.finish(A)
@@ -291,4 +291,4 @@
         await other.send("STATUS", "1", "")
         assert await other.ended()
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and rig.pool.links == 1
+        assert (await client.answer())[:2] == (1, "done") and rig.pool.connection_count == 1
--- a/tests/support/failing_listener.py
+++ b/tests/support/failing_listener.py
@@ -13,17 +13,17 @@
         codes: The errno of each failure.
 
     Attributes:
-        accepts: How many times accept was called.
+        accept_count: How many times accept was called.
     """
 
     def __init__(self, real: socket.socket, *codes: int) -> None:
         self._real = real
         self.codes = list(codes)
-        self.accepts = 0
+        self.accept_count = 0
 
     def accept(self) -> tuple[socket.socket, object]:
         """Fail with the next code, or accept once there is none left."""
-        self.accepts += 1
+        self.accept_count += 1
         if self.codes:
             raise OSError(self.codes.pop(0), "made up")
         return self._real.accept()
--- a/tests/support/fake_records_service.py
+++ b/tests/support/fake_records_service.py
@@ -27,12 +27,12 @@
     """The records service: it keeps calls as (verb, request id, body).
 
     Attributes:
-        lines: The connection on which each request's last call came.
+        connections_by_request: The connection on which each request's last call came.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.lines = CallConnections(self.streams)
+        self.connections_by_request = CallConnections(self.streams)
 
     async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
         """Keep each complete call and its connection."""
@@ -42,12 +42,12 @@
             size = int(rest[1]) if rest else 0
             if rest and len(buffered) < start + size + 2:
                 return buffered
-            self.seen.append((verb, request_id, buffered[start : start + size]))
-            self.lines[request_id] = stream
+            self.received.append((verb, request_id, buffered[start : start + size]))
+            self.connections_by_request[request_id] = stream
             buffered = buffered[start + (size + 2 if rest else 0) :]
         return buffered
 
     async def reply(self, request_id: str, word: str, body: bytes | None = None, to: str = "") -> None:
         """Send a reply on the connection of the request's call, or on that of the request named by `to`."""
         tail = b"" if body is None else b" %d\r\n%b" % (len(body), body)
-        await self.lines[to or request_id].send(f"{request_id} {word}".encode() + tail + b"\r\n")  # type: ignore[union-attr]
+        await self.connections_by_request[to or request_id].send(f"{request_id} {word}".encode() + tail + b"\r\n")  # type: ignore[union-attr]
--- a/tests/support/fake_tcp_service.py
+++ b/tests/support/fake_tcp_service.py
@@ -13,16 +13,16 @@
     """A listener that accepts any number of connections and answers on the last one.
 
     Attributes:
-        links: How many connections were accepted.
-        stream: The last connection, or None after `cut`.
-        seen: The messages received, in order.
+        connection_count: How many connections were accepted.
+        stream: The last connection, or None after `abort_connections`.
+        received: The messages received, in order.
         streams: All open connections.
     """
 
     def __init__(self) -> None:
-        self.links = 0
+        self.connection_count = 0
         self.stream: anyio.abc.SocketStream | None = None
-        self.seen: list[Any] = []
+        self.received: list[Any] = []
         self.streams: set[anyio.abc.SocketStream] = set()
 
     async def listen(self, tasks: anyio.abc.TaskGroup, port: int = 0) -> Any:
@@ -30,7 +30,7 @@
         self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.port = self.listener.extra(anyio.abc.SocketAttribute.local_port)
         self.scope = anyio.CancelScope()
-        self.over = anyio.Event()
+        self.stopped = anyio.Event()
         tasks.start_soon(self._serve)
         return self
 
@@ -38,11 +38,11 @@
         with self.scope:
             await self.listener.serve(self._handle)
         await self.listener.aclose()
-        self.over.set()
+        self.stopped.set()
 
     async def _handle(self, stream: anyio.abc.SocketStream) -> None:
         self.stream = stream
-        self.links += 1
+        self.connection_count += 1
         buffered = b""
         self.streams.add(stream)
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -54,14 +54,14 @@
         """Handle the complete messages, and return the rest."""
         raise NotImplementedError
 
-    async def cut(self) -> None:
+    async def abort_connections(self) -> None:
         """Close all connections forcefully."""
         self.stream = None
         for stream in list(self.streams):
             await anyio.aclose_forcefully(stream)
 
-    async def down(self) -> None:
+    async def stop(self) -> None:
         """Stop listening, and close all connections."""
         self.scope.cancel()
-        await self.over.wait()
-        await self.cut()
+        await self.stopped.wait()
+        await self.abort_connections()
--- a/tests/support/fake_worker_pool.py
+++ b/tests/support/fake_worker_pool.py
@@ -42,7 +42,7 @@
                 if self.answers_gauge_queries:
                     await self.send_line(op="polled", tag=command["tag"], values=[0.5, 1, 0.1, 3])
                 continue
-            self.seen.append(command)
+            self.received.append(command)
             if command["op"] == "bind":
                 await self._bind(command["seq"])
         return rest
@@ -76,8 +76,8 @@
 
     def received_binds(self) -> list[dict[str, object]]:
         """Return the bind commands received."""
-        return [command for command in self.seen if command["op"] == "bind"]
+        return [command for command in self.received if command["op"] == "bind"]
 
     def received_commands(self, op: str, request_id: str) -> list[dict[str, object]]:
         """Return the commands of this kind received for the request."""
-        return [command for command in self.seen if command["op"] == op and command.get("id") == request_id]
+        return [command for command in self.received if command["op"] == op and command.get("id") == request_id]
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -211,7 +211,7 @@
         """Send a request, and wait until its run's call has reached the records service; return its number."""
         tag = await self.running(client, request_id, class_name, **fields)
         await self.pool.block(request_id)
-        await wait_until(lambda: ("OP", request_id, CALL_BODY) in self.records.seen)
+        await wait_until(lambda: ("OP", request_id, CALL_BODY) in self.records.received)
         return tag
 
 
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -58,7 +58,7 @@
         await wait_until(lambda: not rig.node.requests)
         await rig.running(client, B, "pay")  # the only slot is free again
         await rig.pool.finish(B)
-        assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.links == 1
+        assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.connection_count == 1
 
 
 async def test_a_line_that_is_not_json_still_ends_the_run_that_it_names():
@@ -77,7 +77,7 @@
         await rig.running(client, A, "pay", timeout=300)
         await rig.pool.notify("blocked", A, body="!!!")
         assert (await client.answer())[1] == "error"
-        assert not rig.records.seen and not rig.pool.received_commands("supply", A)
+        assert not rig.records.received and not rig.pool.received_commands("supply", A)
 
 
 async def test_a_full_mailbox_still_accepts_the_end_of_a_run(monkeypatch):
@@ -105,7 +105,7 @@
         client = await (await rig.up()).caller()
         await rig.calling(client, A, "pay")
         (request,) = rig.node.requests.values()
-        call_fd = rig.records.lines[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
+        call_fd = rig.records.connections_by_request[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         reply_line = A.encode() + b" " + reply
         if order == "before":
             os.write(call_fd, reply_line)  # in the kernel's receive buffer, not yet read by the server
@@ -115,7 +115,7 @@
             with suppress(OSError):
                 os.write(call_fd, reply_line)
         assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
-        assert len(rig.records.seen) == 1 and not rig.pool.received_commands("supply", A)
+        assert len(rig.records.received) == 1 and not rig.pool.received_commands("supply", A)
         await rig.calling(client, B, "pay")  # the late reply is not delivered to another request
         await rig.records.reply(B, "DONE", b"B's own")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
@@ -173,8 +173,8 @@
         await rig.running(client, third, "pay")
         await rig.pool.block(third)
         await wait_until(lambda: rig.node.requests[int(third, 16)].call.seq)
-        assert not [seen for seen in rig.records.seen if seen[1] == third]
+        assert not [call for call in rig.records.received if call[1] == third]
         await rig.records.reply(A, "DONE", b"reply")
         # The call is sent as soon as a descriptor is free.
-        await wait_until(lambda: ("OP", third, CALL_BODY) in rig.records.seen)
-        assert rig.records.links <= 3
+        await wait_until(lambda: ("OP", third, CALL_BODY) in rig.records.received)
+        assert rig.records.connection_count <= 3
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -236,5 +236,5 @@
         failing = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
         peer = RawClient(rig.port)
         peer.send(STATUS)
-        assert b"healthy" in await peer.until(b"healthy") and failing.accepts >= 2
+        assert b"healthy" in await peer.until(b"healthy") and failing.accept_count >= 2
         assert rig.clean is None  # the server is still running
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -194,7 +194,7 @@
         rig.pool.accepts_binds.set()
         await wait_until(lambda: rig.node.phase is Phase.SERVING)
         client = await rig.caller()
-        await rig.pool.down()
+        await rig.pool.stop()
         await wait_until(lambda: not rig.node.worker_pool.is_up)
         await rig.push({"machine": {"cores": 7}})
         # Longer than the maximum canary period, but a change that could not be observed is not confirmed.
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -63,8 +63,8 @@
                 client.send(encode_request(A, "read"))
                 await wait_until(lambda: rig.pool.received_commands("spawn", A), 2.0)
                 await rig.pool.block(A)
-                await wait_until(lambda: rig.records.seen, 1.0)  # a descriptor is left for a call
-                await rig.pool.cut()  # a descriptor is left to reconnect the link
+                await wait_until(lambda: rig.records.received, 1.0)  # a descriptor is left for a call
+                await rig.pool.abort_connections()  # a descriptor is left to reconnect the link
                 await wait_until(lambda: len(rig.pool.received_binds()) == 2, 2.0)
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.received_commands("supply", A), 1.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -67,11 +67,10 @@
         rig.pool.answers_gauge_queries = False
         await rig.running(client, A, "pay", timeout=200)
         rig.pool.answers_gauge_queries = True
-        await rig.pool.cut()
+        await rig.pool.abort_connections()
         await wait_until(lambda: rig.node.worker_pool.is_up)
-        assert (
-            len(rig.pool.received_commands("spawn", A)) == 1
-        )  # it may be running, so it is not resent while the request is open
+        # The run may have started, so the command is not resent while the request is open.
+        assert len(rig.pool.received_commands("spawn", A)) == 1
         assert (await client.answer())[1] == "error"
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await rig.pool.finish(A, end="late" if first_start == "lost" else "fine")
@@ -89,7 +88,7 @@
         await rig.move()
         await wait_until(lambda: rig.node.worker_pool._connection.state is LinkState.MOVING)
         await client.ask(B, "pay")  # not sent on any link yet
-        await old.cut()
+        await old.abort_connections()
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
         assert not old.received_commands("spawn", B) and len(rig.pool.received_commands("spawn", B)) == 1
         for tag, request_id in ((1, A), (2, B)):
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -61,12 +61,12 @@
             await rig.calling(client, request_id, without="owner")
         await rig.records.reply(A, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
-        await rig.records.cut()  # replayable: either is right
+        await rig.records.abort_connections()  # replayable: either is right
         with anyio.fail_after(3):
             for request_id in (B, C):
                 await wait_until(
                     lambda request_id=request_id: (
                         rig.pool.received_commands("pass", request_id)
-                        or rig.records.seen.count(("OP", request_id, CALL_BODY)) > 1
+                        or rig.records.received.count(("OP", request_id, CALL_BODY)) > 1
                     )
                 )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -166,16 +166,16 @@
             await client.ask(A)
             await wait_until(lambda: rig.pool.received_commands("spawn", A))
             await rig.pool.block(A)
-            await wait_until(lambda: A in rig.records.lines)
+            await wait_until(lambda: A in rig.records.connections_by_request)
             await rig.records.reply(A, "DONE", b"found")
             await wait_until(lambda: rig.pool.received_commands("supply", A))
             await rig.pool.finish(A)
             assert (await client.answer())[:2] == (1, "done")
-            links = rig.pool.links
+            connection_count = rig.pool.connection_count
             file.write_text(json.dumps({**rig.config, "lookup": "127.0.0.1:9"}))
             process.send_signal(signal.SIGHUP)
-            await rig.pool.cut()  # and a link that is lost
-            await wait_until(lambda: rig.pool.links > links)
+            await rig.pool.abort_connections()  # and a link that is lost
+            await wait_until(lambda: rig.pool.connection_count > connection_count)
             await client.ask(B)
             await wait_until(lambda: rig.pool.received_commands("spawn", B))
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
