--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -20,12 +20,12 @@
 
 async def test_a_drain_runs_requests_received_within_the_grace_period_and_rejects_later_ones():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
-        rig.node.begin_shutdown()
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
+        rig.server.begin_shutdown()
         await client.send("STATUS", "90", "")
         assert (await client.answer())[:2] == (90, "sick")
-        await rig.running(client, B)
+        await rig.start_run(client, B)
         await anyio.sleep(0.25)
         await client.ask(C)
         assert (await client.answer())[:2] == (3, "later") and not rig.pool.received_commands("spawn", C)
@@ -33,21 +33,21 @@
         await rig.pool.finish(B)
         assert [(await client.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
         await client.stream.aclose()
-        await wait_until(lambda: rig.clean is True)
+        await wait_until(lambda: rig.exited_cleanly is True)
         with pytest.raises(OSError):
-            await rig.caller()
+            await rig.connect_client()
 
 
 async def test_a_shutdown_answers_all_requests_before_the_process_is_killed():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
-        await rig.running(client, B, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
+        await rig.start_run(client, B, "pay")
         started_at = time.monotonic()
-        rig.node.begin_shutdown()
+        rig.server.begin_shutdown()
         answers = sorted([await client.answer(), await client.answer()])
         assert [status for _, status, _, _ in answers] == ["error", "error"] and time.monotonic() - started_at < 0.7
-        await wait_until(lambda: rig.clean is True)
+        await wait_until(lambda: rig.exited_cleanly is True)
         assert time.monotonic() - started_at < 0.75
 
 
@@ -74,13 +74,13 @@
                 with anyio.fail_after(10):
                     while client is None:
                         try:
-                            client = await rig.caller()
+                            client = await rig.connect_client()
                         except OSError:
                             await anyio.sleep(0.02)
                 await wait_until(lambda: rig.pool.gauge_query_count)
                 file.write_text("{")
                 process.send_signal(signal.SIGHUP)
-                await rig.running(client, A)
+                await rig.start_run(client, A)
                 process.send_signal(stop_signal)
                 process.send_signal(signal.SIGHUP)
                 await rig.pool.finish(A)
--- a/tests/server/test_failures.py
+++ b/tests/server/test_failures.py
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize("method", ("request_received", "timer_fired", "run_ended", "drain"))
 async def test_a_controller_error_fails_the_server_and_all_requests_are_answered(method, monkeypatch):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
 
         def raise_error(self, *values):
             raise RuntimeError("injected error")
@@ -28,41 +28,41 @@
         elif method == "run_ended":
             await rig.pool.finish(A)
         elif method == "drain":
-            rig.node.begin_shutdown()
+            rig.server.begin_shutdown()
         statuses = {(await client.answer())[1]}
         if method == "request_received":
             statuses.add((await client.answer())[1])
-        assert statuses == {"error"} and rig.node.phase is Phase.FAILED
+        assert statuses == {"error"} and rig.server.phase is Phase.FAILED
         await client.send("STATUS", "91", "")
         with anyio.move_on_after(1):
             while (await client.answer())[0] != 0:
                 pass
         await client.stream.aclose()
-        await wait_until(lambda: rig.clean is False)
+        await wait_until(lambda: rig.exited_cleanly is False)
 
 
 async def test_an_error_on_a_connection_closes_only_that_connection_after_answering_its_requests(monkeypatch):
     async with ServerRig() as rig:
-        await rig.up()
-        client, other = await rig.caller(), await rig.caller()
-        await rig.running(client, A)
-        await rig.running(other, B)
+        await rig.wait_until_serving()
+        client, other = await rig.connect_client(), await rig.connect_client()
+        await rig.start_run(client, A)
+        await rig.start_run(other, B)
         monkeypatch.setattr(tagged_requests, "decode_request", lambda *values: 1 / 0)
         await client.ask(C)
         assert (await client.answer())[:2] == (2, "error")
         for request_id, each in ((A, client), (B, other)):
             await rig.pool.finish(request_id)
             assert (await each.answer())[:2] == (1, "done")
-        assert await client.ended() and rig.node.phase is Phase.SERVING
+        assert await client.ended() and rig.server.phase is Phase.SERVING
 
 
 async def test_an_error_in_a_request_lifecycle_fails_the_server(monkeypatch):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
-        await rig.running(client, B)
-        monkeypatch.setattr(rig.node.idempotency_table, "finish", lambda *values: 1 / 0)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
+        await rig.start_run(client, B)
+        monkeypatch.setattr(rig.server.idempotency_table, "finish", lambda *values: 1 / 0)
         await rig.pool.finish(A)
         assert sorted([(await client.answer())[:2], (await client.answer())[:2]]) == [(1, "done"), (2, "error")]
         await client.stream.aclose()
-        await wait_until(lambda: rig.clean is False)
+        await wait_until(lambda: rig.exited_cleanly is False)
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -30,10 +30,10 @@
 )
 async def test_malformed_input_closes_only_its_connection_after_answering_its_requests(text):
     async with ServerRig() as rig:
-        await rig.up()
-        client, other = await rig.caller(), await rig.caller()
-        await rig.running(client, A)
-        await rig.running(other, B)
+        await rig.wait_until_serving()
+        client, other = await rig.connect_client(), await rig.connect_client()
+        await rig.start_run(client, A)
+        await rig.start_run(other, B)
         await client.stream.send(text)  # one of the inputs reuses the tag of an open request
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done") and await client.ended()
@@ -43,8 +43,8 @@
 
 async def test_a_connection_closed_with_unread_input_is_not_reset_before_its_answers_arrive():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
         await client.stream.send(b"nonsense\r\n" * 20_000)  # more than the server reads before it closes the connection
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
@@ -54,12 +54,12 @@
 
 async def test_idle_connections_are_asked_to_close_and_a_request_sent_meanwhile_is_answered():
     async with ServerRig() as rig:
-        await rig.up()
-        idle, busy = await rig.caller(), await rig.caller()
-        await rig.running(busy, A)
-        rig.node.advertised.idle_connection_timeout_ms = 50.0
+        await rig.wait_until_serving()
+        idle, busy = await rig.connect_client(), await rig.connect_client()
+        await rig.start_run(busy, A)
+        rig.server.advertised.idle_connection_timeout_ms = 50.0
         assert await idle.answer() == (0, "closing", {}, b"")
-        await rig.running(idle, B)
+        await rig.start_run(idle, B)
         await rig.pool.finish(B)
         assert (await idle.answer())[:2] == (1, "done")
         await rig.pool.finish(A)
@@ -68,32 +68,32 @@
 
 async def test_the_listener_survives_running_out_of_file_descriptors():
     async with ServerRig() as rig:
-        await rig.up()
-        listener = rig.node.listeners[0]._listener = FailingListener(
+        await rig.wait_until_serving()
+        listener = rig.server.listeners[0]._listener = FailingListener(
             rig.listener, errno.EMFILE, errno.ENFILE, errno.EMFILE
         )
-        client = await rig.caller()
+        client = await rig.connect_client()
         await client.send("STATUS", "1", "")
         assert (await client.answer())[1] == "healthy" and listener.accept_count >= 4
 
 
 async def test_silent_connections_are_shed_before_idle_ones_and_those_with_open_requests_never():
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=3)
-        busy, silent, idle = [await rig.caller() for _ in range(3)]
-        await rig.running(busy, A)
+        busy, silent, idle = [await rig.connect_client() for _ in range(3)]
+        await rig.start_run(busy, A)
         await idle.send("STATUS", "1", "")
         assert (await idle.answer())[1] == "healthy"
         others = []
         for shed, request_id in ((silent, B), (idle, C)):
-            others.append(await rig.caller())
-            await rig.running(others[-1], request_id)
+            others.append(await rig.connect_client())
+            await rig.start_run(others[-1], request_id)
             assert await shed.ended()
         with pytest.raises(
             (anyio.EndOfStream, anyio.BrokenResourceError, OSError)
         ):  # all connections have open requests
-            rejected = await rig.caller()
+            rejected = await rig.connect_client()
             await rejected.send("STATUS", "1", "")
             await rejected.answer()
         await rig.pool.finish(A)
@@ -102,8 +102,8 @@
 
 async def test_a_client_that_does_not_read_its_answers_is_closed_without_blocking_other_clients(monkeypatch):
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 300.0  # also limits how long answers may remain unread
+        await rig.wait_until_serving()
+        vars(rig.server.generation)["longest_timeout_ms"] = 300.0  # also limits how long answers may remain unread
         with socket.socket() as non_reading_client:
             non_reading_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             non_reading_client.connect(("127.0.0.1", rig.port))
@@ -117,16 +117,16 @@
                         await anyio.sleep(0.005)
                     except OSError:
                         break
-            other = await rig.caller()
+            other = await rig.connect_client()
             await other.send("STATUS", "1", "")
             assert (await other.answer())[1] == "healthy"
-            await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1)
-        assert rig.node.buffers._unallocated_count > 900
+            await wait_until(lambda: len(rig.server.listeners[0].table.connections) == 1)
+        assert rig.server.buffers._unallocated_count > 900
 
 
 async def test_a_flood_of_silent_connections_does_not_displace_one_that_has_sent_a_message():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=20)
         with ExitStack() as flood:  # all connections are in the backlog before the server accepts any
             client = flood.enter_context(socket.create_connection(("127.0.0.1", rig.port)))
@@ -143,9 +143,9 @@
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 150.0)
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 75.0)
     async with ServerRig() as rig:
-        await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 150.0  # the longest time that any client waits
-        client, idle = await rig.caller(), await rig.caller()
+        await rig.wait_until_serving()
+        vars(rig.server.generation)["longest_timeout_ms"] = 150.0  # the longest time that any client waits
+        client, idle = await rig.connect_client(), await rig.connect_client()
         await idle.send("STATUS", "1", "")
         await client.stream.send(partial_input)
         with anyio.move_on_after(0.1):  # single bytes that do not complete a message
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -21,9 +21,9 @@
 
 async def test_a_request_is_run_and_answered_with_the_result_unchanged():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         body = bytes(range(256)) * 8
-        await rig.running(client, A, body=body)
+        await rig.start_run(client, A, body=body)
         assert rig.pool.received_commands("spawn", A)[0]["class"] == "read"
         assert b64decode(rig.pool.received_commands("spawn", A)[0]["body"]) == body
         await rig.pool.finish(A, body=body * 2)
@@ -33,7 +33,7 @@
 
 async def test_messages_are_decoded_when_split_at_any_byte_and_when_many_arrive_in_one_read():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         for byte in resp.message(b"STATUS", b"7", b""):
             await client.stream.send(bytes([byte]))
         assert (await client.answer())[:2] == (7, "healthy")
@@ -43,7 +43,7 @@
 
 async def test_32_requests_can_be_open_and_are_answered_in_any_order_and_a_33rd_fails():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6}) as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         request_ids = [f"{number:016x}" for number in range(1, 34)]
         for request_id in request_ids:
             await client.ask(request_id)
@@ -68,7 +68,7 @@
         lambda self, now, arrival: arrivals.append((now, arrival)) or request_received(self, now, arrival),
     )
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         received_at_ms = int(time.time() * 1000) - 40
         await client.ask(A, ts=received_at_ms, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
         await wait_until(lambda: arrivals)
@@ -86,7 +86,7 @@
 
 async def test_rejections_include_retry_after_and_all_answers_include_the_advertised_weight():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         for number in range(1, 31):
             await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
         answers = [await client.answer() for _ in range(30)]
@@ -94,23 +94,23 @@
         assert rejected and all(0 < float(fields["holdoff"]) <= 1000 for fields in rejected if "holdoff" in fields)
         assert all(fields.get("nomore", "1") == "1" for fields in rejected)
         assert not any({"holdoff", "nomore"} & set(fields) for _, status, fields, _ in answers if status != "later")
-        await wait_until(lambda: rig.node.advertised_weight is not None)
+        await wait_until(lambda: rig.server.advertised_weight is not None)
         await client.send("STATUS", "900", "")
         assert float((await client.answer())[2]["signal"]) < 1
 
 
 async def test_health_checks_are_answered_before_the_worker_pool_is_up_and_load_reports_start_afterwards():
     async with ServerRig() as rig:
-        client = await rig.caller()
+        client = await rig.connect_client()
         await client.send("STATUS", "1", "")
         assert (await client.answer())[:2] == (1, "healthy")
         await client.ask(A)
         assert (await client.answer())[1] == "error"  # no request is expected yet, but one that arrives is answered
         await anyio.sleep(0.6)
         assert not rig.reports  # a report would put a server that cannot serve yet on the endpoint list
-        await rig.up()
+        await rig.wait_until_serving()
         await wait_until(lambda: rig.reports.count("PULSE n1 open") > 3, 2.5)  # repeated, since some reports get lost
-        rig.node.begin_shutdown()
+        rig.server.begin_shutdown()
         # A change is reported immediately and repeated.
         await wait_until(lambda: rig.reports.count("PULSE n1 closed") > 1, 0.3)
 
@@ -143,7 +143,7 @@
 )
 async def test_a_malformed_field_fails_only_its_request(changed_fields):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         await client.ask(changed_fields.pop("req", A), **changed_fields)
         assert (await client.answer())[:2] == (1, "error")
         await client.ask(B, class_name="read")
@@ -154,10 +154,10 @@
 
 async def test_an_unknown_verb_and_a_duplicate_request_id_are_each_answered_with_one_failure():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         await client.send("DANCE", "5", "x")
         assert (await client.answer())[:2] == (5, "error")
-        await rig.running(client, A)
+        await rig.start_run(client, A)
         await client.ask(A)
         assert (await client.answer())[:2] == (2, "error")
         await rig.pool.finish(A)
@@ -174,8 +174,8 @@
         lambda self, now, request_id: reported.append(request_id) or client_disconnected(self, now, request_id),
     )
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
         if how == "nevermind":
             await client.send("NEVERMIND", "1")
             await client.send("NEVERMIND", "1")
@@ -187,16 +187,16 @@
         else:
             await client.stream.aclose()
         await wait_until(lambda: rig.pool.received_commands("suspend", A))
-        assert len(rig.node.requests) == 1
+        assert len(rig.server.requests) == 1
         await rig.pool.finish(A, end="broken_off")
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
         assert reported == [int(A, 16)]
 
 
 async def test_a_first_message_received_while_the_server_was_stalled_does_not_time_out(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 0.0)
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         with socket.create_connection(("127.0.0.1", rig.port)) as client:
             client.sendall(resp.message(b"STATUS", b"1"))  # before the server accepts the connection
             client.setblocking(False)
@@ -205,8 +205,8 @@
 
 async def test_an_oversized_message_is_answered_with_a_failure_without_being_read_to_its_end():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A)
         await rig.pool.finish(A)
         await client.answer()
         await client.stream.send(
@@ -223,7 +223,7 @@
 
 async def test_a_connection_with_only_malformed_requests_is_closed():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
             await client.ask("bad")
         for tag in range(1, load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 2):
@@ -233,20 +233,20 @@
 
 async def test_finished_requests_leave_no_objects_in_memory():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         client.tag, sizes = 0, []
         for number in range(1, 601):
             request_id = f"{number:016x}"
-            tag = await rig.running(client, request_id, body=bytes(2048))
+            tag = await rig.start_run(client, request_id, body=bytes(2048))
             await rig.pool.finish(request_id, body=bytes(4096))
             assert (await client.answer())[0] == tag
             rig.pool.received.clear()
             rig.pool.notifications.clear()
             if number in (200, 600):
                 # Commands are kept until a later query is answered; they must not be counted as left over.
-                await wait_until(lambda: rig.node.worker_pool._delivery.is_all_confirmed)
+                await wait_until(lambda: rig.server.worker_pool._delivery.is_all_confirmed)
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
         assert sizes[1] - sizes[0] < 400  # one object per request would be 400
-        assert len(rig.node.buffers._free) < 4
+        assert len(rig.server.buffers._free) < 4
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -51,10 +51,10 @@
         pool: The fake worker pool.
         records: The fake records service.
         reports: The load reports that reached the directory.
-        node: The server.
+        server: The server under test.
         port: The port that clients connect to.
         configuration_manager: The configuration manager, or None.
-        clean: What `Server.run` returned, or None.
+        exited_cleanly: What `Server.run` returned, or None.
     """
 
     def __init__(self, in_subprocess: bool = False, change_rules: ChangeRules | None = None, **specifics: Any) -> None:
@@ -66,7 +66,7 @@
         self.pool = FakeWorkerPool()
         self.records = FakeRecordsService()
         self.reports: list[str] = []
-        self.clean: bool | None = None
+        self.exited_cleanly: bool | None = None
         self.config: dict[str, Any] = {
             "name": "n1",
             "listen": "127.0.0.1:0",
@@ -81,13 +81,13 @@
         await self._tasks.__aenter__()
         await self.pool.listen(self._tasks)
         await self.records.listen(self._tasks)
-        directory_port = await self.directory_up()
+        directory_port = await self.start_directory()
         self._set_service_addresses()
         self.config["lookup"] = f"127.0.0.1:{directory_port}"
         self.listener = bind(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.node = Server(self.read(), self.read)
-        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
+        self.server = Server(self.read(), self.read)
+        self.server.listeners.append(LoadBalancerListener(self.server, self.listener))
         if self._change_rules is not None:
             self._add_configuration_manager(self._change_rules)
         if not self._in_subprocess:
@@ -106,15 +106,15 @@
     def _add_configuration_manager(self, rules: ChangeRules) -> None:
         store = HistoryStore(rules.history, rules.history_kb) if rules.history else None
         config, file, start, records = select_starting_configuration(
-            self.read(), store, self.node.clock(), self.node.log
+            self.read(), store, self.server.clock(), self.server.log
         )
-        self.node = Server(config, self.read)
-        self.node.listeners.append(LoadBalancerListener(self.node, self.listener))
-        self.configuration_manager = ConfigurationManager(self.node, file, start, records, self.read, store)
-        self.node.background_tasks.append(self.configuration_manager.run)
+        self.server = Server(config, self.read)
+        self.server.listeners.append(LoadBalancerListener(self.server, self.listener))
+        self.configuration_manager = ConfigurationManager(self.server, file, start, records, self.read, store)
+        self.server.background_tasks.append(self.configuration_manager.run)
         if rules.socket:
-            self.node.background_tasks.append(
-                ControlSocket(self.node, rules.socket, rules.socket_mode, self.configuration_manager.command).run
+            self.server.background_tasks.append(
+                ControlSocket(self.server, rules.socket, rules.socket_mode, self.configuration_manager.command).run
             )
 
     async def push(self, document: dict[str, object], **fields: object) -> Any:
@@ -123,23 +123,23 @@
 
     def reload_settings(self) -> None:
         """Have the server, which has read nothing yet, begin under the settings as they are now."""
-        self.node.generation = Generation(1, self.read())
+        self.server.generation = Generation(1, self.read())
 
     def set_descriptor_shares(self, **shares: int) -> None:
         """Set how many descriptors each part has, in place of what follows from the limit."""
-        generation = self.node.generation
+        generation = self.server.generation
         vars(generation)["descriptor_shares"] = generation.descriptor_shares._replace(**shares)
 
-    async def move(self) -> None:
+    async def move_services(self) -> None:
         """Replace the worker pool and the records service by new ones, and notify the server."""
-        self.pool = await self.another_pool()
+        self.pool = await self.start_pool_at_new_address()
         self.records = FakeRecordsService()
         await self.records.listen(self._tasks)
         self._set_service_addresses()
-        (self.node.reload_handler or self.node).reload()
+        (self.server.reload_handler or self.server).reload()
 
-    async def another_pool(self) -> FakeWorkerPool:
-        """Return the same worker pool at another address."""
+    async def start_pool_at_new_address(self) -> FakeWorkerPool:
+        """Start the same worker pool at another address, and return it."""
         pool = FakeWorkerPool()
         pool.notifications = self.pool.notifications
         pool.seq = self.pool.seq
@@ -147,13 +147,13 @@
         await pool.listen(self._tasks)
         return pool
 
-    async def directory_up(self, port: int = 0) -> int:
+    async def start_directory(self, port: int = 0) -> int:
         """Start the directory; return its port."""
         self._udp = await anyio.create_udp_socket(local_host="127.0.0.1", local_port=port)
         self._tasks.start_soon(self._receive_reports, self._udp)
         return self._udp.extra(anyio.abc.SocketAttribute.local_port)
 
-    async def directory_down(self) -> int:
+    async def stop_directory(self) -> int:
         """Stop the directory; return the port that it had."""
         port = self._udp.extra(anyio.abc.SocketAttribute.local_port)
         await self._udp.aclose()
@@ -165,7 +165,7 @@
                 self.reports.append(packet.decode())
 
     async def _run(self) -> None:
-        self.clean = await self.node.run()
+        self.exited_cleanly = await self.server.run()
 
     async def __aexit__(self, *error: object) -> None:
         with anyio.CancelScope(shield=True):
@@ -175,19 +175,19 @@
             with suppress(BaseException):
                 await self._tasks.__aexit__(None, None, None)
 
-    async def up(self) -> ServerRig:
+    async def wait_until_serving(self) -> ServerRig:
         """Have the worker pool answer, and wait until the server has bound its link."""
         self.pool.accepts_binds.set()
-        await wait_until(lambda: self.node.phase is Phase.SERVING and self.node.worker_pool.is_up)
+        await wait_until(lambda: self.server.phase is Phase.SERVING and self.server.worker_pool.is_up)
         return self
 
-    async def caller(self) -> LoadBalancerClient:
+    async def connect_client(self) -> LoadBalancerClient:
         """Connect a load balancer."""
         return LoadBalancerClient(await anyio.connect_tcp("127.0.0.1", self.port))
 
     def connection_of(self, client: RawClient) -> LoadBalancerConnection | None:
         """Return the server's side of this client's connection, or None once it is closed."""
-        listener: Any = self.node.listeners[0]
+        listener: Any = self.server.listeners[0]
         return next(
             (
                 connection
@@ -197,7 +197,7 @@
             None,
         )
 
-    async def running(
+    async def start_run(
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
         """Send a request, and wait until its run has been started; return its number."""
@@ -205,11 +205,11 @@
         await wait_until(lambda: self.pool.received_commands("spawn", request_id))
         return tag
 
-    async def calling(
+    async def start_call(
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
         """Send a request, and wait until its run's call has reached the records service; return its number."""
-        tag = await self.running(client, request_id, class_name, **fields)
+        tag = await self.start_run(client, request_id, class_name, **fields)
         await self.pool.block(request_id)
         await wait_until(lambda: ("OP", request_id, CALL_BODY) in self.records.received)
         return tag
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -51,30 +51,30 @@
 )
 async def test_a_run_with_a_malformed_result_ends(malformed_fields):
     async with ServerRig(cpus=1) as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         await rig.pool.notify("finished", A, **malformed_fields)
         assert (await client.answer())[1::2] == ("error", b"")  # no result is made up
-        await wait_until(lambda: not rig.node.requests)
-        await rig.running(client, B, "pay")  # the only slot is free again
+        await wait_until(lambda: not rig.server.requests)
+        await rig.start_run(client, B, "pay")  # the only slot is free again
         await rig.pool.finish(B)
         assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.connection_count == 1
 
 
 async def test_a_line_that_is_not_json_still_ends_the_run_that_it_names():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         rig.pool.seq += 1
         await rig.pool.stream.send(b'{"op":"finished","seq":1,"id":"%b","end":"fine",\x00\n' % A.encode())
         assert (await client.answer())[1] == "error"
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
 
 
 async def test_a_malformed_call_is_never_made_and_its_run_ends_at_its_deadline():
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay", timeout=300)
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay", timeout=300)
         await rig.pool.notify("blocked", A, body="!!!")
         assert (await client.answer())[1] == "error"
         assert not rig.records.received and not rig.pool.received_commands("supply", A)
@@ -83,14 +83,14 @@
 async def test_a_full_mailbox_still_accepts_the_end_of_a_run(monkeypatch):
     monkeypatch.setattr(requests, "MAILBOX_CAPACITY", 2)
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
-        (request,) = rig.node.requests.values()
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
+        (request,) = rig.server.requests.values()
         for _ in range(5):  # all within one event loop step
             request.deliver(CallReturned(Outcome.ERROR))
         request.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
         assert (await client.answer())[1::2] == ("done", b"result")
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
 
 
 # Replies from the records service
@@ -102,21 +102,21 @@
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_reply_that_races_the_cancellation_of_its_call_is_ignored(reply, order):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.calling(client, A, "pay")
-        (request,) = rig.node.requests.values()
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_call(client, A, "pay")
+        (request,) = rig.server.requests.values()
         call_fd = rig.records.connections_by_request[A].extra(anyio.abc.SocketAttribute.raw_socket).fileno()
         reply_line = A.encode() + b" " + reply
         if order == "before":
             os.write(call_fd, reply_line)  # in the kernel's receive buffer, not yet read by the server
-        rig.node.dependency_client.abandon_call(request)
+        rig.server.dependency_client.abandon_call(request)
         request.deliver(CallReturned(Outcome.TIMEOUT))
         if order == "after":
             with suppress(OSError):
                 os.write(call_fd, reply_line)
         assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
         assert len(rig.records.received) == 1 and not rig.pool.received_commands("supply", A)
-        await rig.calling(client, B, "pay")  # the late reply is not delivered to another request
+        await rig.start_call(client, B, "pay")  # the late reply is not delivered to another request
         await rig.records.reply(B, "DONE", b"B's own")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
         assert rig.pool.received_commands("supply", B)[0]["body"] == b64encode(b"B's own").decode()
@@ -124,9 +124,9 @@
 
 async def test_an_error_in_one_call_fails_that_call_alone(monkeypatch):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.calling(client, A, "pay")
-        await rig.calling(client, B, "read")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_call(client, A, "pay")
+        await rig.start_call(client, B, "read")
         with monkeypatch.context() as patches:
             patches.setattr(PooledConnection, "_handle_replies", lambda *values: 1 / 0)
             await rig.records.reply(A, "DONE", b"reply")
@@ -134,7 +134,7 @@
         await rig.records.reply(B, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
         await rig.pool.finish(B)
-        assert (await client.answer())[1] == "done" and rig.clean is None
+        assert (await client.answer())[1] == "done" and rig.exited_cleanly is None
 
 
 async def test_a_call_cancelled_while_connecting_frees_its_descriptor_at_once(monkeypatch):
@@ -149,30 +149,30 @@
         async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
             rig.config["records"] = f"127.0.0.1:{full_listener.getsockname()[1]}"
             rig.reload_settings()
-            client = await (await rig.up()).caller()
+            client = await (await rig.wait_until_serving()).connect_client()
             request_ids = [f"{number:016x}" for number in range(1, 21)]
             for request_id in request_ids:
-                await rig.running(client, request_id, "pay", timeout=400)
+                await rig.start_run(client, request_id, "pay", timeout=400)
                 await rig.pool.block(request_id)
-            await wait_until(lambda: len(rig.node.dependency_client._open_connections) == 20)
+            await wait_until(lambda: len(rig.server.dependency_client._open_connections) == 20)
             for _ in request_ids:
                 assert (await client.answer())[1] == "error"
-            await wait_until(lambda: not rig.node.dependency_client._open_connections, 0.5)
+            await wait_until(lambda: not rig.server.dependency_client._open_connections, 0.5)
         for each in queued:
             each.close()
 
 
 async def test_a_call_over_the_descriptor_share_is_not_sent_before_a_descriptor_is_free():
     async with ServerRig(cpus=32, **{"memory-kb": 1e6, "dep-share": 64.0}) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(calls=2)
-        client = await rig.caller()
+        client = await rig.connect_client()
         for request_id in (A, B):
-            await rig.calling(client, request_id, "pay")
+            await rig.start_call(client, request_id, "pay")
         third = "00000000000000c3"
-        await rig.running(client, third, "pay")
+        await rig.start_run(client, third, "pay")
         await rig.pool.block(third)
-        await wait_until(lambda: rig.node.requests[int(third, 16)].call.seq)
+        await wait_until(lambda: rig.server.requests[int(third, 16)].call.seq)
         assert not [call for call in rig.records.received if call[1] == third]
         await rig.records.reply(A, "DONE", b"reply")
         # The call is sent as soon as a descriptor is free.
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -48,12 +48,12 @@
 
 async def test_a_request_just_before_its_idle_connection_is_closed_is_answered():
     async with ServerRig() as rig:
-        await rig.up()
-        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        await rig.wait_until_serving()
+        listener, peer = rig.server.listeners[0], await connect_idle_client(rig)
         set_idle_for(rig, peer, 1000.0)
         # Requests a close; the client keeps the connection open, as some clients do.
         listener.close_idle(500.0)
-        set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
+        set_idle_for(rig, peer, 1000.0 + rig.server.generation.longest_timeout_ms)
         peer.send(encode_request(A))  # in the kernel's receive buffer, not yet read by the server
         listener.close_idle(500.0)
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
@@ -63,11 +63,11 @@
 
 async def test_a_request_just_after_its_idle_connection_was_closed_does_not_lose_an_answer():
     async with ServerRig() as rig:
-        await rig.up()
-        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        await rig.wait_until_serving()
+        listener, peer = rig.server.listeners[0], await connect_idle_client(rig)
         set_idle_for(rig, peer, 1000.0)
         listener.close_idle(500.0)
-        set_idle_for(rig, peer, 1000.0 + rig.node.generation.longest_timeout_ms)
+        set_idle_for(rig, peer, 1000.0 + rig.server.generation.longest_timeout_ms)
         listener.close_idle(500.0)
         peer.send(encode_request(A))  # the server's FIN has been sent but not read
         got = await peer.to_the_end()  # no reset, which would discard the first answer
@@ -77,13 +77,13 @@
 
 async def test_a_connection_with_unread_input_is_not_shed():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=2)
         oldest, other = await connect_idle_client(rig), await connect_idle_client(rig)
         set_idle_for(rig, oldest, 1000.0)  # least recently used
         oldest.send(encode_request(A))
         newcomer = RawClient(rig.port)
-        rig.node.listeners[0]._accept()
+        rig.server.listeners[0]._accept()
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await oldest.until(b"result")
@@ -95,12 +95,12 @@
 
 async def test_a_connection_over_the_limit_is_closed_without_a_reset():
     async with ServerRig(cpus=32) as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         rig.set_descriptor_shares(load_balancers=1)
-        await rig.running(client, A)
+        await rig.start_run(client, A)
         excess = RawClient(rig.port)
         excess.send(encode_request(B))
-        rig.node.listeners[0]._accept()
+        rig.server.listeners[0]._accept()
         assert await excess.to_the_end() == b"" and not rig.pool.received_commands("spawn", B)
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
@@ -124,7 +124,7 @@
             raise
 
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         if order == "after":
             monkeypatch.setattr(Stream, "fill", fill_and_send_after_timeout)
         peer = RawClient(rig.port)
@@ -132,7 +132,7 @@
         if order == "after":
             assert await peer.to_the_end() == b"" and not rig.pool.received_commands("spawn", A)
         else:
-            await wait_until(lambda: rig.node.listeners[0].table.connections)
+            await wait_until(lambda: rig.server.listeners[0].table.connections)
             with anyio.move_on_after(0.05):
                 await anyio.sleep(1)
             peer.send(encode_request(A))
@@ -143,8 +143,8 @@
 
 async def test_a_partial_message_keeps_its_connection_until_it_is_complete():
     async with ServerRig() as rig:
-        await rig.up()
-        listener, peer, message = rig.node.listeners[0], await connect_idle_client(rig), encode_request(A)
+        await rig.wait_until_serving()
+        listener, peer, message = rig.server.listeners[0], await connect_idle_client(rig), encode_request(A)
         peer.send(message[:20])
         await wait_until(lambda: any(each.stream.data is not None for each in listener.table.connections))
         set_idle_for(rig, peer, 1e6)
@@ -159,8 +159,8 @@
 
 async def test_an_unsent_answer_keeps_its_connection():
     async with ServerRig() as rig:
-        await rig.up()
-        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        await rig.wait_until_serving()
+        listener, peer = rig.server.listeners[0], await connect_idle_client(rig)
         (connection,) = listener.table.connections
         connection.stream._backlog.append(memoryview(b"rest of an answer"))
         set_idle_for(rig, peer, 1e6)
@@ -176,9 +176,9 @@
 
 async def test_lingering_connections_free_their_descriptors_only_when_no_message_can_cross_the_close():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=1, lingering=1)
-        listener, first = rig.node.listeners[0], await connect_idle_client(rig)
+        listener, first = rig.server.listeners[0], await connect_idle_client(rig)
         second, third = await connect_client_shedding(rig, first), RawClient(rig.port)
         third.send(STATUS)
         listener._accept()
@@ -192,20 +192,20 @@
 async def connect_client_shedding(rig: ServerRig, other: RawClient) -> RawClient:
     """Connect a client that is accepted immediately, and for which the other client's connection is shed."""
     peer = RawClient(rig.port)
-    rig.node.listeners[0]._accept()
+    rig.server.listeners[0]._accept()
     assert rig.connection_of(peer) and rig.connection_of(other).close_began_at_ms
     return peer
 
 
 async def test_silent_connections_are_shed_for_active_ones_regardless_of_how_many_linger():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=8, lingering=2)
         silent = [RawClient(rig.port) for _ in range(40)]
         last = RawClient(rig.port)
         last.send(encode_request(A))
         await wait_until(lambda: rig.pool.received_commands("spawn", A), 1.0)
-        assert len(rig.node.listeners[0].table.connections) <= 10
+        assert len(rig.server.listeners[0].table.connections) <= 10
         await rig.pool.finish(A)
         assert b"result" in await last.until(b"result")
         for each in silent[:30]:
@@ -215,9 +215,9 @@
 async def test_timed_out_connections_that_linger_do_not_count_towards_the_limit(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "FIRST_BYTE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=10, lingering=10)
-        listener, idle = rig.node.listeners[0], await connect_idle_client(rig)
+        listener, idle = rig.server.listeners[0], await connect_idle_client(rig)
         silent = [RawClient(rig.port) for _ in range(9)]  # more than MAX_SILENT_CANDIDATES
         # The server has ended its direction; the clients keep their connections open.
         await wait_until(lambda: len(listener.table.lingering) == 9)
@@ -232,9 +232,9 @@
 @pytest.mark.parametrize("code", (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EINVAL))
 async def test_a_connection_that_failed_before_accept_does_not_affect_others(code):
     async with ServerRig() as rig:
-        await rig.up()
-        failing = rig.node.listeners[0]._listener = FailingListener(rig.listener, code)
+        await rig.wait_until_serving()
+        failing = rig.server.listeners[0]._listener = FailingListener(rig.listener, code)
         peer = RawClient(rig.port)
         peer.send(STATUS)
         assert b"healthy" in await peer.until(b"healthy") and failing.accept_count >= 2
-        assert rig.clean is None  # the server is still running
+        assert rig.exited_cleanly is None  # the server is still running
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -76,18 +76,18 @@
 
 async def test_requests_in_every_state_keep_the_generation_under_which_they_were_read(generation_watch):
     async with ServerRig(change_rules=RULES, cpus=1) as rig:
-        client = await (await rig.up()).caller()
-        await rig.calling(client, A, "pay")  # with a call in flight
-        await rig.running(client, B, "book", opkey="k1")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_call(client, A, "pay")  # with a call in flight
+        await rig.start_run(client, B, "book", opkey="k1")
         await client.ask(C, "book", opkey="k1", resent=1)  # coalesced with its original
         queued_id = "00000000000000d4"
         await client.ask(queued_id, "pay")
-        await wait_until(lambda: len(rig.node.requests) == 4)
-        states = {request.state for request in rig.node.requests.values()}
+        await wait_until(lambda: len(rig.server.requests) == 4)
+        states = {request.state for request in rig.server.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
         reply = await rig.push(CHANGED_DOCUMENT)
-        assert reply["change"]["step"] == "on_probation" and rig.node.generation.number == 2
-        assert "book" not in rig.node.generation.retry_safety_by_class  # removed, but its earlier requests continue
+        assert reply["change"]["step"] == "on_probation" and rig.server.generation.number == 2
+        assert "book" not in rig.server.generation.retry_safety_by_class  # removed, but its earlier requests continue
         await rig.records.reply(A, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.pool.finish(A)
@@ -108,10 +108,10 @@
 
 async def test_the_generation_watch_detects_a_request_that_changes_generation(generation_watch):
     async with ServerRig(change_rules=RULES) as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         await rig.push(CHANGED_DOCUMENT)
-        controller = rig.node.decision_executor.controller
+        controller = rig.server.decision_executor.controller
         # The fault to detect: the class statistics are looked up again after the change.
         controller._requests.by_id[int(A, 16)].statistics = controller._classes["pay"]
         await rig.pool.finish(A)
@@ -121,11 +121,11 @@
 
 async def test_the_controller_keeps_its_statistics_and_advertised_weight_across_a_change():
     async with ServerRig(change_rules=RULES) as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         await rig.pool.finish(A)
         await client.answer()
-        controller = rig.node.decision_executor.controller
+        controller = rig.server.decision_executor.controller
         controller._weight.weight, mean = 0.5, controller._classes["pay"].run_ms
         await rig.push(CHANGED_DOCUMENT)
         assert (
@@ -141,22 +141,22 @@
 
 async def test_ten_consecutive_changes_are_applied_and_each_blocks_others_until_confirmed():
     async with ServerRig(change_rules=RULES) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         for index in range(10):
             await rig.push({"machine": {"cores": 3 + index}})
             with pytest.raises(ChangeRejectedError) as caught:
                 await rig.push({"machine": {"cores": 50}})
             assert caught.value.reason is RejectionReason.BUSY
             await rig.configuration_manager.command({"do": "confirm"})
-        assert rig.node.generation.number == 11 and rig.node.generation.settings.core_count == 12
+        assert rig.server.generation.number == 11 and rig.server.generation.settings.core_count == 12
         reply = await rig.configuration_manager.command({"do": "rollback", "generation": 9})
-        assert rig.node.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
+        assert rig.server.generation.settings.core_count == 10 and reply["change"]["step"] == "on_probation"
 
 
 async def test_concurrent_changes_are_never_merged_and_one_during_a_rollback_waits(tmp_path, monkeypatch):
     rules = replace(RULES, history=str(tmp_path))
     async with ServerRig(change_rules=rules) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         accepted_commands, append = [], HistoryStore.append
 
         def append_slowly(self, record):  # simulates a slow disk
@@ -178,8 +178,8 @@
             tasks.start_soon(lambda: send(do="rollback"))
             tasks.start_soon(lambda: send(do="apply", document={"machine": {"cores": 5}}))
         assert (
-            rig.node.generation.settings.core_count == 5
-            and rig.node.generation.settings.idle_connection_timeout_ms == 15000.0
+            rig.server.generation.settings.core_count == 5
+            and rig.server.generation.settings.idle_connection_timeout_ms == 15000.0
         )
         assert [record.event.value for record in rig.configuration_manager.changes.records] == [
             "started",
@@ -192,24 +192,24 @@
 async def test_changes_during_a_worker_pool_outage_a_peer_address_change_and_a_drain():
     async with ServerRig(change_rules=RULES) as rig:
         rig.pool.accepts_binds.set()
-        await wait_until(lambda: rig.node.phase is Phase.SERVING)
-        client = await rig.caller()
+        await wait_until(lambda: rig.server.phase is Phase.SERVING)
+        client = await rig.connect_client()
         await rig.pool.stop()
-        await wait_until(lambda: not rig.node.worker_pool.is_up)
+        await wait_until(lambda: not rig.server.worker_pool.is_up)
         await rig.push({"machine": {"cores": 7}})
         # Longer than the maximum canary period, but a change that could not be observed is not confirmed.
         await anyio.sleep(1.8)
         assert rig.configuration_manager.changes.current is not None
-        await rig.move()  # like SIGHUP with new peer addresses, here during a canary period
-        await wait_until(lambda: rig.node.worker_pool.is_up)
-        assert rig.node.generation.settings.core_count == 7
-        await rig.running(client, A, "pay")
+        await rig.move_services()  # like SIGHUP with new peer addresses, here during a canary period
+        await wait_until(lambda: rig.server.worker_pool.is_up)
+        assert rig.server.generation.settings.core_count == 7
+        await rig.start_run(client, A, "pay")
         await rig.configuration_manager.command({"do": "rollback"})
-        assert rig.node.generation.settings.core_count == 2
-        assert rig.node.generation.config.pool[1] == rig.pool.port and rig.node.worker_pool.is_up
+        assert rig.server.generation.settings.core_count == 2
+        assert rig.server.generation.config.pool[1] == rig.pool.port and rig.server.worker_pool.is_up
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
-        rig.node.begin_shutdown()
+        rig.server.begin_shutdown()
         with pytest.raises(ChangeRejectedError) as caught:
             await rig.push({"machine": {"cores": 9}})
         assert caught.value.reason is RejectionReason.SHUTTING_DOWN
@@ -217,35 +217,39 @@
 
 async def test_a_harmful_change_is_rolled_back_and_a_harmless_one_confirmed():
     async with ServerRig(change_rules=replace(RULES, max_canary_period_ms=6000.0)) as rig:
-        await rig.up()
-        rng, begin_at_ms = random.Random(3), rig.node.clock() - 14_500
+        await rig.wait_until_serving()
+        rng, begin_at_ms = random.Random(3), rig.server.clock() - 14_500
         objectives_ms = {"payout": 100.0, "balance": 100.0}
-        rig.configuration_manager.observation.request_metrics = rig.node.request_metrics = RequestMetrics(
+        rig.configuration_manager.observation.request_metrics = rig.server.request_metrics = RequestMetrics(
             16_000.0, objectives_ms
         )
         fill(
-            rig.configuration_manager.observation.request_metrics, rng, begin_at_ms, rig.node.clock(), lambda pair: 0.97
+            rig.configuration_manager.observation.request_metrics,
+            rng,
+            begin_at_ms,
+            rig.server.clock(),
+            lambda pair: 0.97,
         )
         await rig.push({"machine": {"cores": 6}})
-        generation_number = rig.node.generation.number
+        generation_number = rig.server.generation.number
         metrics = rig.configuration_manager.observation.request_metrics
 
         async def simulate_traffic(in_time_fraction, is_over):
-            filled_until_ms = rig.node.clock()
+            filled_until_ms = rig.server.clock()
             with anyio.fail_after(8):
                 while not is_over():
                     await anyio.sleep(0.26)
-                    end_at_ms = rig.node.clock() - 1
+                    end_at_ms = rig.server.clock() - 1
                     fill(metrics, rng, filled_until_ms, end_at_ms, in_time_fraction)
                     filled_until_ms = (end_at_ms // 250) * 250
 
         metrics.set_latency_objectives(objectives_ms)
         await simulate_traffic(lambda pair: 0.97, lambda: rig.configuration_manager.changes.current is None)
-        assert rig.node.generation.number == generation_number  # confirmed
+        assert rig.server.generation.number == generation_number  # confirmed
         await rig.push({"machine": {"cores": 1}})
         metrics.set_latency_objectives(objectives_ms)
         await simulate_traffic(lambda pair: 0.1, lambda: rig.configuration_manager.changes.current is None)
-        assert rig.node.generation.settings.core_count == 6
+        assert rig.server.generation.settings.core_count == 6
         last_record = rig.configuration_manager.changes.records[-1]
         assert last_record.event is history.HistoryEvent.ROLLED_BACK and "quoted time" in last_record.reason
         with pytest.raises(ChangeRejectedError) as caught:
@@ -255,20 +259,20 @@
 
 async def test_sighup_applies_peer_addresses_immediately_and_the_rest_as_a_change():
     async with ServerRig(change_rules=RULES) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         await rig.push({"machine": {"cores": 5}})
         await rig.configuration_manager.command({"do": "confirm"})
-        rig.node.reload_handler.reload()  # the file has not changed, so the change stays in force
+        rig.server.reload_handler.reload()  # the file has not changed, so the change stays in force
         await anyio.sleep(0.1)
-        assert rig.node.generation.settings.core_count == 5
+        assert rig.server.generation.settings.core_count == 5
         rig.config["pool"] = "nowhere"
-        rig.node.reload_handler.reload()
+        rig.server.reload_handler.reload()
         await anyio.sleep(0.1)
-        assert rig.node.generation.settings.core_count == 5
+        assert rig.server.generation.settings.core_count == 5
         rig.config.update(pool=f"127.0.0.1:{rig.pool.port}", stop_ms=800)
-        rig.node.reload_handler.reload()
-        await wait_until(lambda: rig.node.generation.config.stop_ms == 800)
-        assert rig.configuration_manager.changes.current is not None and rig.node.generation.settings.core_count == 2
+        rig.server.reload_handler.reload()
+        await wait_until(lambda: rig.server.generation.config.stop_ms == 800)
+        assert rig.configuration_manager.changes.current is not None and rig.server.generation.settings.core_count == 2
 
 
 # Files and the history
@@ -371,7 +375,7 @@
 
 async def test_an_unwritable_history_rejects_a_change_and_keeps_the_order_of_records(tmp_path):
     async with ServerRig(change_rules=replace(RULES, history=str(tmp_path))) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         append = rig.configuration_manager.history.store.append
 
         def append_to_full_disk(record):
@@ -381,7 +385,8 @@
         with pytest.raises(ChangeRejectedError) as caught:
             await rig.push({"machine": {"cores": 3}})
         assert (
-            caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE and rig.node.generation.settings.core_count == 2
+            caught.value.reason is RejectionReason.HISTORY_UNAVAILABLE
+            and rig.server.generation.settings.core_count == 2
         )
         rig.configuration_manager.history.store.append = append
         await rig.push({"machine": {"cores": 4}})
@@ -392,7 +397,7 @@
         await wait_until(lambda: not rig.configuration_manager.history.unwritten)
         assert (
             history.last_confirmed(rig.configuration_manager.history.store.records).generation
-            == rig.node.generation.number
+            == rig.server.generation.number
         )
         with pytest.raises(OSError):  # the folder is locked by the server
             HistoryStore(str(tmp_path), 64.0)
@@ -424,7 +429,7 @@
     monkeypatch.setattr(control_socket, "FrameDecoder", RecordingFrameDecoder)
     path = str(tmp_path / "control")
     async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         await wait_until(lambda: os.path.exists(path))
         message = encode_frame({"protocol": 1, "id": 1, "do": "status"})
         async with await anyio.connect_unix(path) as stream:
@@ -446,7 +451,7 @@
     monkeypatch.setattr(control_socket, "MESSAGE_TIMEOUT_S", 0.3)
     path = str(tmp_path / "control")
     async with ServerRig(change_rules=replace(RULES, socket=path)) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         await wait_until(lambda: os.path.exists(path) and os.stat(path).st_mode & 0o777 == 0o600)
         incomplete = await anyio.connect_unix(path)  # sends a message that never ends
         await incomplete.send(encode_frame({"protocol": 1, "id": 1, "do": "status"})[:9])
@@ -485,7 +490,7 @@
             await send_command(path, "status", 500.0)
         for connection in connections:
             await connection.aclose()
-        await wait_until(lambda: not rig.node.background_tasks[-1].__self__.open_connection_count)
+        await wait_until(lambda: not rig.server.background_tasks[-1].__self__.open_connection_count)
         assert (await send_command(path, "status"))["ok"]
         with pytest.raises(OSError, match="another server"):
             control_socket.remove_stale_socket(path)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -56,7 +56,7 @@
         async with run_program(rig, tmp_path) as process:
             with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, 120)
-                port = await rig.directory_down()
+                port = await rig.stop_directory()
                 await connect_clients(rig, stack, 200, sends_health_check)
                 client = RawClient(rig.port)
                 stack.callback(client.sock.close)
@@ -75,7 +75,7 @@
                 health_client.send(STATUS)
                 assert b"healthy" in await health_client.until(b"healthy", 1.0)
                 report_count = len(rig.reports)
-                await rig.directory_up(port)
+                await rig.start_directory(port)
                 await wait_until(lambda: len(rig.reports) > report_count, 1.5)  # reports resume immediately
             assert process.poll() is None
 
@@ -89,8 +89,8 @@
             with ExitStack() as stack:
                 await set_descriptor_limit(rig, process, descriptors)
                 await connect_clients(rig, stack, 3 * descriptors, True)
-                client = await rig.caller()
-                await rig.calling(client, A, "read")
+                client = await rig.connect_client()
+                await rig.start_call(client, A, "read")
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.received_commands("supply", A))
                 await rig.pool.finish(A)
@@ -121,7 +121,7 @@
 async def test_floods_on_some_connections_do_not_delay_others(kind):
     flood = FLOODS[kind]
     async with ServerRig(cpus=32) as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         with ExitStack() as stack:
             flood_sockets = [socket.create_connection(("127.0.0.1", rig.port)) for _ in range(8)]
             for each in flood_sockets:
@@ -142,29 +142,31 @@
                     tasks.start_soon(send_flood, each)
                 for number in range(1, 21):
                     request_id = f"{number:016x}"
-                    await rig.running(client, request_id)
+                    await rig.start_run(client, request_id)
                     await rig.pool.finish(request_id)
                     assert (await client.answer(1.0))[:2] == (number, "done")
                 tasks.cancel_scope.cancel()
-        assert rig.clean is None and not rig.node.requests
-        await wait_until(lambda: len(rig.node.listeners[0].table.connections) == 1, 4.0)
+        assert rig.exited_cleanly is None and not rig.server.requests
+        await wait_until(lambda: len(rig.server.listeners[0].table.connections) == 1, 4.0)
 
 
 async def test_hundreds_of_simultaneous_cancellations_leave_no_requests_or_connections():
     async with ServerRig(cpus=2, **{"memory-kb": 1e6}) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         peers = [RawClient(rig.port) for _ in range(12)]
         for index, peer in enumerate(peers):
             peer.send(b"".join(encode_request(f"{index:08x}{tag:08x}", tag=tag) for tag in range(1, 33)))
         for peer in peers:
             peer.send(b"".join(resp.message(b"NEVERMIND", b"%d" % tag) for tag in range(1, 33)))
         await wait_until(
-            lambda: all(request.is_client_disconnected or request.is_answered for request in rig.node.requests.values())
+            lambda: all(
+                request.is_client_disconnected or request.is_answered for request in rig.server.requests.values()
+            )
         )
-        for request in list(rig.node.requests.values()):
+        for request in list(rig.server.requests.values()):
             await wait_until(lambda request=request: rig.pool.received_commands("spawn", request.received.id_hex))
             await rig.pool.finish(request.received.id_hex, end="broken_off")
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
         for peer in peers:
             peer.sock.close()
-        await wait_until(lambda: not rig.node.listeners[0].table.connections)
+        await wait_until(lambda: not rig.server.listeners[0].table.connections)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -38,8 +38,8 @@
 @pytest.mark.parametrize("order", ("before", "after"))
 async def test_a_run_end_that_races_a_link_failure_is_delivered_once(order):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         rig.pool.seq += 1
         notification = {
             "op": "finished",
@@ -50,43 +50,43 @@
             "body": b64encode(b"once").decode(),
         }
         rig.pool.notifications.append(notification)
-        stream = rig.node.worker_pool._connection._stream
+        stream = rig.server.worker_pool._connection._stream
         if order == "before":
             send_unread_line(rig, **notification)
         # In the same event loop step: the reader that was woken finds the stream closed.
         stream.abort(CloseReason.RESET)
         assert (await client.answer())[1::2] == ("done", b"once")
-        await wait_until(lambda: len(rig.pool.received_binds()) == 2 and not rig.node.requests)
+        await wait_until(lambda: len(rig.pool.received_binds()) == 2 and not rig.server.requests)
         assert rig.pool.received_binds()[1]["seq"] == 0 and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 @pytest.mark.parametrize("first_start", ("lost", "running"))
 async def test_an_unconfirmed_non_idempotent_start_is_resent_after_its_request_if_runs_cannot_be_stopped(first_start):
     async with ServerRig(cpus=1, **{"stop-mode": "silent"}) as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         rig.pool.answers_gauge_queries = False
-        await rig.running(client, A, "pay", timeout=200)
+        await rig.start_run(client, A, "pay", timeout=200)
         rig.pool.answers_gauge_queries = True
         await rig.pool.abort_connections()
-        await wait_until(lambda: rig.node.worker_pool.is_up)
+        await wait_until(lambda: rig.server.worker_pool.is_up)
         # The run may have started, so the command is not resent while the request is open.
         assert len(rig.pool.received_commands("spawn", A)) == 1
         assert (await client.answer())[1] == "error"
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await rig.pool.finish(A, end="late" if first_start == "lost" else "fine")
-        await wait_until(lambda: not rig.node.requests)
-        await rig.running(client, B, "pay")  # the only slot is free again
+        await wait_until(lambda: not rig.server.requests)
+        await rig.start_run(client, B, "pay")  # the only slot is free again
         assert len(rig.pool.received_commands("spawn", A)) == 2
 
 
 async def test_a_link_failure_during_a_replacement_neither_loses_nor_repeats_commands():
     async with ServerRig(cpus=4) as rig:
-        client = await (await rig.up()).caller()
-        await rig.running(client, A, "pay")
+        client = await (await rig.wait_until_serving()).connect_client()
+        await rig.start_run(client, A, "pay")
         old = rig.pool
         old.answers_gauge_queries = False  # written commands stay unconfirmed, so the move waits
-        await rig.move()
-        await wait_until(lambda: rig.node.worker_pool._connection.state is LinkState.MOVING)
+        await rig.move_services()
+        await wait_until(lambda: rig.server.worker_pool._connection.state is LinkState.MOVING)
         await client.ask(B, "pay")  # not sent on any link yet
         await old.abort_connections()
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
@@ -100,19 +100,19 @@
 @pytest.mark.parametrize("returns_to_first", (False, True))
 async def test_two_moves_in_one_event_loop_step_end_at_the_newest_address(returns_to_first):
     async with ServerRig() as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         first, first_config = rig.pool, dict(rig.config)
-        await rig.move()
+        await rig.move_services()
         second = rig.pool
         if returns_to_first:
             rig.pool, rig.config = first, first_config
-            rig.node.reload()
+            rig.server.reload()
         else:
-            await rig.move()
+            await rig.move_services()
         newest = rig.pool
         if not returns_to_first:  # the first link may take commands until its replacement begins
             await wait_until(
-                lambda: rig.node.worker_pool._connection.state is not LinkState.UP or newest.received_binds()
+                lambda: rig.server.worker_pool._connection.state is not LinkState.UP or newest.received_binds()
             )
         await client.ask(A)
         await wait_until(lambda: newest.received_commands("spawn", A))
@@ -123,15 +123,15 @@
 
 async def test_load_reports_resume_when_the_directory_returns_at_another_address():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         await wait_until(lambda: rig.reports)
-        await rig.directory_down()
+        await rig.stop_directory()
         await anyio.sleep(0.6)  # a report is due in this time, and is not received
         rig.reports.clear()
-        rig.config["lookup"] = f"127.0.0.1:{await rig.directory_up()}"
-        rig.node.reload()
+        rig.config["lookup"] = f"127.0.0.1:{await rig.start_directory()}"
+        rig.server.reload()
         await wait_until(lambda: rig.reports, 1.0)
-        assert rig.node.directory_reporter._is_reachable and rig.clean is None
+        assert rig.server.directory_reporter._is_reachable and rig.exited_cleanly is None
 
 
 START, REPLY, SKIP_CALL = StartRun, partial(ResumeWithReply, body=b"reply"), partial(ResumeWithoutCall, call_seq=7)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -34,9 +34,9 @@
 
 async def test_without_tenants_a_request_names_none_and_is_served():
     async with new_operator() as rig:
-        client = await (await rig.up()).caller()
-        assert not rig.node.generation.settings.tenants and not rig.node.generation.settings.clients_mark_retries
-        await rig.running(client, A, without="owner")
+        client = await (await rig.wait_until_serving()).connect_client()
+        assert not rig.server.generation.settings.tenants and not rig.server.generation.settings.clients_mark_retries
+        await rig.start_run(client, A, without="owner")
         await rig.pool.finish(A)
         assert (await client.answer())[:2] == (1, "done")
         await client.ask(B)  # for an unknown tenant
@@ -45,20 +45,20 @@
 
 async def test_a_run_that_can_be_paused_is_stopped_once_its_client_has_disconnected():
     async with new_operator(**{"stop-mode": "pause"}) as rig:
-        client = await (await rig.up()).caller()
-        assert rig.node.generation.settings.preemption is Preemption.KEEP_PROGRESS
-        tag = await rig.running(client, A, without="owner")
+        client = await (await rig.wait_until_serving()).connect_client()
+        assert rig.server.generation.settings.preemption is Preemption.KEEP_PROGRESS
+        tag = await rig.start_run(client, A, without="owner")
         await client.stream.send(resp.message(b"NEVERMIND", str(tag).encode()))
         await wait_until(lambda: rig.pool.received_commands("suspend", A))
         await rig.pool.finish(A, end="broken_off")
-        await wait_until(lambda: not rig.node.requests)
+        await wait_until(lambda: not rig.server.requests)
 
 
 async def test_calls_to_a_downstream_tier_are_not_limited_and_a_broken_one_is_retried_or_skipped():
     async with new_operator(cpus=4) as rig:
-        client = await (await rig.up()).caller()
+        client = await (await rig.wait_until_serving()).connect_client()
         for request_id in (A, B, C):
-            await rig.calling(client, request_id, without="owner")
+            await rig.start_call(client, request_id, without="owner")
         await rig.records.reply(A, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
         await rig.records.abort_connections()  # replayable: either is right
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -162,7 +162,7 @@
         try:
             rig.pool.accepts_binds.set()
             await wait_until(lambda: rig.pool.received_binds(), 20)
-            client = await rig.caller()
+            client = await rig.connect_client()
             await client.ask(A)
             await wait_until(lambda: rig.pool.received_commands("spawn", A))
             await rig.pool.block(A)
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -34,7 +34,7 @@
     """Advances the server's clock."""
 
     def __init__(self, rig: ServerRig) -> None:
-        self._server, self._offset_ms = rig.node, 0.0
+        self._server, self._offset_ms = rig.server, 0.0
 
     def advance(self, ms: float) -> None:
         self._server._clock_offset_ms += ms
@@ -77,14 +77,14 @@
 @pytest.mark.parametrize("shutting_down", (False, True))
 async def test_a_message_in_pieces_on_an_idle_connection_is_answered(size, shutting_down):
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
         other = await connect_idle_client(rig)
         other.send(clock.encode_request(B))  # an open request, which keeps a server that shuts down from ending earlier
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
         clock.advance(MESSAGE_TIMEOUT_MS + 500.0)
         if shutting_down:
-            rig.node.begin_shutdown()
+            rig.server.begin_shutdown()
         await send_in_pieces(rig, peer, clock.encode_request(A), size)
         await finish_request(rig, peer, A)
         await rig.pool.finish(B)
@@ -92,7 +92,7 @@
 
 async def test_the_timeout_of_a_first_message_starts_at_its_first_byte():
     async with ServerRig() as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         clock, peer = ShiftedClock(rig), RawClient(rig.port)
         await wait_until(lambda: rig.connection_of(peer))
         clock.advance(JUST_BELOW_TIMEOUT_MS)
@@ -108,7 +108,7 @@
 
 async def test_a_message_begun_after_another_has_its_own_timeout():
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
         # Each is timestamped when it will be complete.
         first, second = (
@@ -121,7 +121,7 @@
         peer.send(first[20:] + second[:20])
         await finish_request(rig, peer, A)
         clock.advance(JUST_BELOW_TIMEOUT_MS)
-        assert not rig.node.listeners[0].table.slow_writers
+        assert not rig.server.listeners[0].table.slow_writers
         peer.send(second[20:])
         await finish_request(rig, peer, B)
 
@@ -129,13 +129,13 @@
 async def test_a_stalled_partial_message_is_closed_after_the_longest_timeout(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
-        vars(rig.node.generation)["longest_timeout_ms"] = 400.0
+        await rig.wait_until_serving()
+        vars(rig.server.generation)["longest_timeout_ms"] = 400.0
         peer = await connect_idle_client(rig)
         began_at_s = time.monotonic()
         peer.send(encode_request(A) + encode_request(B, tag=3)[:30])
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
-        await wait_until(lambda: rig.connection_of(peer) in rig.node.listeners[0].table.slow_writers)
+        await wait_until(lambda: rig.connection_of(peer) in rig.server.listeners[0].table.slow_writers)
         await anyio.sleep(0.5)
         connection = rig.connection_of(peer)
         assert connection is not None and connection.stream.shut_down_reason is None  # an answer is still outstanding
@@ -143,16 +143,16 @@
         assert b"result" in await peer.to_the_end()
         assert time.monotonic() - began_at_s >= 0.4
         await wait_until(
-            lambda: not rig.node.listeners[0].table.slow_writers and not rig.node.listeners[0].table.connections
+            lambda: not rig.server.listeners[0].table.slow_writers and not rig.server.listeners[0].table.connections
         )
 
 
 async def test_slow_messages_hold_at_most_a_fraction_of_the_connections(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig(cpus=32) as rig:
-        await rig.up()
+        await rig.wait_until_serving()
         rig.set_descriptor_shares(load_balancers=8)
-        listener, slow = rig.node.listeners[0], [await connect_idle_client(rig) for _ in range(2)]
+        listener, slow = rig.server.listeners[0], [await connect_idle_client(rig) for _ in range(2)]
         for peer in slow:
             peer.send(STATUS[:10])
         await wait_until(lambda: len(listener.table.slow_writers) == 2)
@@ -174,8 +174,8 @@
 async def test_a_connection_closed_within_a_message_is_no_longer_a_slow_writer(monkeypatch):
     monkeypatch.setattr(load_balancer_connection, "MESSAGE_TIMEOUT_MS", 50.0)
     async with ServerRig() as rig:
-        await rig.up()
-        listener, peer = rig.node.listeners[0], await connect_idle_client(rig)
+        await rig.wait_until_serving()
+        listener, peer = rig.server.listeners[0], await connect_idle_client(rig)
         peer.send(STATUS[:10])
         await wait_until(lambda: listener.table.slow_writers)
         with suppress(OSError):
