--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -31,7 +31,7 @@
             and rig.records.connection_count == 2
         )
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
 
 
 @pytest.mark.parametrize(("status", "is_retried"), (("WAIT", True), ("EMPTY", True), ("ERROR", False), ("PAST", False)))
@@ -43,7 +43,7 @@
         if is_retried:
             await wait_until(lambda: rig.records.received.count(("OP", A, CALL_BODY)) == 2)
         else:
-            assert (await client.answer())[:2] == (1, "error")
+            assert (await client.receive_answer())[:2] == (1, "error")
             assert rig.records.received.count(("OP", A, CALL_BODY)) == 1
 
 
@@ -52,7 +52,7 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_call(client, A, "pay")
         await rig.records.abort_connections()
-        assert (await client.answer())[:2] == (1, "error")
+        assert (await client.receive_answer())[:2] == (1, "error")
         await rig.pool.finish(A, end="broken_off")
         await rig.records.stop()
         await rig.start_run(client, B, "pay")
@@ -81,7 +81,7 @@
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_call(client, A, "pay", timeout=300)
-        assert (await client.answer())[:2] == (1, "error")
+        assert (await client.receive_answer())[:2] == (1, "error")
         # Closing the connection cancels the call, so no late reply can arrive.
         await wait_until(lambda: not rig.records.connections_by_request[A])
         await rig.start_run(client, B)
@@ -116,7 +116,7 @@
         await rig.start_call(client, B, "pay")
         await rig.start_call(client, A, "pay")
         await rig.records.connections_by_request[A].send(text.encode())
-        assert (await client.answer())[:2] == (2, "error")
+        assert (await client.receive_answer())[:2] == (2, "error")
         await rig.records.reply(B, "DONE", b"")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
 
--- a/tests/server/test_drain_and_signals.py
+++ b/tests/server/test_drain_and_signals.py
@@ -24,14 +24,14 @@
         await rig.start_run(client, A)
         rig.server.begin_shutdown()
         await client.send("STATUS", "90", "")
-        assert (await client.answer())[:2] == (90, "sick")
+        assert (await client.receive_answer())[:2] == (90, "sick")
         await rig.start_run(client, B)
         await anyio.sleep(0.25)
-        await client.ask(C)
-        assert (await client.answer())[:2] == (3, "later") and not rig.pool.received_commands("spawn", C)
+        await client.send_request(C)
+        assert (await client.receive_answer())[:2] == (3, "later") and not rig.pool.received_commands("spawn", C)
         await rig.pool.finish(A)
         await rig.pool.finish(B)
-        assert [(await client.answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
+        assert [(await client.receive_answer())[:2] for _ in range(3)] == [(1, "done"), (2, "done"), (0, "closing")]
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is True)
         with pytest.raises(OSError):
@@ -45,7 +45,7 @@
         await rig.start_run(client, B, "pay")
         started_at = time.monotonic()
         rig.server.begin_shutdown()
-        answers = sorted([await client.answer(), await client.answer()])
+        answers = sorted([await client.receive_answer(), await client.receive_answer()])
         assert [status for _, status, _, _ in answers] == ["error", "error"] and time.monotonic() - started_at < 0.7
         await wait_until(lambda: rig.exited_cleanly is True)
         assert time.monotonic() - started_at < 0.75
@@ -84,7 +84,7 @@
                 process.send_signal(stop_signal)
                 process.send_signal(signal.SIGHUP)
                 await rig.pool.finish(A)
-                assert [(await client.answer())[1] for _ in range(2)] == ["done", "closing"]
+                assert [(await client.receive_answer())[1] for _ in range(2)] == ["done", "closing"]
                 await client.stream.aclose()
                 await wait_until(lambda: process.poll() is not None)
                 assert process.returncode == 0
--- a/tests/server/test_failures.py
+++ b/tests/server/test_failures.py
@@ -24,18 +24,18 @@
 
         monkeypatch.setattr(AdmissionController, method, raise_error)
         if method == "request_received":
-            await client.ask(B)
+            await client.send_request(B)
         elif method == "run_ended":
             await rig.pool.finish(A)
         elif method == "drain":
             rig.server.begin_shutdown()
-        statuses = {(await client.answer())[1]}
+        statuses = {(await client.receive_answer())[1]}
         if method == "request_received":
-            statuses.add((await client.answer())[1])
+            statuses.add((await client.receive_answer())[1])
         assert statuses == {"error"} and rig.server.phase is Phase.FAILED
         await client.send("STATUS", "91", "")
         with anyio.move_on_after(1):
-            while (await client.answer())[0] != 0:
+            while (await client.receive_answer())[0] != 0:
                 pass
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is False)
@@ -48,12 +48,12 @@
         await rig.start_run(client, A)
         await rig.start_run(other, B)
         monkeypatch.setattr(tagged_requests, "decode_request", lambda *values: 1 / 0)
-        await client.ask(C)
-        assert (await client.answer())[:2] == (2, "error")
+        await client.send_request(C)
+        assert (await client.receive_answer())[:2] == (2, "error")
         for request_id, each in ((A, client), (B, other)):
             await rig.pool.finish(request_id)
-            assert (await each.answer())[:2] == (1, "done")
-        assert await client.ended() and rig.server.phase is Phase.SERVING
+            assert (await each.receive_answer())[:2] == (1, "done")
+        assert await client.is_closed_by_server() and rig.server.phase is Phase.SERVING
 
 
 async def test_an_error_in_a_request_lifecycle_fails_the_server(monkeypatch):
@@ -63,6 +63,9 @@
         await rig.start_run(client, B)
         monkeypatch.setattr(rig.server.idempotency_table, "finish", lambda *values: 1 / 0)
         await rig.pool.finish(A)
-        assert sorted([(await client.answer())[:2], (await client.answer())[:2]]) == [(1, "done"), (2, "error")]
+        assert sorted([(await client.receive_answer())[:2], (await client.receive_answer())[:2]]) == [
+            (1, "done"),
+            (2, "error"),
+        ]
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is False)
--- a/tests/server/test_idempotency.py
+++ b/tests/server/test_idempotency.py
@@ -14,12 +14,12 @@
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "book", opkey="k1")
-        await client.ask(B, "book", opkey="k1", resent=1)
+        await client.send_request(B, "book", opkey="k1", resent=1)
         await wait_until(lambda: len(rig.server.requests) == 2)
         await rig.pool.finish(A, body=b"once")
-        assert sorted([await client.answer(), await client.answer()])[1][1::2] == ("done", b"once")
-        await client.ask(C, "book", opkey="k1", resent=1)
-        assert (await client.answer())[1::2] == ("done", b"once")
+        assert sorted([await client.receive_answer(), await client.receive_answer()])[1][1::2] == ("done", b"once")
+        await client.send_request(C, "book", opkey="k1", resent=1)
+        assert (await client.receive_answer())[1::2] == ("done", b"once")
         await rig.start_run(client, "00000000000000d4", "book", opkey="k2")
         assert not rig.pool.received_commands("spawn", B) and not rig.pool.received_commands("spawn", C)
 
@@ -29,18 +29,18 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "book", opkey="k1")
         await rig.pool.finish(A, end="fault")
-        assert (await client.answer())[1] == "error"
-        await client.ask(B, "book", opkey="k1", resent=1)
-        assert (await client.answer())[:2] == (2, "error") and not rig.pool.received_commands("spawn", B)
+        assert (await client.receive_answer())[1] == "error"
+        await client.send_request(B, "book", opkey="k1", resent=1)
+        assert (await client.receive_answer())[:2] == (2, "error") and not rig.pool.received_commands("spawn", B)
 
 
 async def test_a_read_of_the_same_subject_is_answered_from_the_cache_until_the_response_expires():
     async with ServerRig(**{"fresh-ms": 200.0}) as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, subject="s1")
-        await client.ask(B, subject="s1")
+        await client.send_request(B, subject="s1")
         await rig.pool.finish(A, body=b"seen")
-        assert {(await client.answer())[3], (await client.answer())[3]} == {b"seen"}
+        assert {(await client.receive_answer())[3], (await client.receive_answer())[3]} == {b"seen"}
         await anyio.sleep(0.25)
         await rig.start_run(client, C, subject="s1")
 
@@ -52,9 +52,9 @@
         for request_id, key in ((A, "k1"), (B, "k2")):
             await rig.start_run(client, request_id, "book", opkey=key)
             await rig.pool.finish(request_id, body=b"12345678")
-            await client.answer()
-        await client.ask(C, "book", opkey="k1", resent=1)
-        assert (await client.answer())[:2] == (3, "error") and not rig.pool.received_commands("spawn", C)
+            await client.receive_answer()
+        await client.send_request(C, "book", opkey="k1", resent=1)
+        assert (await client.receive_answer())[:2] == (3, "error") and not rig.pool.received_commands("spawn", C)
         assert (
             rig.server.idempotency_table.results.size_bytes == 8
             and rig.server.generation.settings.idempotency_record_kb >= 20
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -36,9 +36,9 @@
         await rig.start_run(other, B)
         await client.stream.send(text)  # one of the inputs reuses the tag of an open request
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and await client.ended()
+        assert (await client.receive_answer())[:2] == (1, "done") and await client.is_closed_by_server()
         await rig.pool.finish(B)
-        assert (await other.answer())[:2] == (1, "done")
+        assert (await other.receive_answer())[:2] == (1, "done")
 
 
 async def test_a_connection_closed_with_unread_input_is_not_reset_before_its_answers_arrive():
@@ -47,7 +47,7 @@
         await rig.start_run(client, A)
         await client.stream.send(b"nonsense\r\n" * 20_000)  # more than the server reads before it closes the connection
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
         with pytest.raises(anyio.EndOfStream):  # a reset would raise BrokenResourceError
             await client.stream.receive()
 
@@ -58,12 +58,12 @@
         idle, busy = await rig.connect_client(), await rig.connect_client()
         await rig.start_run(busy, A)
         rig.server.advertised.idle_connection_timeout_ms = 50.0
-        assert await idle.answer() == (0, "closing", {}, b"")
+        assert await idle.receive_answer() == (0, "closing", {}, b"")
         await rig.start_run(idle, B)
         await rig.pool.finish(B)
-        assert (await idle.answer())[:2] == (1, "done")
+        assert (await idle.receive_answer())[:2] == (1, "done")
         await rig.pool.finish(A)
-        assert (await busy.answer())[:2] == (1, "done")
+        assert (await busy.receive_answer())[:2] == (1, "done")
 
 
 async def test_the_listener_survives_running_out_of_file_descriptors():
@@ -74,7 +74,7 @@
         )
         client = await rig.connect_client()
         await client.send("STATUS", "1", "")
-        assert (await client.answer())[1] == "healthy" and listener.accept_count >= 4
+        assert (await client.receive_answer())[1] == "healthy" and listener.accept_count >= 4
 
 
 async def test_silent_connections_are_shed_before_idle_ones_and_those_with_open_requests_never():
@@ -84,20 +84,20 @@
         busy, silent, idle = [await rig.connect_client() for _ in range(3)]
         await rig.start_run(busy, A)
         await idle.send("STATUS", "1", "")
-        assert (await idle.answer())[1] == "healthy"
+        assert (await idle.receive_answer())[1] == "healthy"
         others = []
         for shed, request_id in ((silent, B), (idle, C)):
             others.append(await rig.connect_client())
             await rig.start_run(others[-1], request_id)
-            assert await shed.ended()
+            assert await shed.is_closed_by_server()
         with pytest.raises(
             (anyio.EndOfStream, anyio.BrokenResourceError, OSError)
         ):  # all connections have open requests
             rejected = await rig.connect_client()
             await rejected.send("STATUS", "1", "")
-            await rejected.answer()
+            await rejected.receive_answer()
         await rig.pool.finish(A)
-        assert (await busy.answer())[:2] == (1, "done")
+        assert (await busy.receive_answer())[:2] == (1, "done")
 
 
 async def test_a_client_that_does_not_read_its_answers_is_closed_without_blocking_other_clients(monkeypatch):
@@ -119,7 +119,7 @@
                         break
             other = await rig.connect_client()
             await other.send("STATUS", "1", "")
-            assert (await other.answer())[1] == "healthy"
+            assert (await other.receive_answer())[1] == "healthy"
             await wait_until(lambda: len(rig.server.listeners[0].table.connections) == 1)
         assert rig.server.buffers._unallocated_count > 900
 
@@ -153,9 +153,9 @@
                 await anyio.sleep(0.02)
                 await client.stream.send(b"x" if partial_input.endswith(b"A") else b"")
         with suppress(anyio.EndOfStream):
-            await client.answer()
-            assert await client.ended()
+            await client.receive_answer()
+            assert await client.is_closed_by_server()
         await anyio.sleep(0.1)
-        assert (await idle.answer())[1] == "healthy"  # a connection that has sent a message may stay open
+        assert (await idle.receive_answer())[1] == "healthy"  # a connection that has sent a message may stay open
         await idle.send("STATUS", "2", "")
-        assert (await idle.answer())[1] == "healthy"
+        assert (await idle.receive_answer())[1] == "healthy"
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -27,7 +27,7 @@
         assert rig.pool.received_commands("spawn", A)[0]["class"] == "read"
         assert b64decode(rig.pool.received_commands("spawn", A)[0]["body"]) == body
         await rig.pool.finish(A, body=body * 2)
-        tag, status, fields, result = await client.answer()
+        tag, status, fields, result = await client.receive_answer()
         assert (tag, status, result) == (1, "done", body * 2) and not {"holdoff", "nomore"} & set(fields)
 
 
@@ -36,9 +36,9 @@
         client = await (await rig.wait_until_serving()).connect_client()
         for byte in resp.message(b"STATUS", b"7", b""):
             await client.stream.send(bytes([byte]))
-        assert (await client.answer())[:2] == (7, "healthy")
+        assert (await client.receive_answer())[:2] == (7, "healthy")
         await client.stream.send(b"".join(resp.message(b"STATUS", b"%d" % tag) for tag in range(1, 200)))
-        assert [(await client.answer())[0] for _ in range(1, 200)] == list(range(1, 200))
+        assert [(await client.receive_answer())[0] for _ in range(1, 200)] == list(range(1, 200))
 
 
 async def test_32_requests_can_be_open_and_are_answered_in_any_order_and_a_33rd_fails():
@@ -46,14 +46,14 @@
         client = await (await rig.wait_until_serving()).connect_client()
         request_ids = [f"{number:016x}" for number in range(1, 34)]
         for request_id in request_ids:
-            await client.ask(request_id)
-        assert (await client.answer())[:2] == (33, "error")
+            await client.send_request(request_id)
+        assert (await client.receive_answer())[:2] == (33, "error")
         await wait_until(
             lambda: all(rig.pool.received_commands("spawn", request_id) for request_id in request_ids[:32])
         )
         for request_id in reversed(request_ids[:32]):
             await rig.pool.finish(request_id, body=request_id.encode())
-        answers = [await client.answer() for _ in range(32)]
+        answers = [await client.receive_answer() for _ in range(32)]
         assert [(tag, body.decode()) for tag, _, _, body in answers] == [
             (number, request_ids[number - 1]) for number in range(32, 0, -1)
         ]
@@ -70,7 +70,7 @@
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         received_at_ms = int(time.time() * 1000) - 40
-        await client.ask(A, ts=received_at_ms, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
+        await client.send_request(A, ts=received_at_ms, timeout=480, resent=1, subject="7f3a", need=12.5, via=9)
         await wait_until(lambda: arrivals)
         now, arrival = arrivals[0]
         assert (
@@ -79,7 +79,7 @@
         )
         assert (arrival.is_retry, arrival.client, arrival.memory_kb, arrival.tenant) == (True, 9, 12.5, "acme")
         assert arrival.has_key
-        await client.ask(B, ts=received_at_ms + 540)
+        await client.send_request(B, ts=received_at_ms + 540)
         await wait_until(lambda: len(arrivals) == 2)
         assert arrivals[1][1].read_delay_ms == 0 and not arrivals[1][1].is_retry and not arrivals[1][1].has_key
 
@@ -88,24 +88,26 @@
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         for number in range(1, 31):
-            await client.ask(f"{number:016x}", class_name="pay", timeout=60, resent=1)
-        answers = [await client.answer() for _ in range(30)]
+            await client.send_request(f"{number:016x}", class_name="pay", timeout=60, resent=1)
+        answers = [await client.receive_answer() for _ in range(30)]
         rejected = [fields for _, status, fields, _ in answers if status == "later"]
         assert rejected and all(0 < float(fields["holdoff"]) <= 1000 for fields in rejected if "holdoff" in fields)
         assert all(fields.get("nomore", "1") == "1" for fields in rejected)
         assert not any({"holdoff", "nomore"} & set(fields) for _, status, fields, _ in answers if status != "later")
         await wait_until(lambda: rig.server.advertised_weight is not None)
         await client.send("STATUS", "900", "")
-        assert float((await client.answer())[2]["signal"]) < 1
+        assert float((await client.receive_answer())[2]["signal"]) < 1
 
 
 async def test_health_checks_are_answered_before_the_worker_pool_is_up_and_load_reports_start_afterwards():
     async with ServerRig() as rig:
         client = await rig.connect_client()
         await client.send("STATUS", "1", "")
-        assert (await client.answer())[:2] == (1, "healthy")
-        await client.ask(A)
-        assert (await client.answer())[1] == "error"  # no request is expected yet, but one that arrives is answered
+        assert (await client.receive_answer())[:2] == (1, "healthy")
+        await client.send_request(A)
+        assert (await client.receive_answer())[
+            1
+        ] == "error"  # no request is expected yet, but one that arrives is answered
         await anyio.sleep(0.6)
         assert not rig.reports  # a report would put a server that cannot serve yet on the endpoint list
         await rig.wait_until_serving()
@@ -144,24 +146,24 @@
 async def test_a_malformed_field_fails_only_its_request(changed_fields):
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
-        await client.ask(changed_fields.pop("req", A), **changed_fields)
-        assert (await client.answer())[:2] == (1, "error")
-        await client.ask(B, class_name="read")
+        await client.send_request(changed_fields.pop("req", A), **changed_fields)
+        assert (await client.receive_answer())[:2] == (1, "error")
+        await client.send_request(B, class_name="read")
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
         await rig.pool.finish(B)
-        assert (await client.answer())[:2] == (2, "done") and not rig.pool.received_commands("spawn", A)
+        assert (await client.receive_answer())[:2] == (2, "done") and not rig.pool.received_commands("spawn", A)
 
 
 async def test_an_unknown_verb_and_a_duplicate_request_id_are_each_answered_with_one_failure():
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await client.send("DANCE", "5", "x")
-        assert (await client.answer())[:2] == (5, "error")
+        assert (await client.receive_answer())[:2] == (5, "error")
         await rig.start_run(client, A)
-        await client.ask(A)
-        assert (await client.answer())[:2] == (2, "error")
+        await client.send_request(A)
+        assert (await client.receive_answer())[:2] == (2, "error")
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and len(rig.pool.received_commands("spawn", A)) == 1
+        assert (await client.receive_answer())[:2] == (1, "done") and len(rig.pool.received_commands("spawn", A)) == 1
 
 
 @pytest.mark.parametrize("how", ("nevermind", "close", "reset"))
@@ -208,11 +210,11 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A)
         await rig.pool.finish(A)
-        await client.answer()
+        await client.receive_answer()
         await client.stream.send(
             resp.message(b"ASK", b"9", b"read", b"req=1")[:-1].replace(b"*4", b"*5") + b"\n$60000000\r\n"
         )
-        assert (await client.answer())[:2] == (9, "error")
+        assert (await client.receive_answer())[:2] == (9, "error")
         sent, flood = 0, bytes(1 << 16)
         with suppress(anyio.BrokenResourceError), anyio.fail_after(3):
             while True:
@@ -225,10 +227,10 @@
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         for _ in range(load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 1):
-            await client.ask("bad")
+            await client.send_request("bad")
         for tag in range(1, load_balancer_connection.MAX_CONSECUTIVE_REFUSALS + 2):
-            assert (await client.answer())[:2] == (tag, "error")
-        assert await client.ended()
+            assert (await client.receive_answer())[:2] == (tag, "error")
+        assert await client.is_closed_by_server()
 
 
 async def test_finished_requests_leave_no_objects_in_memory():
@@ -239,7 +241,7 @@
             request_id = f"{number:016x}"
             tag = await rig.start_run(client, request_id, body=bytes(2048))
             await rig.pool.finish(request_id, body=bytes(4096))
-            assert (await client.answer())[0] == tag
+            assert (await client.receive_answer())[0] == tag
             rig.pool.received.clear()
             rig.pool.notifications.clear()
             if number in (200, 600):
--- a/tests/server/test_worker_pool_link.py
+++ b/tests/server/test_worker_pool_link.py
@@ -23,10 +23,10 @@
         await rig.start_run(client, A)
         await rig.start_run(client, B)
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
         await rig.pool.abort_connections()
         await rig.pool.finish(B)  # while there is no link
-        assert (await client.answer())[:2] == (2, "done")
+        assert (await client.receive_answer())[:2] == (2, "done")
         assert [each["seq"] for each in rig.pool.received if each["op"] == "bind"] == [0, 1]
         await rig.pool.send_line(**rig.pool.notifications[0])
         await rig.pool.finish("00000000000000ff")
@@ -34,7 +34,7 @@
         await rig.pool.send_line(op="unknown", end="suspend", id=A)
         await rig.start_run(client, C)
         await rig.pool.finish(C)
-        assert (await client.answer())[:2] == (3, "done")
+        assert (await client.receive_answer())[:2] == (3, "done")
         assert [len(rig.pool.received_commands("spawn", request_id)) for request_id in (A, B, C)] == [1, 1, 1]
 
 
@@ -49,7 +49,8 @@
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await wait_until(lambda: rig.server.worker_pool.is_up)
         assert len(rig.pool.received_commands("spawn", B)) == 1
-        assert (await client.answer())[:2] == (2, "error")  # it may have run, so it is neither rejected nor retried
+        # The request may have run, so it is neither rejected nor retried.
+        assert (await client.receive_answer())[:2] == (2, "error")
 
 
 async def test_a_link_that_breaks_again_while_resuming_keeps_unconfirmed_runs_and_delays_no_other_run():
@@ -70,7 +71,7 @@
         )
         for tag, request_id in ((1, A), (2, B)):
             await rig.pool.finish(request_id)
-            assert (await client.answer())[:2] == (tag, "done")
+            assert (await client.receive_answer())[:2] == (tag, "done")
 
 
 async def test_a_command_issued_after_its_link_closed_is_sent_on_the_next_link():
@@ -88,14 +89,14 @@
         client = await (await rig.wait_until_serving()).connect_client()
         port = rig.pool.port
         await rig.pool.stop()
-        await client.ask(A)
+        await client.send_request(A)
         await wait_until(lambda: rig.server.requests)
         await anyio.sleep(0.1)
         assert not rig.pool.received_commands("spawn", A)
         await rig.pool.listen(rig._tasks, port)
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
 
 
 async def test_new_addresses_are_adopted_under_load_and_an_invalid_file_changes_nothing():
@@ -122,7 +123,7 @@
         await wait_until(lambda: ("OP", C, CALL_BODY) in rig.records.received)
         for tag, request_id in ((1, A), (2, B), (3, C)):
             await rig.pool.finish(request_id)
-            assert (await client.answer())[:2] == (tag, "done")
+            assert (await client.receive_answer())[:2] == (tag, "done")
         rig.reports.clear()
         await wait_until(lambda: rig.reports)
 
@@ -136,17 +137,17 @@
         await wait_until(lambda: rig.server.worker_pool._connection.state is worker_pool_connection.LinkState.MOVING)
         rig.pool, rig.config = old, config_before
         rig.server.reload()
-        await client.ask(A)
+        await client.send_request(A)
         await wait_until(lambda: old.received_commands("spawn", A), 1.0)  # sooner than an unresponsive link is detected
         await old.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
 
 
 async def test_new_addresses_are_adopted_while_there_is_no_link():
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.pool.stop()
-        await client.ask(A)
+        await client.send_request(A)
         await anyio.sleep(0.3)  # until the pauses between connection attempts are longer
         started_at = time.monotonic()
         await rig.move_services()
@@ -173,7 +174,7 @@
             return stream
 
         await rig.pool.stop()
-        await client.ask(A)
+        await client.send_request(A)
         newest = await rig.start_pool_at_new_address()
         monkeypatch.setattr(worker_pool_connection, "connect", connect_and_change_address)
         await rig.move_services()
@@ -188,7 +189,7 @@
         await rig.start_run(client, A, "pay", timeout=200)
         rig.pool.answers_gauge_queries = True
         await rig.pool.abort_connections()  # the start is lost, so the run never exists
-        assert (await client.answer())[:2] == (1, "error")
+        assert (await client.receive_answer())[:2] == (1, "error")
         await wait_until(lambda: not rig.server.requests)
         assert len(rig.pool.received_commands("spawn", A)) == 1
 
@@ -215,10 +216,10 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "pay")
         await rig.pool.send_line(op="unknown", end="spawn", id=A)
-        assert (await client.answer())[:2] == (1, "error")
+        assert (await client.receive_answer())[:2] == (1, "error")
         await rig.start_run(client, B, "pay")
         await rig.pool.finish(B, end="fault")
-        assert (await client.answer())[:2] == (2, "error")
+        assert (await client.receive_answer())[:2] == (2, "error")
 
 
 @pytest.mark.parametrize(
@@ -230,7 +231,7 @@
         await rig.start_run(client, A)
         await rig.pool.stream.send(line)
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and rig.pool.connection_count == 1
+        assert (await client.receive_answer())[:2] == (1, "done") and rig.pool.connection_count == 1
 
 
 async def test_gauges_are_passed_to_the_timer_which_also_fires_without_them(monkeypatch):
@@ -279,7 +280,7 @@
         rig.pool.answers_gauge_queries = True
         await rig.start_run(client, A)
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
 
 
 async def test_load_balancer_connections_cannot_use_the_buffers_reserved_for_the_worker_pool():
@@ -289,6 +290,6 @@
         rig.server.buffers._unallocated_count = rig.server.buffers._reserved_count - len(rig.server.buffers._free)
         other = await rig.connect_client()
         await other.send("STATUS", "1", "")
-        assert await other.ended()
+        assert await other.is_closed_by_server()
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and rig.pool.connection_count == 1
+        assert (await client.receive_answer())[:2] == (1, "done") and rig.pool.connection_count == 1
--- a/tests/support/load_balancer_client.py
+++ b/tests/support/load_balancer_client.py
@@ -51,7 +51,7 @@
         """Send one message of these parts."""
         await self.stream.send(resp.message(*(part.encode() if isinstance(part, str) else part for part in parts)))
 
-    async def ask(
+    async def send_request(
         self, request_id: str, class_name: str = "read", body: bytes = b"body", without: str = "", **fields: object
     ) -> int:
         """Send a request with the usual fields, changed or left out; return its number."""
@@ -61,7 +61,7 @@
         await self.send("ASK", str(self.tag), class_name, text, body)
         return self.tag
 
-    async def answer(self, wait_s: float = 3.0) -> tuple[int, str, dict[str, str], bytes]:
+    async def receive_answer(self, wait_s: float = 3.0) -> tuple[int, str, dict[str, str], bytes]:
         """Return the next answer: number, word, fields, body."""
         with anyio.fail_after(wait_s):
             while (message := resp.parse(self._buffered, 0, len(self._buffered))) is None:
@@ -71,7 +71,7 @@
         fields = dict(pair.split("=") for pair in rest[0].decode().split(",")) if rest and rest[0] else {}
         return int(tag), word.decode(), fields, rest[1] if len(rest) > 1 else b""
 
-    async def ended(self, wait_s: float = 3.0) -> bool:
+    async def is_closed_by_server(self, wait_s: float = 3.0) -> bool:
         """Return whether the server closes the connection without sending anything more."""
         with anyio.fail_after(wait_s):
             try:
@@ -91,13 +91,13 @@
         self.sock = socket.create_connection(("127.0.0.1", port))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock.setblocking(False)
-        self.name = self.sock.getsockname()
+        self.local_address = self.sock.getsockname()
 
     def send(self, data: bytes) -> None:
         """Send all the bytes, or raise where the system's buffer is full."""
         self.sock.sendall(data)
 
-    async def until(self, word: bytes, wait_s: float = 3.0) -> bytes:
+    async def receive_until(self, word: bytes, wait_s: float = 3.0) -> bytes:
         """Receive until this word has come, and return all that came."""
         received = b""
         with anyio.fail_after(wait_s):
@@ -108,7 +108,7 @@
                 received += more
         return received
 
-    async def to_the_end(self, wait_s: float = 3.0) -> bytes:
+    async def receive_to_end(self, wait_s: float = 3.0) -> bytes:
         """Receive until the server closes the connection, and return all that came; a reset raises."""
         received = b""
         with anyio.fail_after(wait_s):
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -192,7 +192,7 @@
             (
                 connection
                 for connection in listener.table.connections
-                if not connection.stream.close_reason and connection.stream._sock.getpeername() == client.name
+                if not connection.stream.close_reason and connection.stream._sock.getpeername() == client.local_address
             ),
             None,
         )
@@ -201,7 +201,7 @@
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
         """Send a request, and wait until its run has been started; return its number."""
-        tag = await client.ask(request_id, class_name, **fields)
+        tag = await client.send_request(request_id, class_name, **fields)
         await wait_until(lambda: self.pool.received_commands("spawn", request_id))
         return tag
 
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -54,11 +54,11 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "pay")
         await rig.pool.notify("finished", A, **malformed_fields)
-        assert (await client.answer())[1::2] == ("error", b"")  # no result is made up
+        assert (await client.receive_answer())[1::2] == ("error", b"")  # no result is made up
         await wait_until(lambda: not rig.server.requests)
         await rig.start_run(client, B, "pay")  # the only slot is free again
         await rig.pool.finish(B)
-        assert (await client.answer())[1::2] == ("done", b"result") and rig.pool.connection_count == 1
+        assert (await client.receive_answer())[1::2] == ("done", b"result") and rig.pool.connection_count == 1
 
 
 async def test_a_line_that_is_not_json_still_ends_the_run_that_it_names():
@@ -67,7 +67,7 @@
         await rig.start_run(client, A, "pay")
         rig.pool.seq += 1
         await rig.pool.stream.send(b'{"op":"finished","seq":1,"id":"%b","end":"fine",\x00\n' % A.encode())
-        assert (await client.answer())[1] == "error"
+        assert (await client.receive_answer())[1] == "error"
         await wait_until(lambda: not rig.server.requests)
 
 
@@ -76,7 +76,7 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "pay", timeout=300)
         await rig.pool.notify("blocked", A, body="!!!")
-        assert (await client.answer())[1] == "error"
+        assert (await client.receive_answer())[1] == "error"
         assert not rig.records.received and not rig.pool.received_commands("supply", A)
 
 
@@ -89,7 +89,7 @@
         for _ in range(5):  # all within one event loop step
             request.deliver(CallReturned(Outcome.ERROR))
         request.deliver(RunFinished(Outcome.OK, 20.0, b"result"))
-        assert (await client.answer())[1::2] == ("done", b"result")
+        assert (await client.receive_answer())[1::2] == ("done", b"result")
         await wait_until(lambda: not rig.server.requests)
 
 
@@ -114,7 +114,7 @@
         if order == "after":
             with suppress(OSError):
                 os.write(call_fd, reply_line)
-        assert (await client.answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
+        assert (await client.receive_answer())[1] == "error"  # the abandoned call may have run, so it is not repeated
         assert len(rig.records.received) == 1 and not rig.pool.received_commands("supply", A)
         await rig.start_call(client, B, "pay")  # the late reply is not delivered to another request
         await rig.records.reply(B, "DONE", b"B's own")
@@ -130,11 +130,11 @@
         with monkeypatch.context() as patches:
             patches.setattr(PooledConnection, "_handle_replies", lambda *values: 1 / 0)
             await rig.records.reply(A, "DONE", b"reply")
-            assert (await client.answer())[1] == "error"  # the call may have run
+            assert (await client.receive_answer())[1] == "error"  # the call may have run
         await rig.records.reply(B, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", B))
         await rig.pool.finish(B)
-        assert (await client.answer())[1] == "done" and rig.exited_cleanly is None
+        assert (await client.receive_answer())[1] == "done" and rig.exited_cleanly is None
 
 
 async def test_a_call_cancelled_while_connecting_frees_its_descriptor_at_once(monkeypatch):
@@ -156,7 +156,7 @@
                 await rig.pool.block(request_id)
             await wait_until(lambda: len(rig.server.dependency_client._open_connections) == 20)
             for _ in request_ids:
-                assert (await client.answer())[1] == "error"
+                assert (await client.receive_answer())[1] == "error"
             await wait_until(lambda: not rig.server.dependency_client._open_connections, 0.5)
         for each in queued:
             each.close()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -58,7 +58,7 @@
         listener.close_idle(500.0)
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert b"healthy" in (got := await peer.until(b"result")) and got.count(b"done") == 1
+        assert b"healthy" in (got := await peer.receive_until(b"result")) and got.count(b"done") == 1
 
 
 async def test_a_request_just_after_its_idle_connection_was_closed_does_not_lose_an_answer():
@@ -70,7 +70,7 @@
         set_idle_for(rig, peer, 1000.0 + rig.server.generation.longest_timeout_ms)
         listener.close_idle(500.0)
         peer.send(encode_request(A))  # the server's FIN has been sent but not read
-        got = await peer.to_the_end()  # no reset, which would discard the first answer
+        got = await peer.receive_to_end()  # no reset, which would discard the first answer
         assert b"healthy" in got and b"closing" in got and not rig.pool.received_commands("spawn", A)
         await wait_until(lambda: not listener.table.connections)
 
@@ -86,11 +86,11 @@
         rig.server.listeners[0]._accept()
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert b"result" in await oldest.until(b"result")
+        assert b"result" in await oldest.receive_until(b"result")
         other.send(encode_request(B))  # crosses the close
-        assert b"healthy" in await other.to_the_end() and not rig.pool.received_commands("spawn", B)
+        assert b"healthy" in await other.receive_to_end() and not rig.pool.received_commands("spawn", B)
         newcomer.send(STATUS)
-        assert b"healthy" in await newcomer.until(b"healthy")
+        assert b"healthy" in await newcomer.receive_until(b"healthy")
 
 
 async def test_a_connection_over_the_limit_is_closed_without_a_reset():
@@ -101,9 +101,9 @@
         excess = RawClient(rig.port)
         excess.send(encode_request(B))
         rig.server.listeners[0]._accept()
-        assert await excess.to_the_end() == b"" and not rig.pool.received_commands("spawn", B)
+        assert await excess.receive_to_end() == b"" and not rig.pool.received_commands("spawn", B)
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
 
 
 @pytest.mark.parametrize("order", ("before", "after"))
@@ -130,7 +130,7 @@
         peer = RawClient(rig.port)
         peers.append(peer)
         if order == "after":
-            assert await peer.to_the_end() == b"" and not rig.pool.received_commands("spawn", A)
+            assert await peer.receive_to_end() == b"" and not rig.pool.received_commands("spawn", A)
         else:
             await wait_until(lambda: rig.server.listeners[0].table.connections)
             with anyio.move_on_after(0.05):
@@ -138,7 +138,7 @@
             peer.send(encode_request(A))
             await wait_until(lambda: rig.pool.received_commands("spawn", A))
             await rig.pool.finish(A)
-            assert b"result" in await peer.until(b"result")
+            assert b"result" in await peer.receive_until(b"result")
 
 
 async def test_a_partial_message_keeps_its_connection_until_it_is_complete():
@@ -154,7 +154,7 @@
         peer.send(message[20:])
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert b"result" in await peer.until(b"result")
+        assert b"result" in await peer.receive_until(b"result")
 
 
 async def test_an_unsent_answer_keeps_its_connection():
@@ -185,8 +185,8 @@
         # The third is not accepted yet.
         assert rig.connection_of(first).close_began_at_ms and rig.connection_of(third) is None
         second.send(STATUS)
-        assert b"healthy" in await second.until(b"healthy")
-        assert b"healthy" in await third.until(b"healthy") and b"healthy" in await first.to_the_end()
+        assert b"healthy" in await second.receive_until(b"healthy")
+        assert b"healthy" in await third.receive_until(b"healthy") and b"healthy" in await first.receive_to_end()
 
 
 async def connect_client_shedding(rig: ServerRig, other: RawClient) -> RawClient:
@@ -207,9 +207,9 @@
         await wait_until(lambda: rig.pool.received_commands("spawn", A), 1.0)
         assert len(rig.server.listeners[0].table.connections) <= 10
         await rig.pool.finish(A)
-        assert b"result" in await last.until(b"result")
+        assert b"result" in await last.receive_until(b"result")
         for each in silent[:30]:
-            assert await each.to_the_end() == b""
+            assert await each.receive_to_end() == b""
 
 
 async def test_timed_out_connections_that_linger_do_not_count_towards_the_limit(monkeypatch):
@@ -226,7 +226,7 @@
         await wait_until(lambda: rig.pool.received_commands("spawn", A), 1.0)
         assert rig.connection_of(idle).close_began_at_ms is None  # it has sent a valid message and is not shed
         await rig.pool.finish(A)
-        assert b"result" in await active.until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
+        assert b"result" in await active.receive_until(b"result") and all(each.sock.recv(1) == b"" for each in silent)
 
 
 @pytest.mark.parametrize("code", (errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EINVAL))
@@ -236,5 +236,5 @@
         failing = rig.server.listeners[0]._listener = FailingListener(rig.listener, code)
         peer = RawClient(rig.port)
         peer.send(STATUS)
-        assert b"healthy" in await peer.until(b"healthy") and failing.accept_count >= 2
+        assert b"healthy" in await peer.receive_until(b"healthy") and failing.accept_count >= 2
         assert rig.exited_cleanly is None  # the server is still running
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -79,9 +79,9 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_call(client, A, "pay")  # with a call in flight
         await rig.start_run(client, B, "book", opkey="k1")
-        await client.ask(C, "book", opkey="k1", resent=1)  # coalesced with its original
+        await client.send_request(C, "book", opkey="k1", resent=1)  # coalesced with its original
         queued_id = "00000000000000d4"
-        await client.ask(queued_id, "pay")
+        await client.send_request(queued_id, "pay")
         await wait_until(lambda: len(rig.server.requests) == 4)
         states = {request.state for request in rig.server.requests.values()}
         assert {RequestState.CALL_IN_FLIGHT, RequestState.RUNNING, RequestState.COALESCED} <= states
@@ -94,11 +94,11 @@
         await rig.pool.finish(B, body=b"booked")
         await wait_until(lambda: rig.pool.received_commands("spawn", queued_id))
         await rig.pool.finish(queued_id)
-        outcomes = dict([(await client.answer())[:2] for _ in range(4)])
+        outcomes = dict([(await client.receive_answer())[:2] for _ in range(4)])
         assert outcomes == {1: "done", 2: "done", 3: "done", 4: "done"}
         assert len(rig.pool.received_commands("spawn", A)) == 1 and not rig.pool.received_commands("spawn", C)
-        await client.ask("00000000000000e5", "book", opkey="k2")
-        assert (await client.answer())[:2] == (5, "error")
+        await client.send_request("00000000000000e5", "book", opkey="k2")
+        assert (await client.receive_answer())[:2] == (5, "error")
         assert (
             not generation_watch.mixed_requests
             and generation_watch.events_across_generations >= 4
@@ -115,7 +115,7 @@
         # The fault to detect: the class statistics are looked up again after the change.
         controller._requests.by_id[int(A, 16)].statistics = controller._classes["pay"]
         await rig.pool.finish(A)
-        await client.answer()
+        await client.receive_answer()
         assert generation_watch.mixed_requests == {int(A, 16)}
 
 
@@ -124,7 +124,7 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "pay")
         await rig.pool.finish(A)
-        await client.answer()
+        await client.receive_answer()
         controller = rig.server.decision_executor.controller
         controller._weight.weight, mean = 0.5, controller._classes["pay"].run_ms
         await rig.push(CHANGED_DOCUMENT)
@@ -208,7 +208,7 @@
         assert rig.server.generation.settings.core_count == 2
         assert rig.server.generation.config.pool[1] == rig.pool.port and rig.server.worker_pool.is_up
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
+        assert (await client.receive_answer())[:2] == (1, "done")
         rig.server.begin_shutdown()
         with pytest.raises(ChangeRejectedError) as caught:
             await rig.push({"machine": {"cores": 9}})
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -41,7 +41,7 @@
         if sends_health_check:
             peer.send(STATUS)
             with suppress(AssertionError, OSError):
-                await peer.until(b"healthy")
+                await peer.receive_until(b"healthy")
         peers.append(peer)
     return peers
 
@@ -69,11 +69,11 @@
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.received_commands("supply", A), 1.0)
                 await rig.pool.finish(A)
-                assert b"result" in await client.until(b"result")
+                assert b"result" in await client.receive_until(b"result")
                 health_client = RawClient(rig.port)
                 stack.callback(health_client.sock.close)
                 health_client.send(STATUS)
-                assert b"healthy" in await health_client.until(b"healthy", 1.0)
+                assert b"healthy" in await health_client.receive_until(b"healthy", 1.0)
                 report_count = len(rig.reports)
                 await rig.start_directory(port)
                 await wait_until(lambda: len(rig.reports) > report_count, 1.5)  # reports resume immediately
@@ -94,7 +94,7 @@
                 await rig.records.reply(A, "DONE", b"reply")
                 await wait_until(lambda: rig.pool.received_commands("supply", A))
                 await rig.pool.finish(A)
-                assert (await client.answer())[:2] == (1, "done")
+                assert (await client.receive_answer())[:2] == (1, "done")
                 await client.stream.aclose()
             assert process.poll() is None
 
@@ -144,7 +144,7 @@
                     request_id = f"{number:016x}"
                     await rig.start_run(client, request_id)
                     await rig.pool.finish(request_id)
-                    assert (await client.answer(1.0))[:2] == (number, "done")
+                    assert (await client.receive_answer(1.0))[:2] == (number, "done")
                 tasks.cancel_scope.cancel()
         assert rig.exited_cleanly is None and not rig.server.requests
         await wait_until(lambda: len(rig.server.listeners[0].table.connections) == 1, 4.0)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -55,7 +55,7 @@
             send_unread_line(rig, **notification)
         # In the same event loop step: the reader that was woken finds the stream closed.
         stream.abort(CloseReason.RESET)
-        assert (await client.answer())[1::2] == ("done", b"once")
+        assert (await client.receive_answer())[1::2] == ("done", b"once")
         await wait_until(lambda: len(rig.pool.received_binds()) == 2 and not rig.server.requests)
         assert rig.pool.received_binds()[1]["seq"] == 0 and len(rig.pool.received_commands("spawn", A)) == 1
 
@@ -71,7 +71,7 @@
         await wait_until(lambda: rig.server.worker_pool.is_up)
         # The run may have started, so the command is not resent while the request is open.
         assert len(rig.pool.received_commands("spawn", A)) == 1
-        assert (await client.answer())[1] == "error"
+        assert (await client.receive_answer())[1] == "error"
         await wait_until(lambda: len(rig.pool.received_commands("spawn", A)) == 2)
         await rig.pool.finish(A, end="late" if first_start == "lost" else "fine")
         await wait_until(lambda: not rig.server.requests)
@@ -87,13 +87,13 @@
         old.answers_gauge_queries = False  # written commands stay unconfirmed, so the move waits
         await rig.move_services()
         await wait_until(lambda: rig.server.worker_pool._connection.state is LinkState.MOVING)
-        await client.ask(B, "pay")  # not sent on any link yet
+        await client.send_request(B, "pay")  # not sent on any link yet
         await old.abort_connections()
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
         assert not old.received_commands("spawn", B) and len(rig.pool.received_commands("spawn", B)) == 1
         for tag, request_id in ((1, A), (2, B)):
             await rig.pool.finish(request_id)
-            assert (await client.answer())[:2] == (tag, "done")
+            assert (await client.receive_answer())[:2] == (tag, "done")
         assert not rig.pool.received_commands("spawn", A)  # non-idempotent: an unconfirmed start is not resent
 
 
@@ -114,10 +114,10 @@
             await wait_until(
                 lambda: rig.server.worker_pool._connection.state is not LinkState.UP or newest.received_binds()
             )
-        await client.ask(A)
+        await client.send_request(A)
         await wait_until(lambda: newest.received_commands("spawn", A))
         await newest.finish(A)
-        assert (await client.answer())[:2] == (1, "done") and not second.received_commands("spawn", A)
+        assert (await client.receive_answer())[:2] == (1, "done") and not second.received_commands("spawn", A)
         assert returns_to_first or not first.received_commands("spawn", A)
 
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -38,9 +38,9 @@
         assert not rig.server.generation.settings.tenants and not rig.server.generation.settings.clients_mark_retries
         await rig.start_run(client, A, without="owner")
         await rig.pool.finish(A)
-        assert (await client.answer())[:2] == (1, "done")
-        await client.ask(B)  # for an unknown tenant
-        assert (await client.answer())[:2] == (2, "error")
+        assert (await client.receive_answer())[:2] == (1, "done")
+        await client.send_request(B)  # for an unknown tenant
+        assert (await client.receive_answer())[:2] == (2, "error")
 
 
 async def test_a_run_that_can_be_paused_is_stopped_once_its_client_has_disconnected():
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -28,14 +28,15 @@
         await rig.start_run(client, A, "book", opkey="k1")
         if is_finished:
             await rig.pool.finish(A, body=b"once")
-            assert (await client.answer())[1::2] == ("done", b"once")
-        await other_client.ask(B, "book", opkey="k1", **changed_fields)
-        assert (await other_client.answer())[:2] == (1, "error")  # immediately, without waiting for the original
+            assert (await client.receive_answer())[1::2] == ("done", b"once")
+        await other_client.send_request(B, "book", opkey="k1", **changed_fields)
+        # It is answered immediately, without waiting for the original.
+        assert (await other_client.receive_answer())[:2] == (1, "error")
         if not is_finished:
             await rig.pool.finish(A, body=b"once")
-            assert (await client.answer())[1::2] == ("done", b"once")
-        await client.ask(C, "book", opkey="k1", resent=1)
-        assert (await client.answer())[1::2] == ("done", b"once")  # a true duplicate still gets the result
+            assert (await client.receive_answer())[1::2] == ("done", b"once")
+        await client.send_request(C, "book", opkey="k1", resent=1)
+        assert (await client.receive_answer())[1::2] == ("done", b"once")  # a true duplicate still gets the result
         assert not rig.pool.received_commands("spawn", B) and not rig.pool.received_commands("spawn", C)
 
 
@@ -44,36 +45,39 @@
         other_client, client = await (await rig.wait_until_serving()).connect_client(), await rig.connect_client()
         await rig.start_run(other_client, A, "book", opkey="k1", body=b"made up")
         await rig.pool.send_line(op="unknown", end="spawn", id=A)
-        assert (await other_client.answer())[1] == "error"
+        assert (await other_client.receive_answer())[1] == "error"
         await wait_until(lambda: not rig.server.requests)
         await rig.start_run(client, B, "book", opkey="k1")
         await rig.pool.finish(B, body=b"once")
-        assert (await client.answer())[1::2] == ("done", b"once")
+        assert (await client.receive_answer())[1::2] == ("done", b"once")
 
 
 async def test_a_request_with_an_oversized_key_fails():
     async with ServerRig() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
-        await client.ask(A, "book", opkey="k" * 257)
-        assert (await client.answer())[1] == "error" and not rig.pool.received_commands("spawn", A)
-        await client.ask(D, "read", subject="k" * 257)
-        assert (await client.answer())[1] == "error"
+        await client.send_request(A, "book", opkey="k" * 257)
+        assert (await client.receive_answer())[1] == "error" and not rig.pool.received_commands("spawn", A)
+        await client.send_request(D, "read", subject="k" * 257)
+        assert (await client.receive_answer())[1] == "error"
 
 
 async def test_a_key_can_be_reused_if_its_request_was_cancelled_before_it_ran():
     async with ServerRig(cpus=1) as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, C, "pay")  # occupies the only core
-        await client.ask(A, "book", opkey="k1")
+        await client.send_request(A, "book", opkey="k1")
         await wait_until(lambda: len(rig.server.requests) == 2)
         await client.send("NEVERMIND", "2")
         await wait_until(lambda: len(rig.server.requests) == 1)
-        await client.ask(B, "book", opkey="k1", resent=1)
+        await client.send_request(B, "book", opkey="k1", resent=1)
         await rig.pool.finish(C)
         await wait_until(lambda: rig.pool.received_commands("spawn", B))
         await rig.pool.finish(B, body=b"once")
         assert not rig.pool.received_commands("spawn", A)
-        assert sorted([(await client.answer())[1::2] for _ in range(2)]) == [("done", b"once"), ("done", b"result")]
+        assert sorted([(await client.receive_answer())[1::2] for _ in range(2)]) == [
+            ("done", b"once"),
+            ("done", b"result"),
+        ]
 
 
 def set_idempotency_window(rig: ServerRig, window_ms: float) -> None:
@@ -89,10 +93,10 @@
         started_at_ms = int(time.time() * 1000)
         await rig.start_run(client, A, "book", opkey="k1", ts=started_at_ms, timeout=200)
         await rig.pool.finish(A, body=b"once")
-        assert (await client.answer())[1::2] == ("done", b"once")
+        assert (await client.receive_answer())[1::2] == ("done", b"once")
         await wait_until(lambda: time.time() * 1000 > started_at_ms + 600)
-        await client.ask(B, "book", opkey="k1", resent=1, ts=started_at_ms + 290)
-        assert (await client.answer())[1::2] == ("done", b"once") and not rig.pool.received_commands("spawn", B)
+        await client.send_request(B, "book", opkey="k1", resent=1, ts=started_at_ms + 290)
+        assert (await client.receive_answer())[1::2] == ("done", b"once") and not rig.pool.received_commands("spawn", B)
         # Received after the window, so not a duplicate.
         await rig.start_run(client, C, "book", opkey="k1", ts=started_at_ms + 500)
 
@@ -103,15 +107,15 @@
         set_idempotency_window(rig, 100.0)
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "book", opkey="k1", timeout=300)
-        assert (await client.answer())[1] == "error"  # it timed out, but its run continues
+        assert (await client.receive_answer())[1] == "error"  # it timed out, but its run continues
         await wait_until(
             lambda: rig.server.clock() > next(iter(rig.server.idempotency_table.records.values())).expires_at_ms + 100
         )
-        await client.ask(B, "book", opkey="k1", resent=1)
+        await client.send_request(B, "book", opkey="k1", resent=1)
         await wait_until(lambda: len(rig.server.requests) == 2)
         assert not rig.pool.received_commands("spawn", B)
         await rig.pool.finish(A, body=b"once")
-        assert (await client.answer())[1::2] == ("done", b"once")
+        assert (await client.receive_answer())[1::2] == ("done", b"once")
         await wait_until(lambda: not rig.server.requests)
 
 
@@ -125,7 +129,7 @@
         client = await (await rig.wait_until_serving()).connect_client()
         await rig.start_run(client, A, "book", opkey="k1", timeout=200)
         await rig.pool.finish(A, body=b"once")
-        assert (await client.answer())[1] == "done"
+        assert (await client.receive_answer())[1] == "done"
         await wait_until(
             lambda: not rig.server.idempotency_table.records and not rig.server.idempotency_table.results.size_bytes
         )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -82,7 +82,7 @@
         rig.server.listeners[0].stop_accepting()  # before the server accepts the connection
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert b"result" in await peer.until(b"result")
+        assert b"result" in await peer.receive_until(b"result")
         with pytest.raises(OSError):
             RawClient(rig.port)
 
@@ -101,7 +101,7 @@
             RawClient(rig.port)
         for request_id in (A, B):
             await rig.pool.finish(request_id)
-        assert (await client.answer())[:2] == (1, "done") and b"result" in await late.until(b"result")
+        assert (await client.receive_answer())[:2] == (1, "done") and b"result" in await late.receive_until(b"result")
 
 
 async def test_idle_connections_do_not_delay_the_shutdown_and_receive_their_answers():
@@ -111,8 +111,8 @@
         await wait_until(lambda: len(rig.server.listeners[0].table.connections) == 2)
         started_at = time.monotonic()
         rig.server.begin_shutdown()
-        got = await idle.to_the_end()  # closed without a reset, after all answers
-        assert b"healthy" in got and got.endswith(CLOSING) and await silent.to_the_end() == CLOSING
+        got = await idle.receive_to_end()  # closed without a reset, after all answers
+        assert b"healthy" in got and got.endswith(CLOSING) and await silent.receive_to_end() == CLOSING
         await wait_until(lambda: rig.exited_cleanly is True)
         assert time.monotonic() - started_at < 0.6  # the process would be killed after 0.7 s
 
@@ -145,7 +145,7 @@
         if order == "after":
             monkeypatch.setattr(connection.stream, "shut_down", shut_down_while_request_arrives)
         rig.server.begin_shutdown()
-        got = await peer.to_the_end()
+        got = await peer.receive_to_end()
         assert b"healthy" in got and not rig.pool.received_commands("spawn", A)
         # The request is answered only if it was read; otherwise the client sends it again.
         assert (b"later" in got) is (order == "before")
@@ -158,13 +158,13 @@
         peer, message = await connect_idle_client(rig), encode_request(A)
         peer.send(message[:30])
         rig.server.begin_shutdown()
-        assert b"closing" in await peer.until(b"closing")
+        assert b"closing" in await peer.receive_until(b"closing")
         with anyio.move_on_after(0.15):  # longer than the server waits for messages that cross a close
             await anyio.sleep(1)
         peer.send(message[30:])  # it reached the machine within the grace period, so it is run
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
-        assert b"result" in await peer.until(b"result")
+        assert b"result" in await peer.receive_until(b"result")
         peer.sock.close()
         await wait_until(lambda: rig.exited_cleanly is True)
 
@@ -176,7 +176,7 @@
         peer.send(encode_request(A)[:30])
         started_at = time.monotonic()
         rig.server.begin_shutdown()
-        assert (await peer.to_the_end()).endswith(CLOSING)
+        assert (await peer.receive_to_end()).endswith(CLOSING)
         await wait_until(lambda: rig.exited_cleanly is True)
         assert time.monotonic() - started_at < 0.7
 
@@ -198,7 +198,7 @@
         await wait_until(lambda: rig.server.phase is Phase.SHUTTING_DOWN)
         with anyio.move_on_after(0.2):
             await anyio.sleep(1)
-        statuses = [(await client.answer())[1] for _ in range(32)]
+        statuses = [(await client.receive_answer())[1] for _ in range(32)]
         assert statuses == ["done"] * 31 + ["closing"]
 
 
@@ -209,7 +209,7 @@
         await rig.start_run(client, B, "pay")
         started_at = time.monotonic()
         rig.server.begin_shutdown()
-        assert [(await client.answer())[1] for _ in range(3)] == ["error", "error", "closing"]
+        assert [(await client.receive_answer())[1] for _ in range(3)] == ["error", "error", "closing"]
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is True)
         assert time.monotonic() - started_at < 0.7
@@ -224,7 +224,7 @@
         rig.server.begin_shutdown()
         await wait_until(lambda: len(rig.pool.received_binds()) == 1 and rig.server.worker_pool.is_up)
         await rig.pool.finish(A)
-        assert [(await client.answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
+        assert [(await client.receive_answer())[:2] for _ in range(2)] == [(1, "done"), (0, "closing")]
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is True)
 
@@ -233,10 +233,10 @@
     async with ServerRig() as rig:
         client = await rig.connect_client()
         await client.send("STATUS", "1", "")
-        assert (await client.answer())[1] == "healthy"
+        assert (await client.receive_answer())[1] == "healthy"
         rig.server.begin_shutdown()
-        await client.ask(A)
-        statuses = [(await client.answer())[1] for _ in range(2)]
+        await client.send_request(A)
+        statuses = [(await client.receive_answer())[1] for _ in range(2)]
         assert sorted(statuses) == ["closing", "error"] and rig.server.phase is Phase.SHUTTING_DOWN
         await client.stream.aclose()
         await wait_until(lambda: rig.exited_cleanly is True)
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -49,7 +49,7 @@
     """Connect a client, exchange a health check, and leave the connection idle."""
     peer = RawClient(rig.port)
     peer.send(STATUS)
-    await peer.until(b"healthy")
+    await peer.receive_until(b"healthy")
     return peer
 
 
@@ -70,7 +70,7 @@
 async def finish_request(rig: ServerRig, peer: RawClient, request_id: str) -> None:
     await wait_until(lambda: rig.pool.received_commands("spawn", request_id))
     await rig.pool.finish(request_id)
-    assert b"result" in await peer.until(b"result")
+    assert b"result" in await peer.receive_until(b"result")
 
 
 @pytest.mark.parametrize("size", (20, 1))
@@ -140,7 +140,7 @@
         connection = rig.connection_of(peer)
         assert connection is not None and connection.stream.shut_down_reason is None  # an answer is still outstanding
         await rig.pool.finish(A)
-        assert b"result" in await peer.to_the_end()
+        assert b"result" in await peer.receive_to_end()
         assert time.monotonic() - began_at_s >= 0.4
         await wait_until(
             lambda: not rig.server.listeners[0].table.slow_writers and not rig.server.listeners[0].table.connections
@@ -158,16 +158,16 @@
         await wait_until(lambda: len(listener.table.slow_writers) == 2)
         excess = await connect_idle_client(rig)
         excess.send(STATUS[:10])
-        assert await excess.to_the_end(1.0) == b""
+        assert await excess.receive_to_end(1.0) == b""
         slow[0].send(STATUS[10:])
-        assert b"healthy" in await slow[0].until(b"healthy")
+        assert b"healthy" in await slow[0].receive_until(b"healthy")
         assert len(listener.table.slow_writers) == 1
         late = await connect_idle_client(rig)
         late.send(STATUS[:10])
         await wait_until(lambda: rig.connection_of(late) in listener.table.slow_writers)
         for peer in (slow[1], late):
             peer.send(STATUS[10:])
-            assert b"healthy" in await peer.until(b"healthy")
+            assert b"healthy" in await peer.receive_until(b"healthy")
         assert not listener.table.slow_writers
 
 
