--- a/nickelslip/configuration/document_conversion.py
+++ b/nickelslip/configuration/document_conversion.py
@@ -91,7 +91,7 @@
         client_count=clients["callers"],
         tenants=tuple(Tenant(name, section["share_per_s"]) for name, section in document["customers"].items()),
         over_quota_value_fraction=document["ranking"]["beyond_share_worth"],
-        value_counts_work=document["ranking"]["counted_by_work"],
+        is_value_per_work_unit=document["ranking"]["counted_by_work"],
         clients_mark_retries=clients["marks_again"],
         preemption=PREEMPTION_CHOICES[machine["stopping"]],
         load_signal=LOAD_SIGNAL_CHOICES[clients["said"]],
@@ -144,7 +144,7 @@
         "callers": _callers_section(settings),
         "ranking": {
             "beyond_share_worth": settings.over_quota_value_fraction,
-            "counted_by_work": settings.value_counts_work,
+            "counted_by_work": settings.is_value_per_work_unit,
         },
         "calls": {
             "share": settings.dependency_concurrency_share,
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -85,8 +85,8 @@
     def stop_accepting(self) -> None:
         """Accept no further connections."""
 
-    async def shut_down(self, left_ms: float) -> None:
-        """Close all connections within `left_ms`."""
+    async def shut_down(self, remaining_ms: float) -> None:
+        """Close all connections within `remaining_ms`."""
 
 
 class ReloadHandler(Protocol):
@@ -141,7 +141,7 @@
     def call(self, request: Request, wait_ms: float) -> None:
         """Send the call that the run requested; it times out after `wait_ms`."""
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         """Abandon the call in flight."""
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -27,7 +27,7 @@
 from nickelslip.configuration.schema import Effect
 from nickelslip.configuration.start_selection import select_start
 from nickelslip.configuration.validation import InvalidDocumentError
-from tests.test_config import GOOD
+from tests.test_config import VALID_CONFIGURATION
 
 OURS = """// a small server
 {version: 1,
@@ -64,7 +64,7 @@
         3.0,
     )
     assert config_from(document_of(config)) == config
-    platform_config = config_from_platform(GOOD, {})
+    platform_config = config_from_platform(VALID_CONFIGURATION, {})
     assert config_from(document_of(platform_config)) == platform_config
 
 
@@ -224,7 +224,9 @@
         changes.mark_applied(2.0)
         in_force = changes.in_force
         document = {**in_force.document, "peers": {**in_force.document["peers"], "pool": "127.0.0.1:99"}}
-        changes.move_peers(3.0, replace(in_force.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP")
+        changes.replace_peer_addresses(
+            3.0, replace(in_force.generation.config, pool=("127.0.0.1", 99)), document, "SIGHUP"
+        )
         record = changes.roll_back(4.0, "harm")[1] if rolls_back else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
         assert changes.in_force.generation.config.settings.core_count == (2 if rolls_back else 3)
@@ -295,7 +297,7 @@
             elif command == "move" and changes.current is None:
                 in_force = changes.in_force
                 pool_address = f"127.0.0.1:{variant + 1}"
-                _, record = changes.move_peers(
+                _, record = changes.replace_peer_addresses(
                     now_ms,
                     replace(in_force.generation.config, pool=("127.0.0.1", variant + 1)),
                     {**in_force.document, "peers": {**in_force.document["peers"], "pool": pool_address}},
