--- a/nickelslip/emulator/__init__.py
+++ b/nickelslip/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulation of what surrounds servers, on loopback sockets, and of fleets of server processes in it."""
+"""Emulates the services and load balancers around servers on loopback sockets, and runs fleets of servers there."""
--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -1,6 +1,7 @@
-"""Rules that the history of a fleet's run has to keep; each rule returns a line for each violation.
+"""Rules that are checked against the history of a fleet's run; each rule returns a line for each violation.
 
-Only what went over the sockets counts, and no server's word about itself. A line begins with what was violated.
+The rules use traffic seen on the sockets only, never what a server reports about itself. Each line starts with the
+kind of violation.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.observed_history import Attempt, Incarnation, ObservedHistory
 
-COMPLETED_WORD = "done"
-REJECTED_WORD = "later"
+COMPLETED_STATUS = "done"
+REJECTED_STATUS = "later"
 
 
 @dataclass(frozen=True)
 class RuleLimits:
-    """What the rules allow.
+    """The limits that the rules apply.
 
     Attributes:
         idempotent_classes: Traffic classes whose requests may run more than once.
-        grace_ms: How long after a server was told to shut down load balancers may still send.
-        slack_ms: What the rules and a crowded machine may add to a response.
-        window_ms: How long a run under an idempotency key excludes another.
+        grace_ms: How long load balancers may still send after a server was told to shut down.
+        slack_ms: Extra response time that the rules and a busy machine may cause.
+        window_ms: Within this time after a run, no other run may use the same idempotency key.
     """
 
     idempotent_classes: frozenset[str]
@@ -37,12 +38,13 @@
 
 @dataclass(frozen=True)
 class AttemptContext:
-    """An attempt with what the rules need to know about it.
+    """An attempt, with the context that the rules need.
 
     Attributes:
-        incarnation: The one that the attempt reached; None before the server's first start.
-        deadline_at_ms: The attempt's deadline, moved to the end of an outage that it lies in.
-        is_excused: Whether no answer is owed.
+        incarnation: The incarnation that the attempt reached; None before the server's first start.
+        deadline_at_ms: The attempt's deadline; one that falls into an outage moves to the end of the outage.
+        is_excused: Whether the attempt needs no answer.
+        last_at_ms: Time of the last event in the history.
     """
 
     attempt: Attempt
@@ -54,7 +56,7 @@
 
     @property
     def may_rerun(self) -> bool:
-        """Whether its traffic class is idempotent."""
+        """Whether the attempt's traffic class is idempotent."""
         return self.attempt.traffic_class in self.limits.idempotent_classes
 
 
@@ -65,9 +67,9 @@
     slack_ms: float,
     window_ms: float = inf,
 ) -> list[str]:
-    """Return what violates rules 1 to 3.
+    """Return the violations of rules 1 to 3.
 
-    A server that was killed owes nothing of what it held; one that was told to shut down owes it to the end.
+    A killed server need not answer its open requests. A server that was told to shut down must still answer them.
     """
     observed = ObservedHistory(history)
     limits = RuleLimits(frozenset(idempotent_classes), grace_ms, slack_ms, window_ms)
@@ -92,7 +94,7 @@
 def _incarnation_excuses(
     observed: ObservedHistory, attempt: Attempt, incarnation: Incarnation | None, answer_by_ms: float
 ) -> bool:
-    """Return whether the server was killed, or shut down while it could not be reached."""
+    """Return whether the server was killed, or was unreachable before it shut down."""
     if incarnation is None:
         return False
     if incarnation.killed_at_ms <= answer_by_ms:
@@ -102,17 +104,17 @@
     return observed.was_cut_off(attempt.server, attempt.written_at_ms, incarnation.ended_at_ms)
 
 
-# Rules on one attempt
+# Rules for a single attempt
 
 
 def answered_at_most_once(context: AttemptContext) -> Iterator[str]:
-    """An attempt has one answer."""
+    """An attempt has at most one answer."""
     if len(context.attempt.answers) > 1:
-        yield f"duplicate: {context.attempt}: answered {context.attempt.words}"
+        yield f"duplicate: {context.attempt}: answered {context.attempt.statuses}"
 
 
 def answered_in_time(context: AttemptContext) -> Iterator[str]:
-    """An attempt is answered by its deadline and the slack, unless no answer is owed."""
+    """An attempt is answered by its deadline plus the slack, unless it needs no answer."""
     if context.is_excused:
         return
     attempt = context.attempt
@@ -125,27 +127,27 @@
 
 
 def answered_with_the_result_of_a_run(context: AttemptContext) -> Iterator[str]:
-    """A completed attempt has the body that a run made, and a run of its own unless it has an idempotency key."""
+    """A completed attempt has a body that a run produced, and its own run unless it has an idempotency key."""
     attempt = context.attempt
-    if any(answer.word == COMPLETED_WORD and not answer.is_valid for answer in attempt.answers):
+    if any(answer.status == COMPLETED_STATUS and not answer.is_valid for answer in attempt.answers):
         yield f"lost: {attempt}: answered with what no run made"
-    if COMPLETED_WORD in attempt.words and not attempt.runs_at_ms and not attempt.idempotency_key:
+    if COMPLETED_STATUS in attempt.statuses and not attempt.runs_at_ms and not attempt.idempotency_key:
         yield f"lost: {attempt}: satisfied and never run"
 
 
 def non_idempotent_runs_once(context: AttemptContext) -> Iterator[str]:
-    """An attempt that is not idempotent runs once, and is not rejected after it ran."""
+    """A non-idempotent attempt runs at most once, and is not rejected after it ran."""
     if context.may_rerun:
         return
     attempt = context.attempt
     if len(attempt.runs_at_ms) > 1:
         yield f"duplicate: {attempt}: run {len(attempt.runs_at_ms)} times"
-    if attempt.runs_at_ms and REJECTED_WORD in attempt.words:
+    if attempt.runs_at_ms and REJECTED_STATUS in attempt.statuses:
         yield f"duplicate: {attempt}: dismissed after it ran"
 
 
 def nothing_runs_after_the_grace(context: AttemptContext) -> Iterator[str]:
-    """What arrives later than the grace after a server was told to shut down is not run."""
+    """A request that arrives after the grace of a shutdown is not run."""
     if context.incarnation is None or not context.attempt.runs_at_ms:
         return
     late_ms = context.attempt.written_at_ms - context.incarnation.shutdown_at_ms - context.limits.grace_ms
@@ -162,7 +164,7 @@
 )
 
 
-# Rules on a whole history
+# Rules for a whole history
 
 
 def idempotency_key_runs_once(contexts: Iterable[AttemptContext], window_ms: float) -> Iterator[str]:
@@ -173,24 +175,27 @@
         if attempt.idempotency_key and attempt.runs_at_ms and context.incarnation is not None:
             key = attempt.server, context.incarnation.started_at_ms, attempt.idempotency_key
             runs_at_ms[key].append(attempt.runs_at_ms[0])
-    for (server, _, idempotency_key), moments in runs_at_ms.items():
-        moments.sort()
-        if any(later - earlier < window_ms for earlier, later in pairwise(moments)):
-            yield f"duplicate: reference {idempotency_key} run {len(moments)} times at {server}"
+    for (server, _, idempotency_key), times_ms in runs_at_ms.items():
+        times_ms.sort()
+        if any(later - earlier < window_ms for earlier, later in pairwise(times_ms)):
+            yield f"duplicate: reference {idempotency_key} run {len(times_ms)} times at {server}"
 
 
 def falls(history: History) -> list[str]:
-    """Rule 4: return what fell over; the caller knows whether that was scripted."""
+    """Rule 4: return the machines and services that failed from overload.
+
+    The caller knows which of these failures were scripted.
+    """
     return [f"fell: {event.detail} {event.server} at {event.at_ms:.0f}" for event in history.of(Kind.FELL_OVER)]
 
 
 def bad_exits(history: History) -> list[str]:
-    """Return servers that ended by themselves with a failure, or without having been told to shut down."""
+    """Return the servers that exited with a failure, or without having been told to shut down."""
     observed = ObservedHistory(history)
     found = []
     for event in history.of(Kind.ENDED):
         incarnations = observed.incarnations[event.server]
-        was_never_told = bool(incarnations) and all(each.shutdown_at_ms == inf for each in incarnations)
-        if event.detail != 0 or was_never_told:
+        shutdown_not_requested = bool(incarnations) and all(each.shutdown_at_ms == inf for each in incarnations)
+        if event.detail != 0 or shutdown_not_requested:
             found.append(f"ended: {event.server} with {event.detail}")
     return found
--- a/nickelslip/emulator/client_traffic.py
+++ b/nickelslip/emulator/client_traffic.py
@@ -1,4 +1,4 @@
-"""What clients send, and how load balancers behave."""
+"""The traffic that clients send, and the behaviour of load balancers."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass
 class ClassTraffic:
-    """What is sent of one traffic class.
+    """The traffic of one class.
 
     Attributes:
-        request_fraction: Its part of all requests.
-        priority_weight: What one answer within the objective is worth.
-        latency_objective_ms: Within this an answer earns its weight.
-        timeout_ms: After this a client gives up.
-        is_idempotent: Whether it may run more than once.
-        has_idempotency_key: Whether requests carry a key.
-        degraded_value_fraction: Of the weight, what a run without its optional call earns.
+        request_fraction: The share of all requests that is of this class.
+        priority_weight: The value of one answer within the latency objective.
+        latency_objective_ms: An answer within this time earns the weight.
+        timeout_ms: A client gives up after this time.
+        is_idempotent: Whether a request may run more than once.
+        has_idempotency_key: Whether requests carry an idempotency key.
+        degraded_value_fraction: The fraction of the weight that a run without its optional call earns.
     """
 
     request_fraction: float
@@ -30,12 +30,12 @@
 
 @dataclass
 class ClientTraffic:
-    """What clients send behind one load balancer.
+    """The traffic of the clients behind one load balancer.
 
     Attributes:
         rate_per_s: Requests per second; it may be changed at any time.
-        classes: By name.
-        tenants: By name, the part of requests.
+        classes: Traffic classes by name.
+        tenants: Share of the requests by tenant name.
     """
 
     rate_per_s: float
@@ -48,9 +48,9 @@
     """How a load balancer behaves.
 
     Attributes:
-        list_delay_ms: By how much it learns of the endpoint list late.
+        list_delay_ms: Delay with which it learns of changes to the endpoint list.
         heeds_signals: Whether it follows advertised weights and Retry-After.
-        max_attempts: How often a request is tried.
+        max_attempts: Maximum number of attempts per request.
     """
 
     list_delay_ms: float = 300.0
--- a/nickelslip/emulator/clock_skew.py
+++ b/nickelslip/emulator/clock_skew.py
@@ -1,7 +1,7 @@
-"""A server whose clock is off: `python -m nickelslip.emulator.clock_skew OFFSET_MS DRIFT serve --config FILE`.
+"""Runs a server with a skewed clock: `python -m nickelslip.emulator.clock_skew OFFSET_MS DRIFT serve --config FILE`.
 
-An offset and a drift are laid over the one clock that the server's parts see. Timers, sockets and the machine's own
-clock are as they were.
+An offset and a drift are added to the only clock that the server's components read. Timers, sockets and the system
+clock are unchanged.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def skew(offset_ms: float, drift: float) -> None:
-    """From now on have servers' clocks off by `offset_ms`, and by `drift` more for each millisecond that passes."""
+    """Skew the clock of servers by `offset_ms`, plus `drift` for each millisecond that passes from now on."""
     true_clock = Server.clock
     began_at_ms = time.monotonic() * MS_PER_S
 
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Serve with such a clock."""
+    """Run the server with a skewed clock."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
     offset_ms, drift, *arguments = sys.argv[1:]
     skew(float(offset_ms), float(drift))
--- a/nickelslip/emulator/directory_service.py
+++ b/nickelslip/emulator/directory_service.py
@@ -1,4 +1,4 @@
-"""A fake directory: it hears servers' reports as datagrams and serves the endpoint list."""
+"""A fake directory that receives servers' reports as datagrams and serves the endpoint list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 Address = tuple[str, int]
 REPORT_VERB = b"PULSE"
 REPORT_STATES = (b"open", b"closed")
-REPORT_WORD_COUNT = 3
+REPORT_FIELD_COUNT = 3
 
 
 class DirectoryService(asyncio.DatagramProtocol):
@@ -19,11 +19,11 @@
 
     Args:
         history: Where reports are recorded.
-        lapse_ms: How long an entry lasts without a report.
+        expiry_ms: Time after which an entry without a new report expires.
     """
 
-    def __init__(self, history: History, lapse_ms: float = 3000.0) -> None:
-        self._endpoints = EndpointList(lapse_ms)
+    def __init__(self, history: History, expiry_ms: float = 3000.0) -> None:
+        self._endpoints = EndpointList(expiry_ms)
         self.lost_fraction = 0.0
         self._history = history
         self._random = random.Random("lost on the way to the directory")
@@ -38,9 +38,9 @@
         return str(host), int(port)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Record a report; anything else is ignored, as is the drawn fraction that is lost."""
+        """Record a report. Other datagrams are ignored, and a random fraction of the reports is lost."""
         words = data.split(b" ")
-        if len(words) != REPORT_WORD_COUNT or words[0] != REPORT_VERB or words[2] not in REPORT_STATES:
+        if len(words) != REPORT_FIELD_COUNT or words[0] != REPORT_VERB or words[2] not in REPORT_STATES:
             return
         now_ms = self._history.clock()
         name = words[1].decode()
@@ -57,16 +57,16 @@
         return self._endpoints.listed(self._history.clock())
 
     def take_down(self) -> None:
-        """Stop hearing reports; the list stays as it is."""
+        """Ignore reports from now on; the list stays unchanged."""
         self._endpoints.take_down(self._history.clock())
         self._history.add(Kind.FAULT, "", "", "directory down")
 
     def bring_up(self, empty: bool = False) -> None:
-        """Hear reports again, with the entries from before or with none."""
+        """Accept reports again, with the previous entries or with an empty list."""
         self._endpoints.bring_up(self._history.clock(), empty)
         self._history.add(Kind.FAULT, "", "", "directory up, empty" if empty else "directory up")
 
     def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets."""
         for transport in self._transports:
             transport.close()
--- a/nickelslip/emulator/drawn_schedule.py
+++ b/nickelslip/emulator/drawn_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults that are drawn from a seed."""
+"""Random schedules of faults, reproducible by their seed."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     "records_slow",
     "restart_balancers",
 )
-MIN_KINDS = 2
-LAST_STEP_FRACTION = 0.8  # of the length: no step begins later
-LAST_UNDO_FRACTION = 0.9  # of the length: every step is undone by then
+MIN_STEP_KINDS = 2
+LAST_STEP_FRACTION = 0.8  # of the schedule's length; no step starts later
+LAST_UNDO_FRACTION = 0.9  # of the schedule's length; every step is undone by then
 DURATION_MS = (200, 3000)
 BACK_AFTER_MS = (100, 2000)
 ZONE_PROBABILITY = 0.3
@@ -35,12 +35,12 @@
 def draw_schedule(
     names: Sequence[str], length_ms: float, seed: int, mean_interval_ms: float = 1500.0, zone_count: int = 3
 ) -> list[Step]:
-    """Draw steps, each undone in time for an end at which everything is restored.
+    """Draw steps that are all undone before the end of the schedule.
 
-    Kinds of steps are chosen for the whole schedule first, so that some seeds mix few and others many.
+    The kinds of steps are drawn first, for the whole schedule: some seeds mix few kinds, others many.
     """
     generator = random.Random(f"drawn {seed}")
-    kinds = generator.sample(DRAWN_STEPS, generator.randint(MIN_KINDS, len(DRAWN_STEPS)))
+    kinds = generator.sample(DRAWN_STEPS, generator.randint(MIN_STEP_KINDS, len(DRAWN_STEPS)))
     steps = []
     at_ms = generator.expovariate(1 / mean_interval_ms)
     while at_ms < LAST_STEP_FRACTION * length_ms:
--- a/nickelslip/emulator/fault_injection.py
+++ b/nickelslip/emulator/fault_injection.py
@@ -14,14 +14,14 @@
 
 
 class FaultInjector:
-    """Injects faults into one fleet, and records them.
+    """Injects faults into one fleet and records them.
 
     Args:
-        plan: The fleet.
-        files: Where configurations are rewritten.
-        services: Where links are cut and services moved.
+        plan: The plan of the fleet.
+        files: Rewrites the configurations.
+        services: Cuts links and moves services.
         processes: The servers.
-        history: Where signals are recorded; cuts are recorded by the relays.
+        history: Records signals; the relays record cuts.
     """
 
     def __init__(
@@ -39,29 +39,32 @@
         self._history = history
 
     def pause(self, names: Iterable[str]) -> None:
-        """Stop servers with SIGSTOP."""
+        """Pause servers with SIGSTOP."""
         for name in names:
             self._history.add(Kind.PAUSED, name)
             self._processes.signal(name, signal.SIGSTOP)
 
     def resume(self, names: Iterable[str]) -> None:
-        """Let paused servers go on, with SIGCONT."""
+        """Resume paused servers with SIGCONT."""
         for name in names:
             self._history.add(Kind.RESUMED, name)
             self._processes.signal(name, signal.SIGCONT)
 
     def reload(self, names: Iterable[str]) -> None:
-        """Have servers read their configuration again, with SIGHUP."""
+        """Make servers reload their configuration with SIGHUP."""
         for name in names:
             self._processes.signal(name, signal.SIGHUP)
 
     async def set_cut(self, names: Iterable[str], link: str, ways: list[str] | None, cut: bool) -> None:
-        """Cut a link of these servers, or all with "", or restore it; in some directions, or both with None."""
+        """Cut or restore a link of these servers.
+
+        With `link` "" all links are affected, and with `ways` None both directions.
+        """
         for name in names:
             await self._services.run("set_link", name, link=link, ways=ways, cut=cut)
 
     async def move_services(self, name: str) -> None:
-        """Give a server's services other addresses and reload it; the old addresses accept nothing new."""
+        """Move a server's services to other addresses and reload it; the old addresses accept no new connections."""
         addresses = await self._services.run("move", name)
         addresses = ServerAddresses(*((host, port) for host, port in addresses))
         self._files.write_config(name, self._plan.settings(), addresses)
--- a/nickelslip/emulator/history.py
+++ b/nickelslip/emulator/history.py
@@ -1,7 +1,7 @@
-"""What happened in a run, as the services around the servers saw it: one list of events on one clock.
+"""The events of a run, as observed by the services around the servers, with timestamps of one clock.
 
-The clock is the machine's monotonic one, which all processes of a run share. A history holds nothing that a server says
-of itself, since a checker would believe it.
+The clock is the machine's monotonic clock, which all processes of a run share. A history holds nothing that servers
+report about themselves, since a checker would trust a wrong report.
 """
 
 from __future__ import annotations
@@ -13,68 +13,68 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MAX_EVENTS = 4_000_000  # a run fails openly rather than take the machine's memory
+MAX_EVENTS = 4_000_000  # beyond this a run fails instead of exhausting the machine's memory
 MS_PER_S = 1000
 SAVED_DECIMALS = 3
 
 
 class Kind(Enum):
-    """What may happen; the value is the word in saved histories."""
+    """The kind of an event; the value is its name in saved histories."""
 
     REQUEST_WRITTEN = "WRITTEN"
     """A request was written to a server; detail: traffic class, idempotency key, deadline."""
     ANSWERED = "ANSWERED"
-    """An answer came for it; detail: word, and whether its body is the one that its run made."""
+    """An answer to the request was received; detail: status, whether the body is the one that the run produced."""
     REQUEST_CANCELLED = "GONE"
-    """The server was told that nobody waits, or the load balancer broke the connection."""
+    """The load balancer cancelled the request or reset the connection."""
     REQUEST_NEVER_READ = "CROSSED"
-    """The server's close crossed it on its way: it was never read."""
+    """The server closed the connection before it read the request."""
     CLIENT_COMPLETED = "SATISFIED"
-    """A client has its answer; detail: class, weight, whether in its objective, sent when, degraded fraction."""
+    """A client received its answer; detail: class, weight, whether in objective, send time, degraded fraction."""
     CLIENT_REQUESTED = "ASKED"
     """A client sends a request; detail: traffic class, priority weight."""
     RUN_STARTED = "RUN"
-    """A worker pool was told to start it; detail: traffic class."""
+    """A worker pool received the command to start a run; detail: traffic class."""
     CALL_SKIPPED = "LEFT_OUT"
-    """A run went on without its call."""
+    """A run continued without its call."""
     CALL_BEGAN = "CALL"
     """A call reached the records service; detail: calls in flight."""
     CALL_ENDED = "CALL_OVER"
     """A call is no longer in flight; detail: calls in flight."""
     CONNECTED = "CONNECTED"
-    """A server connected to a service; detail: which."""
+    """A server connected to a service; detail: the service."""
     REFUSED = "REFUSED"
-    """The records service was down and a connection was refused; detail: which service."""
+    """The records service was down and refused a connection; detail: the service."""
     REPORTED = "REPORT"
-    """A report reached the directory; detail: whether it was heard."""
+    """A report reached the directory; detail: whether it was accepted."""
     LISTED = "LISTED"
-    """The endpoint list as a reader finds it; detail: names."""
+    """The endpoint list was read; detail: the names on it."""
     STARTED = "STARTED"
-    """A process was started."""
+    """A server process was started."""
     POOL_LINKED = "LINKED"
-    """Its worker pool has bound its connection."""
+    """The worker pool bound the server's connection."""
     SHUTDOWN_REQUESTED = "TOLD_TO_LEAVE"
-    """SIGTERM."""
+    """SIGTERM was sent."""
     ENDED = "ENDED"
-    """It ended by itself; detail: exit code."""
+    """The process exited by itself; detail: exit code."""
     KILLED = "KILLED"
-    """SIGKILL, or its machine fell over; detail: why."""
+    """The process was killed, as a fault or because its machine failed; detail: the reason."""
     PAUSED = "STOPPED"
-    """SIGSTOP."""
+    """SIGSTOP was sent."""
     RESUMED = "CONTINUED"
-    """SIGCONT."""
+    """SIGCONT was sent."""
     LINK_CUT = "CUT"
-    """A link to or from it was cut; detail: which."""
+    """A link of the server was cut; detail: link and direction."""
     LINK_RESTORED = "HEALED"
-    """The link was restored; detail: which."""
+    """A link of the server was restored; detail: link and direction."""
     FELL_OVER = "FELL"
-    """A machine or the records service fell over; detail: which."""
+    """A machine or the records service failed from overload, or the records service was taken down; detail: which."""
     FAULT = "FAULT"
-    """Another fault was injected; detail: what."""
+    """Another fault was injected; detail: its description."""
 
 
 class Event(NamedTuple):
-    """One event: when, what, at or by which server, for which request."""
+    """One event, with its time, kind, server, request id and a detail that depends on the kind."""
 
     at_ms: float
     kind: Kind
@@ -84,14 +84,14 @@
 
 
 class HistoryFullError(Exception):
-    """More events than a history may hold."""
+    """The history holds the maximum number of events."""
 
 
 class History:
     """The events of one process, or of several joined.
 
     Args:
-        events: What it begins with.
+        events: The initial events.
     """
 
     def __init__(self, events: Iterable[Event] = ()) -> None:
@@ -99,7 +99,7 @@
 
     @staticmethod
     def clock() -> float:
-        """Return monotonic milliseconds, the same in every process of this machine."""
+        """Return the machine's monotonic time in milliseconds; it is the same in every process."""
         return time.monotonic() * MS_PER_S
 
     def add(
@@ -110,21 +110,21 @@
         detail: Any = None,
         at_ms: float | None = None,
     ) -> None:
-        """Record an event, at this moment unless another is given.
+        """Record an event, at the current time unless `at_ms` is given.
 
         Raises:
-            HistoryFullError: There are 4,000,000 already.
+            HistoryFullError: The history holds 4,000,000 events already.
         """
         if len(self.events) >= MAX_EVENTS:
-            raise HistoryFullError(f"over {MAX_EVENTS} events")
+            raise HistoryFullError(f"the history holds the maximum of {MAX_EVENTS} events")
         self.events.append(Event(self.clock() if at_ms is None else at_ms, kind, server, request_id, detail))
 
     def of(self, *kinds: Kind, server: str | None = None) -> list[Event]:
-        """Return the events of these kinds, of one server or of all, in their order."""
+        """Return the events of these kinds, of one server or of all servers, in the recorded order."""
         return [event for event in self.events if event.kind in kinds and server in (None, event.server)]
 
     def save(self, path: Path) -> None:
-        """Write the events to a file, one JSON list a line."""
+        """Write the events to a file, one JSON list per line."""
         with path.open("w") as file:
             for event in self.events:
                 fields = [
@@ -147,6 +147,6 @@
 
     @staticmethod
     def joined(parts: Iterable[History]) -> History:
-        """Return the events of all parts in the order of time."""
+        """Return the events of all parts in chronological order."""
         events = [event for part in parts for event in part.events]
         return History(sorted(events, key=lambda event: event.at_ms))
--- a/nickelslip/emulator/load_balancer_connection.py
+++ b/nickelslip/emulator/load_balancer_connection.py
@@ -15,9 +15,9 @@
 from nickelslip.server import resp
 
 Address = tuple[str, int]
-MAX_OPEN_ATTEMPTS = 32  # on a connection, by the protocol's page
+MAX_OPEN_ATTEMPTS = 32  # per connection, set by the protocol
 MAX_ANSWERED_KEPT = 4 * MAX_OPEN_ATTEMPTS
-CROSSING_MS = 50.0  # what was written so shortly before the server closed is sent again
+UNREAD_WINDOW_MS = 50.0  # attempts written this shortly before the server closed count as unread and may be retried
 CONNECT_TIMEOUT_S = 0.5
 CLOSING_TAG = b"0"
 
@@ -26,17 +26,17 @@
     """How an attempt ended."""
 
     ANSWERED = "the server answered it"
-    NOT_CONNECTED = "there was no connection, so nothing ran"
-    CROSSED = "the server's close crossed it, so it was never read"
-    TIMED_OUT = "its time was up and it was cancelled"
-    DISCONNECTED = "the connection was lost; it may have run"
+    NOT_CONNECTED = "there was no connection, so it did not run"
+    CROSSED = "the server closed the connection before reading it"
+    TIMED_OUT = "it timed out and was cancelled"
+    DISCONNECTED = "the connection was lost, and it may have run"
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and the word of the server's answer, if there was one."""
+    """How an attempt ended, and the status of the server's answer, if there was one."""
 
     end: AttemptEnd
-    word: str = ""
+    status: str = ""
 
 
 @dataclass(frozen=True)
@@ -44,8 +44,8 @@
     """One attempt as it is written to a server.
 
     Attributes:
-        fields: Its fields, as on the wire.
-        timeout_ms: How long an answer is waited for.
+        fields: The request fields in their wire format.
+        timeout_ms: How long the load balancer waits for an answer.
     """
 
     request_id: str
@@ -58,14 +58,14 @@
 
 @dataclass
 class OpenAttempt:
-    """An attempt that was written; the future has its result."""
+    """An attempt that was written and not yet answered; `result` is set when it ends."""
 
     request: OutgoingRequest
     written_at_ms: float
     result: asyncio.Future[AttemptResult]
 
     def resolve(self, result: AttemptResult) -> None:
-        """Set the result, unless there is one."""
+        """Set the result, unless it is set already."""
         if not self.result.done():
             self.result.set_result(result)
 
@@ -76,13 +76,13 @@
 class LoadBalancerConnection(asyncio.Protocol):
     """A connection to one server.
 
-    It carries nothing before the server has answered a check on it: what is written into a relay that reaches nobody
-    was never written to a server.
+    No request is written before the server has answered a health check on the connection. A relay accepts connections
+    even when the server behind it is unreachable, and a request written there never reaches a server.
 
     Args:
         server: The server's name.
-        history: Where requests and answers are recorded.
-        on_answer: Called with the server, the word and the fields of each answer.
+        history: Records requests and answers.
+        on_answer: Called with the server, the status and the fields of each answer.
     """
 
     def __init__(self, server: str, history: History, on_answer: AnswerListener) -> None:
@@ -90,23 +90,23 @@
         self._history = history
         self._on_answer = on_answer
         self._open: dict[int, OpenAttempt] = {}
-        self._answered: dict[int, OpenAttempt] = {}  # a second answer is recorded too
+        self._answered: dict[int, OpenAttempt] = {}  # kept to record a second answer
         self._buffer = bytearray()
         self._last_tag = 0
         self._is_closing = False
         self._transport: asyncio.Transport | None = None
-        self._check: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._health_check: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     @staticmethod
     async def connect(
         server: str, address: Address, history: History, on_answer: AnswerListener
     ) -> LoadBalancerConnection | None:
-        """Return a connection on which the server has answered a check, or None."""
+        """Return a connection on which the server has answered a health check, or None."""
         connection = LoadBalancerConnection(server, history, on_answer)
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *address)
-                if await connection._check:
+                if await connection._health_check:
                     return connection
         connection.abort()
         return None
@@ -117,7 +117,7 @@
         return self._transport is not None and not self._is_closing and len(self._open) < MAX_OPEN_ATTEMPTS
 
     async def send(self, request: OutgoingRequest) -> AttemptResult:
-        """Write an attempt and wait until it has ended."""
+        """Write an attempt and wait until it ends."""
         self._last_tag += 1
         tag = self._last_tag
         now_ms = self._history.clock()
@@ -145,7 +145,7 @@
             self._transport.write(resp.message(b"NEVERMIND", b"%d" % tag))
 
     def abort(self) -> None:
-        """Reset the connection; nothing is owed on it any more."""
+        """Reset the connection and end all open attempts."""
         for attempt in self._open.values():
             self._history.add(Kind.REQUEST_CANCELLED, self._server, attempt.request.request_id)
             attempt.resolve(AttemptResult(AttemptEnd.DISCONNECTED))
@@ -153,10 +153,10 @@
         if self._transport is not None:
             self._transport.abort()
 
-    # Events of the transport
+    # Transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write a check."""
+        """Send a health check."""
         self._transport = cast(asyncio.Transport, transport)
         with suppress(OSError, ValueError):  # closed already
             transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -164,7 +164,7 @@
         self._transport.write(resp.message(b"STATUS", b"%d" % self._last_tag))
 
     def data_received(self, data: bytes) -> None:
-        """Take every complete answer."""
+        """Process every complete answer."""
         self._buffer += data
         start = 0
         while (message := resp.parse(self._buffer, start, len(self._buffer))) is not None:
@@ -172,24 +172,24 @@
             self._handle_answer(*parts)
         del self._buffer[:start]
 
-    def _handle_answer(self, tag: bytes, word: bytes, fields: bytes = b"", body: bytes = b"") -> None:
+    def _handle_answer(self, tag: bytes, status: bytes, fields: bytes = b"", body: bytes = b"") -> None:
         if tag == CLOSING_TAG:
             self._is_closing = True
             self._close_if_done()
             return
-        if not self._check.done():
-            self._check.set_result(True)
+        if not self._health_check.done():
+            self._health_check.set_result(True)
             return
         number = int(tag)
         attempt = self._open.pop(number, None) or self._answered.get(number)
         if attempt is None:
-            return  # it was cancelled
+            return  # cancelled
         self._keep_answered(number, attempt)
-        decoded_word = word.decode()
+        decoded_status = status.decode()
         is_valid = body == expected_response(attempt.request.body)
-        self._history.add(Kind.ANSWERED, self._server, attempt.request.request_id, [decoded_word, is_valid])
-        self._on_answer(self._server, decoded_word, _decode_fields(fields))
-        attempt.resolve(AttemptResult(AttemptEnd.ANSWERED, decoded_word))
+        self._history.add(Kind.ANSWERED, self._server, attempt.request.request_id, [decoded_status, is_valid])
+        self._on_answer(self._server, decoded_status, _decode_fields(fields))
+        attempt.resolve(AttemptResult(AttemptEnd.ANSWERED, decoded_status))
         self._close_if_done()
 
     def _keep_answered(self, tag: int, attempt: OpenAttempt) -> None:
@@ -203,16 +203,16 @@
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End every open attempt; those written just before were never read."""
+        """End every open attempt; those written just before the close count as never read."""
         self._transport = None
-        if not self._check.done():
-            self._check.set_result(False)
+        if not self._health_check.done():
+            self._health_check.set_result(False)
         now_ms = self._history.clock()
         for attempt in self._open.values():
-            was_crossed = now_ms - attempt.written_at_ms <= CROSSING_MS
-            if was_crossed:
+            was_unread = now_ms - attempt.written_at_ms <= UNREAD_WINDOW_MS
+            if was_unread:
                 self._history.add(Kind.REQUEST_NEVER_READ, self._server, attempt.request.request_id)
-            attempt.resolve(AttemptResult(AttemptEnd.CROSSED if was_crossed else AttemptEnd.DISCONNECTED))
+            attempt.resolve(AttemptResult(AttemptEnd.CROSSED if was_unread else AttemptEnd.DISCONNECTED))
         self._open.clear()
 
 
--- a/nickelslip/emulator/load_balancers.py
+++ b/nickelslip/emulator/load_balancers.py
@@ -1,7 +1,7 @@
-"""Fake load balancers, and the clients behind them.
+"""Fake load balancers and the clients behind them.
 
-Clients send in open loop, at drawn moments whatever became of earlier requests, so that a slow fleet gets no fewer.
-A request that is not idempotent is not retried when it may have run.
+Clients send in an open loop: at random times, independent of earlier requests. A slow fleet therefore gets as many
+requests as a fast one. A non-idempotent request is not retried when it may have run.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 Address = tuple[str, int]
 BODY_PREFIX = b"from the till"
 ID_BITS = 64
-COMPLETED_WORD = "done"
-REJECTED_WORD = "later"
-WEIGHT_LIFETIME_MS = 1000.0  # how long an advertised weight counts
-MIN_ATTEMPT_MS = 50.0  # with less time left there is no attempt
-MAX_PAUSE_MS = 100.0  # the rate is looked at anew so often
+COMPLETED_STATUS = "done"
+REJECTED_STATUS = "later"
+WEIGHT_LIFETIME_MS = 1000.0  # an advertised weight expires after this time
+MIN_ATTEMPT_MS = 50.0  # no attempt is made with less time left
+RATE_POLL_INTERVAL_MS = 100.0  # a change of the rate takes effect within this time
 MIN_RATE_PER_S = 1e-6
-START_RANGE = 100
-MEMORY_NEED = 20  # told of each request
+START_POSITION_COUNT = 100
+MEMORY_NEED = 20  # announced with each request
 
 
 class AdvertisedWeight(NamedTuple):
-    """The weight that a server advertised, and when."""
+    """The weight that a server advertised, and the time at which it was received."""
 
     weight: float
     at_ms: float
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ClientRequest:
-    """A client's request, the same with every attempt."""
+    """A client's request, identical in every attempt."""
 
     traffic_class: str
     traffic: ClassTraffic
@@ -56,20 +56,20 @@
 
 
 class LoadBalancer:
-    """A load balancer: round robin over listed servers by their advertised weights, with retries elsewhere.
+    """A load balancer with weighted round robin over the listed servers and retries at other servers.
 
     Args:
-        number: Tells it from others, to servers and in the seed.
-        addresses: By server.
-        read_list: Reads the endpoint list.
-        traffic: What its clients send.
-        policy: How it behaves.
-        seed: For everything that it draws.
-        history: Where everything sent and answered is recorded.
+        number: Identifies the load balancer to servers and in the seed.
+        addresses: Addresses by server.
+        read_list: Returns the endpoint list.
+        traffic: The traffic of its clients.
+        policy: Its behaviour.
+        seed: Seed of all its random draws.
+        history: Records requests and answers.
 
     Attributes:
-        lag_ms: How late clients sent at most.
-        is_started: Whether clients send.
+        lag_ms: Largest delay of a client's request after its scheduled time.
+        is_started: Whether clients send requests.
     """
 
     def __init__(
@@ -95,24 +95,24 @@
         self._weights: dict[str, AdvertisedWeight] = {}
         self._retry_at_ms: dict[str, float] = {}
         self._connections: dict[str, LoadBalancerConnection] = {}
-        self._position = self._random.randrange(START_RANGE)
+        self._position = self._random.randrange(START_POSITION_COUNT)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
-        """Have clients send from now on."""
+        """Make clients send requests from now on."""
         self.is_started = True
-        self._spawn(self._follow_list())
+        self._spawn(self._poll_endpoint_list())
         self._spawn(self._send_requests())
 
     def restart(self) -> None:
-        """Break every connection and forget everything but the endpoint list."""
+        """Reset every connection and discard all state but the endpoint list."""
         self._abort_connections()
         self._connections.clear()
         self._weights.clear()
         self._retry_at_ms.clear()
 
     async def close(self) -> None:
-        """Stop clients and break every connection."""
+        """Stop the clients and reset every connection."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -129,7 +129,7 @@
 
     # Endpoints
 
-    async def _follow_list(self) -> None:
+    async def _poll_endpoint_list(self) -> None:
         while True:
             listed = self._read_list()
             await asyncio.sleep(self._policy.list_delay_ms / MS_PER_S)
@@ -141,12 +141,12 @@
         for _ in range(2 * len(candidates)):
             self._position += 1
             name = candidates[self._position % len(candidates)]
-            if not self._passes_over(name, now_ms):
+            if not self._is_excluded(name, now_ms):
                 return name
         return None
 
-    def _passes_over(self, name: str, now_ms: float) -> bool:
-        """Return whether a server's Retry-After or its advertised weight, by chance, excludes it."""
+    def _is_excluded(self, name: str, now_ms: float) -> bool:
+        """Return whether a server is excluded, by its Retry-After or at random by its advertised weight."""
         if not self._policy.heeds_signals:
             return False
         if now_ms < self._retry_at_ms.get(name, 0.0):
@@ -154,11 +154,11 @@
         weight, at_ms = self._weights.get(name, UNKNOWN_WEIGHT)
         return now_ms - at_ms < WEIGHT_LIFETIME_MS and self._random.random() > weight
 
-    def _read_signals(self, name: str, word: str, fields: Mapping[str, str]) -> None:
+    def _read_signals(self, name: str, status: str, fields: Mapping[str, str]) -> None:
         now_ms = self._history.clock()
         if "signal" in fields:
             self._weights[name] = AdvertisedWeight(float(fields["signal"]), now_ms)
-        if word == REJECTED_WORD and "holdoff" in fields:
+        if status == REJECTED_STATUS and "holdoff" in fields:
             self._retry_at_ms[name] = now_ms + float(fields["holdoff"])
 
     # Clients
@@ -169,9 +169,10 @@
             due_at_ms += MS_PER_S * self._random.expovariate(max(self.traffic.rate_per_s, MIN_RATE_PER_S))
             wait_ms = due_at_ms - self._history.clock()
             if wait_ms > 0:
-                await asyncio.sleep(min(wait_ms, MAX_PAUSE_MS) / MS_PER_S)
-            if wait_ms > MAX_PAUSE_MS:
-                # Drawing anew follows a change of the rate; intervals are without memory, so they stay as they were.
+                await asyncio.sleep(min(wait_ms, RATE_POLL_INTERVAL_MS) / MS_PER_S)
+            if wait_ms > RATE_POLL_INTERVAL_MS:
+                # Redraw in case the rate has changed. Exponential intervals are memoryless, so their distribution is
+                # unaffected.
                 due_at_ms = self._history.clock()
                 continue
             self.lag_ms = max(self.lag_ms, -wait_ms)
@@ -186,7 +187,7 @@
         return f"{self._random.getrandbits(ID_BITS):016x}"
 
     async def _run_client(self, traffic_class: str) -> None:
-        """Send one client's request, with all its attempts."""
+        """Send one client's request, with retries."""
         traffic = self.traffic.classes[traffic_class]
         sent_at_ms = self._history.clock()
         self._history.add(Kind.CLIENT_REQUESTED, "", "", [traffic_class, traffic.priority_weight], sent_at_ms)
@@ -201,7 +202,7 @@
                 return
             tried.add(name)
             result, request_id = await self._attempt(name, request, left_ms, attempt_number > 0)
-            if result.word == COMPLETED_WORD:
+            if result.status == COMPLETED_STATUS:
                 self._record_success(name, request_id, request, sent_at_ms)
                 return
             if not _may_retry(result, traffic):
@@ -222,7 +223,7 @@
     async def _attempt(
         self, name: str, request: ClientRequest, left_ms: float, is_retry: bool
     ) -> tuple[AttemptResult, str]:
-        """Return how an attempt at one server ended, and its request id."""
+        """Make an attempt at one server; return its result and its request id."""
         connection = await self._connection(name)
         if connection is None:
             return AttemptResult(AttemptEnd.NOT_CONNECTED), ""
@@ -264,7 +265,7 @@
 
 
 def _may_retry(result: AttemptResult, traffic: ClassTraffic) -> bool:
-    """Return whether another attempt does no harm: nothing ran, or it may run again."""
-    if traffic.is_idempotent or result.word == REJECTED_WORD:
+    """Return whether a retry is safe: the request did not run, or it may run again."""
+    if traffic.is_idempotent or result.status == REJECTED_STATUS:
         return True
     return result.end in (AttemptEnd.NOT_CONNECTED, AttemptEnd.CROSSED)
--- a/nickelslip/emulator/observed_history.py
+++ b/nickelslip/emulator/observed_history.py
@@ -1,4 +1,4 @@
-"""A history sorted by servers' incarnations, attempts at requests, and spans in which a server was cut off."""
+"""A history grouped by servers' incarnations, by attempts at requests and by outages of servers and their links."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 @dataclass
 class Incarnation:
-    """One server process, from its start to its end; a moment that did not come is infinity."""
+    """One server process, from its start to its end; the time of an event that did not happen is infinity."""
 
     server: str
     started_at_ms: float
-    shutdown_at_ms: float = inf  # told to shut down
-    ended_at_ms: float = inf  # by itself
+    shutdown_at_ms: float = inf  # SIGTERM
+    ended_at_ms: float = inf  # exited by itself
     killed_at_ms: float = inf  # together with its worker pool
 
 
 class Answer(NamedTuple):
-    """One answer: its word, and whether its body is the one that the run made."""
+    """One answer: its status, and whether its body is the one that the run produced."""
 
     at_ms: float
-    word: str
+    status: str
     is_valid: bool
 
 
 @dataclass
 class Attempt:
-    """One request at one server, as both sides saw it; a moment that did not come is infinity."""
+    """One request at one server, as seen on both sides; the time of an event that did not happen is infinity."""
 
     request_id: str
     server: str
@@ -47,9 +47,9 @@
     runs_at_ms: list[float] = field(default_factory=list)
 
     @property
-    def words(self) -> list[str]:
-        """The words of all answers."""
-        return [answer.word for answer in self.answers]
+    def statuses(self) -> list[str]:
+        """The statuses of all answers."""
+        return [answer.status for answer in self.answers]
 
     def __str__(self) -> str:
         return f"{self.traffic_class} {self.request_id} at {self.server}, written {self.written_at_ms:.0f}"
@@ -57,23 +57,23 @@
 
 @dataclass
 class Outage:
-    """A span in which a server, or a link of it, stood still."""
+    """A time span in which a server was paused or one of its links was cut."""
 
     begin_at_ms: float
     end_at_ms: float = inf
 
 
 class ObservedHistory:
-    """What a history says of incarnations, attempts and outages.
+    """The incarnations, attempts and outages in a history.
 
     Args:
-        history: The events, in the order of time.
+        history: The events, in chronological order.
 
     Attributes:
-        incarnations: By server, in the order of their starts.
-        attempts: By server and request id, in the order of their first events.
-        outages: By server.
-        last_at_ms: The moment of the last event.
+        incarnations: Incarnations by server, in the order of their starts.
+        attempts: Attempts by server and request id, in the order of their first events.
+        outages: Outages by server.
+        last_at_ms: Time of the last event.
     """
 
     def __init__(self, history: History) -> None:
@@ -84,7 +84,7 @@
         self._open_outages: dict[str, dict[str, Outage]] = defaultdict(dict)
         handlers: dict[Kind, Callable[[Event], None]] = {
             Kind.STARTED: self._started,
-            Kind.SHUTDOWN_REQUESTED: self._told_to_shut_down,
+            Kind.SHUTDOWN_REQUESTED: self._shutdown_requested,
             Kind.ENDED: self._ended,
             Kind.KILLED: self._killed,
             Kind.LINK_CUT: self._outage_began,
@@ -94,34 +94,32 @@
             Kind.REQUEST_WRITTEN: self._written,
             Kind.ANSWERED: self._answered,
             Kind.REQUEST_CANCELLED: self._cancelled,
-            Kind.REQUEST_NEVER_READ: self._crossed,
-            Kind.RUN_STARTED: self._run,
+            Kind.REQUEST_NEVER_READ: self._never_read,
+            Kind.RUN_STARTED: self._run_started,
         }
         for event in history.events:
             handler = handlers.get(event.kind)
             if handler is not None:
                 handler(event)
 
-    # Questions
-
     def incarnation_at(self, server: str, at_ms: float) -> Incarnation | None:
-        """Return the incarnation that something reached which came to the server at this moment."""
+        """Return the incarnation that a request written to the server at this time reaches."""
         incarnations = self.incarnations[server]
         count = bisect_right([incarnation.started_at_ms for incarnation in incarnations], at_ms)
         return incarnations[count - 1] if count else None
 
     def extended_deadline(self, server: str, deadline_at_ms: float) -> float:
-        """Return by when something could have got through: a deadline in an outage moves to the outage's end."""
+        """Return the deadline; one that falls into an outage moves to the end of the outage."""
         for outage in sorted(self.outages[server], key=lambda outage: (outage.begin_at_ms, outage.end_at_ms)):
             if outage.begin_at_ms <= deadline_at_ms < outage.end_at_ms:
                 deadline_at_ms = outage.end_at_ms
         return deadline_at_ms
 
     def was_cut_off(self, server: str, begin_at_ms: float, end_at_ms: float) -> bool:
-        """Return whether an outage of the server overlaps this span."""
+        """Return whether an outage of the server overlaps this time span."""
         return any(outage.begin_at_ms < end_at_ms and begin_at_ms < outage.end_at_ms for outage in self.outages[server])
 
-    # Events
+    # Event handlers
 
     def _attempt(self, event: Event) -> Attempt:
         key = event.server, event.request_id
@@ -130,7 +128,7 @@
     def _started(self, event: Event) -> None:
         self.incarnations[event.server].append(Incarnation(event.server, event.at_ms))
 
-    def _told_to_shut_down(self, event: Event) -> None:
+    def _shutdown_requested(self, event: Event) -> None:
         self.incarnations[event.server][-1].shutdown_at_ms = event.at_ms
 
     def _ended(self, event: Event) -> None:
@@ -163,10 +161,10 @@
         attempt = self._attempt(event)
         attempt.cancelled_at_ms = min(attempt.cancelled_at_ms, event.at_ms)
 
-    def _crossed(self, event: Event) -> None:
+    def _never_read(self, event: Event) -> None:
         self._attempt(event).was_never_read = True
 
-    def _run(self, event: Event) -> None:
+    def _run_started(self, event: Event) -> None:
         attempt = self._attempt(event)
         attempt.runs_at_ms.append(event.at_ms)
         attempt.traffic_class = attempt.traffic_class or event.detail
