--- a/nickelslip/emulator/drawn_schedule.py
+++ b/nickelslip/emulator/drawn_schedule.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from nickelslip.emulator.schedule import LINKS, STEP_WORDS, STEPS_ON_SERVERS, Step, draw_servers, servers_of_zone
+from nickelslip.emulator.schedule import LINKS, STEP_FIELDS, STEPS_ON_SERVERS, Step, draw_servers, servers_of_zone
 
 DRAWN_STEPS = (
     "kill",
@@ -61,7 +61,7 @@
 
 def _draw_values(do: str, max_ms: float, generator: random.Random) -> Values:
     values: Values = {}
-    if "for_ms" in STEP_WORDS[do]:
+    if "for_ms" in STEP_FIELDS[do]:
         values["for_ms"] = min(max_ms, generator.uniform(*DURATION_MS))
     draw = VALUE_DRAWS.get(do)
     if draw is not None:
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real server processes among emulated services, for one run.
+"""A fleet of real server processes with emulated services around them, for one run.
 
-What is known of servers is what the services around them saw; no server is asked about itself. Whatever ends a run,
-none of its processes, sockets and temporary files stay.
+The fleet observes servers only through the services around them and never queries a server about itself. However a run
+ends, it leaves no processes, sockets or temporary files behind.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 
 
 class FleetTimeoutError(Exception):
-    """A condition that was waited for did not come about in time."""
+    """A condition did not become true within the time limit."""
 
 
 def serve_command_line(config: str) -> list[str]:
-    """Return the command line that serves this configuration."""
+    """Return the command line of a server with this configuration."""
     return program("serve", "--config", config)
 
 
 class Fleet:
-    """One run, as an asynchronous context: servers, services, faults and history.
+    """One run, as an asynchronous context manager: servers, services, faults and history.
 
     Args:
-        plan: What the fleet is made of.
-        folder: Where files are written; None for a temporary folder.
-        command_line: Gives a server's command line for the path of its configuration.
+        plan: The plan of the fleet.
+        folder: The folder for its files; None for a temporary folder.
+        command_line: Returns a server's command line, given the path of its configuration.
         cwd: The working directory of servers.
     """
 
@@ -96,7 +96,7 @@
         for name, addresses in self.spec.servers.items():
             self._files.write_config(name, settings, addresses)
         services = FleetServices(
-            self.spec, self.names, plan.hosts, self._files.folder, self.history, self._machine_fell
+            self.spec, self.names, plan.hosts, self._files.folder, self.history, self._kill_after_machine_failure
         )
         processes = ServerProcesses(self._files, services, self.history, self._command_line, self._cwd, plan.stop_ms)
         self._services = services
@@ -104,8 +104,8 @@
         self._faults = FaultInjector(plan, self._files, services, processes, self.history)
         await services.start()
 
-    def _machine_fell(self, name: str) -> None:
-        """Kill a server whose machine fell over, as the platform does."""
+    def _kill_after_machine_failure(self, name: str) -> None:
+        """Kill a server whose machine failed from overload, as the platform does."""
         self._spawn(self.kill(name, reason="its machine fell over"))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
@@ -114,7 +114,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """End everything and join the histories of all processes."""
+        """Stop all processes and services, and join the histories of all processes."""
         if self._closed:
             return
         self._closed = True
@@ -128,28 +128,28 @@
             self._block.release()
         self._files.close()
 
-    # What it consists of
+    # Components
 
     @property
     def services(self) -> FleetServices:
-        """The services; only inside the context."""
+        """The services; available only inside the context."""
         assert self._services is not None
         return self._services
 
     @property
     def local_services(self) -> SharedServices:
-        """The services in this process; only for a plan without further processes."""
+        """The services in this process; available only if the plan has no separate service processes."""
         assert self.services.local is not None
         return self.services.local
 
     @property
     def processes(self) -> dict[str, Process]:
-        """The last process under each name."""
+        """The latest process of each server, by name."""
         return self._servers.by_name
 
     @property
     def pids(self) -> list[int]:
-        """Ids of all server processes that were ever started."""
+        """Ids of all server processes started in this run."""
         return self._servers.pids
 
     @property
@@ -168,15 +168,15 @@
     # Commands
 
     async def run_command(self, command: str, server: str = "", **values: Any) -> Any:
-        """Have the services run a command of shared_services.COMMANDS."""
+        """Run a command of `shared_services.COMMANDS` at the services."""
         return await self.services.run(command, server, **values)
 
     async def set_request_rate(self, rate_per_s: float | None = None) -> None:
-        """Have clients send at this rate, or at the plan's."""
+        """Make clients send at this rate, by default at the plan's."""
         await self.run_command("ask", rate=self.plan.rate if rate_per_s is None else rate_per_s)
 
     async def start(self, *names: str, up_ms: float = 0.0) -> None:
-        """Start these servers, or all, with new worker pools that come up after `up_ms`."""
+        """Start these servers, by default all, with new worker pools that come up after `up_ms`."""
         await self._servers.start(names or self.names, up_ms)
 
     async def kill(self, *names: str, reason: str = "a fault") -> None:
@@ -184,55 +184,55 @@
         await self._servers.kill(names, reason)
 
     async def shut_down(self, name: str) -> bool:
-        """Tell a server to shut down; return whether it ended in its time, or was killed."""
+        """Tell a server to shut down; return whether it exited in time rather than being killed."""
         return await self._servers.shut_down(name)
 
     async def replace(self, *names: str) -> None:
-        """Shut servers down and start each anew under its name."""
+        """Shut servers down and start a new process for each."""
         await self._servers.replace(names)
 
     # Faults
 
     def pause(self, *names: str) -> None:
-        """Stop servers with SIGSTOP."""
+        """Pause servers with SIGSTOP."""
         self._faults.pause(names)
 
     def resume(self, *names: str) -> None:
-        """Let paused servers go on."""
+        """Resume paused servers."""
         self._faults.resume(names)
 
     def reload(self, *names: str) -> None:
-        """Have servers read their configuration again."""
+        """Make servers reload their configuration."""
         self._faults.reload(names)
 
     async def move_services(self, name: str) -> None:
-        """Give a server's services other addresses and reload it."""
+        """Move a server's services to other addresses and reload the server."""
         await self._faults.move_services(name)
 
     async def cut(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
-        """Cut one link of these servers, or all, in some directions or both."""
+        """Cut one link of these servers, by default all links, in the given directions, by default both."""
         await self._faults.set_cut(names, link, ways, True)
 
     async def heal(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
-        """Restore what was cut."""
+        """Restore links that were cut."""
         await self._faults.set_cut(names, link, ways, False)
 
     # Waiting
 
     async def wait_until(self, condition: Callable[[], object], timeout_s: float = 10.0, what: str = "") -> None:
-        """Wait until a condition holds.
+        """Wait until a condition is true.
 
         Raises:
-            FleetTimeoutError: It does not within `timeout_s`; the text says `what` was waited for.
+            FleetTimeoutError: The condition is not true within `timeout_s`; the message begins with `what`.
         """
         deadline_at_ms = self.history.clock() + MS_PER_S * timeout_s
         while not condition():
             if self.history.clock() > deadline_at_ms:
-                raise FleetTimeoutError(f"{what or condition}: not within {timeout_s:g} s")
+                raise FleetTimeoutError(f"{what or condition}: timed out after {timeout_s:g} s")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def are_serving(self, names: Iterable[str]) -> bool:
-        """Whether these servers are listed and linked to their worker pools."""
+        """Return whether these servers are listed and connected to their worker pools."""
         directory = self.local_services.directory
         pools = self.local_services.pools
         assert directory is not None
@@ -240,11 +240,11 @@
         return set(names) <= listed and all(name in pools and pools[name].is_linked for name in names)
 
     async def wait_until_serving(self, *names: str, timeout_s: float = 15.0) -> None:
-        """Wait until these servers, or all, serve."""
-        await self.wait_until(lambda: self.are_serving(names or self.names), timeout_s, "servers that serve")
+        """Wait until these servers, by default all, are serving."""
+        await self.wait_until(lambda: self.are_serving(names or self.names), timeout_s, "servers that are serving")
 
     async def stop_requests(self) -> None:
-        """Have clients stop, and wait until every request can have been answered."""
+        """Stop the clients and wait until the deadlines of all requests have passed."""
         await self.set_request_rate(0.0)
         longest_ms = max(traffic.timeout_ms for traffic in self.plan.traffic_classes.values())
         await asyncio.sleep((longest_ms + self.plan.slack_ms) / MS_PER_S + DRAIN_MARGIN_S)
@@ -252,14 +252,14 @@
     # Figures
 
     async def figures(self) -> dict[str, float]:
-        """Return what only the services can tell."""
+        """Return the figures that only the services know."""
         return await self.services.figures()
 
     def violations(self, scripted_falls: bool = False) -> list[str]:
-        """Return what the history shows broken; falls count unless they were scripted."""
+        """Return the rule violations in the history; overload failures count unless they were scripted."""
         return fleet_figures.violations(self.history, self.plan, scripted_falls)
 
     def served_fraction(self, begin_at_ms: float, end_at_ms: float | None = None) -> float:
-        """Return the fraction of the priority weight asked for since then that was served in time."""
+        """Return the fraction of the requested priority weight in this time span that was served in time."""
         end = self.history.clock() if end_at_ms is None else end_at_ms
         return fleet_figures.served_fraction(self.history, begin_at_ms, end)
--- a/nickelslip/emulator/fleet_files.py
+++ b/nickelslip/emulator/fleet_files.py
@@ -1,4 +1,4 @@
-"""A fleet's files and addresses: its folder, its servers' configurations and its block of loopback addresses."""
+"""The files and addresses of a fleet: its folder, its servers' configurations and its block of loopback addresses."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 POOL_PORT = 7300
 RECORDS_PORT = 8900
 DIRECTORY_PORT = 7946
-LOCK_PORT = 20001  # bound for as long as a block is held
-SERVERS_PER_SUBNET = 200  # under one third byte of an address
-SHARED_SUBNET = 250  # third byte of what is shared
-BLOCKS = range(16, 240)  # second bytes of addresses, one a fleet
+LOCK_PORT = 20001  # bound while a block is held
+SERVERS_PER_SUBNET = 200  # servers whose addresses share the third byte
+SHARED_SUBNET = 250  # third byte of the addresses of shared services
+BLOCKS = range(16, 240)  # second byte of the addresses, one per fleet
 CORES_LIMIT = 1.0
 SOCKETS_LIMIT = 256
 SEED_BITS = 64
 
 
 class NoFreeAddressBlockError(Exception):
-    """Every block of loopback addresses is held by another fleet."""
+    """Other fleets hold all blocks of loopback addresses."""
 
 
 class AddressBlock:
-    """A block of loopback addresses that is this fleet's alone for as long as it holds it.
+    """A block of loopback addresses, reserved for one fleet until it is released.
 
     Raises:
-        NoFreeAddressBlockError: None is free.
+        NoFreeAddressBlockError: No block is free.
     """
 
     def __init__(self) -> None:
@@ -58,16 +58,16 @@
         return host, port
 
     def shared_address(self, port: int) -> tuple[str, int]:
-        """Return an address of what all servers share."""
+        """Return an address of a shared service."""
         return f"127.{self.number}.{SHARED_SUBNET}.1", port
 
     def release(self) -> None:
-        """Give the block back."""
+        """Release the block."""
         self._lock.close()
 
 
 def assign_addresses(names: Iterable[str], block: AddressBlock, relayed: bool) -> dict[str, ServerAddresses]:
-    """Return each server's addresses; without relays all servers know the shared services under one address."""
+    """Return each server's addresses; without relays, all servers use the same addresses for the shared services."""
     addresses = {}
     for index, name in enumerate(names):
         records = block.server_address(index, RECORDS_PORT) if relayed else block.shared_address(RECORDS_PORT)
@@ -85,8 +85,8 @@
     """The folder of a fleet, with each server's configuration and log.
 
     Args:
-        plan: The fleet.
-        folder: Where to write; None for a temporary folder that goes with the fleet.
+        plan: The plan of the fleet.
+        folder: The folder to write to; None for a temporary folder that is removed with the fleet.
     """
 
     def __init__(self, plan: Plan, folder: Path | None) -> None:
--- a/nickelslip/emulator/fleet_plan.py
+++ b/nickelslip/emulator/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet is made of, and the settings that each of its servers gets."""
+"""The plan of a fleet, and the settings of its servers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from nickelslip.emulator.service_model import ServiceProfile
 from nickelslip.emulator.worker_pool import WorkProfile
 
-DEGRADED_VALUE_FRACTION = 0.6  # told to servers, of a run without its optional call
+DEGRADED_VALUE_FRACTION = 0.6  # value of a run without its optional call, in the settings of servers
 
 
 def default_classes() -> dict[str, ClassTraffic]:
-    """Return three traffic classes, one of each kind of retry safety."""
+    """Return three traffic classes, one for each kind of retry safety."""
     return {
         "read": ClassTraffic(0.6, 1.0, 1000.0, 2000.0, True),
         "pay": ClassTraffic(0.3, 3.0, 500.0, 1200.0, False),
@@ -24,35 +24,35 @@
 
 
 def default_work() -> WorkProfile:
-    """Return runs of 10 to 30 ms, two classes of which make a call."""
+    """Return a work profile with runs of 10 to 30 ms, where two classes make a call."""
     return WorkProfile({"read": 30.0, "pay": 15.0, "book": 10.0}, {"read": 1.0, "pay": 1.0})
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What a fleet is made of.
+    """The components of a fleet and their parameters.
 
     Attributes:
         size: Number of servers.
-        seed: For everything that is drawn.
+        seed: Seed of all random draws.
         rate: Requests per second of all clients together.
         balancers: Number of load balancers.
-        traffic_classes: What clients send, by traffic class.
-        work: What runs are like.
-        machine: What worker pools run on.
-        service: What the records service is like.
-        balancer_policy: How load balancers behave.
-        call_share: Calls in flight that each server is allowed; None for an even share of what the service survives.
-        cold: Whether servers start slowly.
-        relayed: Whether a relay stands on each link.
-        read_list: Whether the endpoint list is read into the history ten times a second.
-        hosts: Further processes for the services; with 0 all are in the fleet's process.
-        stop_ms: After a server is told to shut down, how long it has.
-        grace_ms: After that moment, how long load balancers may still send.
-        slack_ms: What a crowded machine may add to a response.
+        traffic_classes: The traffic of clients, by traffic class.
+        work: The work and the calls of runs.
+        machine: The machines of worker pools.
+        service: The records service.
+        balancer_policy: The behaviour of load balancers.
+        call_share: Maximum calls in flight per server; None for an equal share of what the records service survives.
+        cold: Whether servers use slow start.
+        relayed: Whether each link has a relay.
+        read_list: Whether the endpoint list is recorded in the history ten times per second.
+        hosts: Number of separate processes for the services; with 0 they run in the fleet's process.
+        stop_ms: Time within which a server must exit after it is told to shut down.
+        grace_ms: How long load balancers may still send after a server is told to shut down.
+        slack_ms: Extra response time that a busy machine may cause.
         memory_mb: Memory limit of each server.
         window_ms: How long idempotency records are kept.
-        prefix: What servers' names begin with.
+        prefix: Prefix of the servers' names.
     """
 
     size: int = 3
@@ -78,11 +78,11 @@
 
     @property
     def names(self) -> list[str]:
-        """The servers' names."""
+        """The names of the servers."""
         return [f"{self.prefix}{number}" for number in range(1, self.size + 1)]
 
     def settings(self) -> dict[str, Any]:
-        """Return the settings of each server, with the platform's keys."""
+        """Return the settings of each server, under the platform's keys."""
         return {
             "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
             "classes": [self._class_settings(name, traffic) for name, traffic in self.traffic_classes.items()],
@@ -100,7 +100,7 @@
             "gain": traffic.priority_weight,
             "aim-ms": traffic.latency_objective_ms,
             "deadline-ms": traffic.timeout_ms,
-            "idempotency": _idempotency_word(traffic),
+            "idempotency": _idempotency_setting(traffic),
         }
         if traffic.has_idempotency_key:
             settings["memory-span-ms"] = self.window_ms
@@ -137,7 +137,7 @@
         }
 
 
-def _idempotency_word(traffic: ClassTraffic) -> str:
+def _idempotency_setting(traffic: ClassTraffic) -> str:
     if traffic.has_idempotency_key:
         return "idempotency_key"
     return "read_like" if traffic.is_idempotent else "non_idempotent"
--- a/nickelslip/emulator/fleet_properties.py
+++ b/nickelslip/emulator/fleet_properties.py
@@ -1,4 +1,4 @@
-"""Figures and properties of a whole fleet, from the history of its run."""
+"""Figures and properties of a whole fleet, computed from the history of its run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def counts_per_bin(events: Iterable[Event], bin_ms: float, begin_at_ms: float, end_at_ms: float) -> list[int]:
-    """Return how many events fall into each bin of `bin_ms`; an incomplete last bin is left out."""
+    """Return the number of events in each bin of `bin_ms`; an incomplete last bin is omitted."""
     bins = [0] * max(0, int((end_at_ms - begin_at_ms) / bin_ms))
     for event in events:
         index = int((event.at_ms - begin_at_ms) // bin_ms)
@@ -21,15 +21,15 @@
 
 
 def peak_over_mean(events: Iterable[Event], bin_ms: float, begin_at_ms: float, end_at_ms: float) -> float:
-    """Return the fullest bin over the mean bin; 0 without events."""
+    """Return the ratio of the largest bin to the mean bin; 0 without events."""
     bins = counts_per_bin(events, bin_ms, begin_at_ms, end_at_ms)
     return max(bins) * len(bins) / sum(bins) if sum(bins) else 0.0
 
 
 def capacity_violations(events: Iterable[Event], change: Callable[[Event], float], capacity: float) -> list[str]:
-    """Return the events after which the sum of what is in use is over capacity.
+    """Return a line for each event after which the amount in use exceeds the capacity.
 
-    `change` says by how much an event changes that sum.
+    `change` returns by how much an event changes the amount in use.
     """
     in_use = 0.0
     found = []
@@ -43,7 +43,10 @@
 
 
 def overlap_violations(spans: Iterable[tuple[float, float]], max_overlapping: int) -> list[str]:
-    """Return the moments at which too many spans overlap; one that ends as another begins does not overlap it."""
+    """Return a line for each time at which more than `max_overlapping` spans overlap.
+
+    A span that ends exactly when another begins does not overlap it.
+    """
     steps = [(begin, 1) for begin, _ in spans] + [(end, -1) for _, end in spans]
     overlapping = 0
     found = []
@@ -55,14 +58,14 @@
 
 
 def unlisted_count(history: History, names: Iterable[str], begin_at_ms: float, end_at_ms: float) -> int:
-    """Return how often a reading of the endpoint list lacked one of these servers, summed over the servers."""
+    """Return in how many readings of the endpoint list a server was missing, summed over these servers."""
     wanted = set(names)
     readings = [event for event in history.of(Kind.LISTED) if begin_at_ms <= event.at_ms < end_at_ms]
     return sum(len(wanted - set(reading.detail)) for reading in readings)
 
 
 class EarnedAnswer(NamedTuple):
-    """An answer that a client had within its latency objective, and the priority weight that it earned."""
+    """An answer that a client received within its latency objective, and the priority weight that it earned."""
 
     event: Event
     priority_weight: float
@@ -71,11 +74,12 @@
 def priority_weight_totals(
     history: History, begin_at_ms: float, end_at_ms: float, servers: set[str] | None = None
 ) -> tuple[float, float]:
-    """Return the priority weight asked for and that served within its latency objective.
+    """Return the requested priority weight, and the weight served within its latency objective.
 
-    Both are of clients that began within this span; the second counts these servers alone, where some are named.
+    Both cover the requests that clients sent within this time span. If `servers` is given, the served weight counts
+    only answers of these servers.
     """
-    asked = sum(
+    requested = sum(
         event.detail[1] for event in history.of(Kind.CLIENT_REQUESTED) if begin_at_ms <= event.at_ms < end_at_ms
     )
     served = sum(
@@ -83,7 +87,7 @@
         for answer in earned_answers(history)
         if begin_at_ms <= answer.event.detail[3] < end_at_ms and (servers is None or answer.event.server in servers)
     )
-    return asked, served
+    return requested, served
 
 
 def earned_answers(history: History) -> list[EarnedAnswer]:
--- a/nickelslip/emulator/fleet_services.py
+++ b/nickelslip/emulator/fleet_services.py
@@ -1,4 +1,4 @@
-"""A fleet's services: in the fleet's own process, or packed into a few others."""
+"""The services of a fleet, in the fleet's own process or spread over separate processes."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from nickelslip.emulator.services_spec import ServicesSpec
 from nickelslip.emulator.shared_services import SharedServices
 
-POOL_COMMANDS = ("pool", "end_pool")  # carried out where the server's worker pool is
-LINK_COMMANDS = ("set_link", "reset_links")  # carried out at the shared services and at the worker pool
+POOL_COMMANDS = ("pool", "end_pool")  # run in the process of the server's worker pool
+LINK_COMMANDS = ("set_link", "reset_links")  # run at the shared services and at the worker pool
 
 
 class FleetServices:
     """All worker pools, shared services and relays of a fleet.
 
     Args:
-        spec: What they are like.
-        names: The servers.
-        host_count: Further processes for the worker pools; with 0 everything is in this process.
-        folder: Where the files of further processes are written.
-        history: Where the services in this process record what they see.
-        on_fall: Called with the server's name when a machine falls over.
+        spec: The specification of the services.
+        names: The names of the servers.
+        host_count: Number of separate processes for the worker pools; with 0 all services run in this process.
+        folder: The folder for the files of the separate processes.
+        history: Records the observations of the services in this process.
+        on_machine_failure: Called with the server's name when a machine fails from overload.
 
     Attributes:
-        local: The services in this process; None where they are in others.
-        hosts: The other processes, that with what is shared first.
+        local: The services in this process; None if they run in separate processes.
+        hosts: The separate processes; the first one has the shared services.
     """
 
     def __init__(
@@ -39,31 +39,31 @@
         host_count: int,
         folder: Path,
         history: History,
-        on_fall: Callable[[str], None],
+        on_machine_failure: Callable[[str], None],
     ) -> None:
         self.spec = spec
         self.local: SharedServices | None = None
         self.hosts: list[ServiceHost] = []
         self._pool_hosts: dict[str, ServiceHost] = {}
         if not host_count:
-            self.local = SharedServices(spec, names, True, history, on_fall)
+            self.local = SharedServices(spec, names, True, history, on_machine_failure)
             return
-        self.hosts.append(ServiceHost(folder, 0, spec, [], True, on_fall))
+        self.hosts.append(ServiceHost(folder, 0, spec, [], True, on_machine_failure))
         for number in range(1, host_count + 1):
             part = names[number - 1 :: host_count]
-            host = ServiceHost(folder, number, spec, part, False, on_fall)
+            host = ServiceHost(folder, number, spec, part, False, on_machine_failure)
             self.hosts.append(host)
             self._pool_hosts.update(dict.fromkeys(part, host))
 
     async def start(self) -> None:
-        """Start everything but the worker pools, which begin with their servers."""
+        """Start all services but the worker pools, which start with their servers."""
         if self.local is not None:
             await self.local.start()
             return
         await asyncio.gather(*(host.start() for host in self.hosts))
 
     async def run(self, command: str, server: str = "", **values: Any) -> Any:
-        """Run a command of shared_services.COMMANDS where it belongs, and return its result."""
+        """Run a command of `shared_services.COMMANDS` in the processes that it concerns, and return its result."""
         if server:
             values = {"server": server, **values}
         if self.local is not None:
@@ -75,7 +75,7 @@
         return result
 
     async def figures(self) -> dict[str, float]:
-        """Return what only the services can tell; of a figure that several processes have, the largest."""
+        """Return the figures that only the services know; for a figure of several processes, the largest value."""
         if self.local is not None:
             return self.local.figures()
         merged: dict[str, float] = {}
@@ -84,7 +84,7 @@
         return merged
 
     async def close(self) -> list[History]:
-        """End all of them and return the histories of the other processes."""
+        """Stop all services and return the histories of the separate processes."""
         if self.local is not None:
             await self.local.close()
         return await asyncio.gather(*(host.close() for host in self.hosts if host.is_started))
--- a/nickelslip/emulator/links.py
+++ b/nickelslip/emulator/links.py
@@ -1,7 +1,7 @@
-"""What a link between a server and a service does to what passes over it, in simulated time.
+"""A model of the links between servers and services and of their faults, in simulated time.
 
-Faults of a link act on each piece of a stream and on each datagram: when it is delivered, how often, in which order, or
-whether at all. Everything that is drawn comes from the generator of the channel.
+The faults of a link act on each chunk of a stream and on each datagram. They determine when it is delivered, how often,
+in which order, and whether it is delivered at all. All random draws use the generator of the channel.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 
 
 class Direction(Enum):
-    """A direction of a link; the value is its word in schedules, histories and seeds."""
+    """A direction of a link; the value is its name in schedules, histories and seeds."""
 
     FROM_SERVER = "OUT"
     TO_SERVER = "IN"
 
     @property
     def opposite(self) -> Direction:
-        """The other direction."""
+        """The opposite direction."""
         return Direction.TO_SERVER if self is Direction.FROM_SERVER else Direction.FROM_SERVER
 
 
-def directions(words: Iterable[str] | None) -> tuple[Direction, ...]:
-    """Return the directions of these words; both where none are given."""
-    return tuple(Direction(word) for word in words) if words else tuple(Direction)
+def directions(names: Iterable[str] | None) -> tuple[Direction, ...]:
+    """Return the directions with these names; both directions if no names are given."""
+    return tuple(Direction(name) for name in names) if names else tuple(Direction)
 
 
 class Delivery(Enum):
-    """What becomes of a connection after a piece of it."""
+    """The state of a connection after the delivery of a chunk."""
 
-    DELIVERED = "the connection stands"
-    HALF_OPEN = "one side is gone and the other does not hear of it"
+    DELIVERED = "the connection stays open"
+    HALF_OPEN = "one side is gone and the other is not notified"
     RESET = "the connection is reset"
 
 
 @dataclass(frozen=True)
 class Faults:
-    """What a link does in one direction; by default it delivers everything at once.
+    """The faults of one direction of a link; by default everything is delivered immediately.
 
     Attributes:
-        is_cut: Streams stand still and lose nothing; datagrams are lost.
-        delay_ms: Added to each piece and datagram.
-        jitter_ms: Added too, drawn for each from 0 to this; datagrams overtake each other by it.
-        lost_fraction: The part of datagrams that is lost.
-        duplicated_fraction: The part of datagrams that is delivered twice.
-        bytes_per_s: The rate of a stream.
-        reset_after_bytes: A stream is reset after so much.
-        half_open_after_bytes: After so much of a stream nothing passes, and nobody is notified.
+        is_cut: Streams stall without losing data; datagrams are lost.
+        delay_ms: Delay of each chunk and datagram.
+        jitter_ms: Maximum of an additional random delay, drawn for each from 0 up; it reorders datagrams.
+        lost_fraction: The fraction of datagrams that is lost.
+        duplicated_fraction: The fraction of datagrams that is delivered twice.
+        bytes_per_s: The transfer rate of a stream.
+        reset_after_bytes: A stream is reset after this many bytes.
+        half_open_after_bytes: After this many bytes a stream delivers nothing more, and neither side is notified.
     """
 
     is_cut: bool = False
@@ -66,7 +66,7 @@
     half_open_after_bytes: float = inf
 
 
-FAULT_WORDS = {
+FAULT_KEYS = {
     "cut": "is_cut",
     "delay_ms": "delay_ms",
     "jitter_ms": "jitter_ms",
@@ -76,18 +76,18 @@
     "reset_after": "reset_after_bytes",
     "half_open_after": "half_open_after_bytes",
 }
-"""Fields of Faults by their words in schedules and commands."""
+"""Fields of `Faults` by their keys in schedules and commands."""
 
 
-def fault_fields(words: Mapping[str, Any]) -> dict[str, Any]:
-    """Return faults given by their words as fields of Faults."""
-    return {FAULT_WORDS[word]: value for word, value in words.items()}
+def fault_fields(faults: Mapping[str, Any]) -> dict[str, Any]:
+    """Return faults given under their keys as fields of `Faults`."""
+    return {FAULT_KEYS[key]: value for key, value in faults.items()}
 
 
-def faults_off(words: Iterable[str]) -> dict[str, Any]:
-    """Return the words of these faults with the values that turn them off."""
+def faults_off(keys: Iterable[str]) -> dict[str, Any]:
+    """Return the keys of these faults with the values that turn them off."""
     healthy = Faults()
-    return {word: getattr(healthy, FAULT_WORDS[word]) for word in words}
+    return {key: getattr(healthy, FAULT_KEYS[key]) for key in keys}
 
 
 @dataclass
@@ -95,9 +95,9 @@
     """One direction of one link.
 
     Attributes:
-        random: What is drawn comes from here.
-        faults: What the link does now.
-        cuts: Spans in which it was cut, as [begin, end].
+        random: Generator of all random draws.
+        faults: The current faults.
+        cuts: Time spans in which it was cut, as [begin, end].
     """
 
     random: random.Random
@@ -114,7 +114,7 @@
         self.faults = faults
 
     def datagram_deliveries(self, now_ms: float) -> list[float]:
-        """Return the moments at which a datagram sent now is delivered: none, one or two."""
+        """Return the times at which a datagram sent now is delivered: none, one or two."""
         faults = self.faults
         if faults.is_cut or self.random.random() < faults.lost_fraction:
             return []
@@ -122,8 +122,8 @@
         return [now_ms + faults.delay_ms + self.random.uniform(0, faults.jitter_ms) for _ in range(copies)]
 
 
-class PieceDelivery(NamedTuple):
-    """How much of a piece is delivered, when, and what becomes of the connection after it."""
+class ChunkDelivery(NamedTuple):
+    """The delivered size of a chunk, the time of its delivery, and the state of the connection afterwards."""
 
     size: int
     at_ms: float
@@ -132,19 +132,19 @@
 
 @dataclass
 class StreamDirection:
-    """One direction of one connection over a channel; pieces keep their order.
+    """One direction of one connection over a channel; chunks keep their order.
 
     Attributes:
-        channel: What it passes over.
-        passed_bytes: How much has passed.
+        channel: The channel that it uses.
+        passed_bytes: Number of bytes delivered so far.
     """
 
     channel: Channel
     passed_bytes: int = 0
     _free_at_ms: float = 0.0
 
-    def deliver(self, now_ms: float, size: int) -> PieceDelivery:
-        """Deliver a piece of `size` bytes that is here now."""
+    def deliver(self, now_ms: float, size: int) -> ChunkDelivery:
+        """Schedule the delivery of a chunk of `size` bytes that was read now."""
         faults = self.channel.faults
         delivery = Delivery.DELIVERED
         last_byte = min(faults.reset_after_bytes, faults.half_open_after_bytes)
@@ -155,4 +155,4 @@
         self.passed_bytes += size
         wait_ms = faults.delay_ms + self.channel.random.uniform(0, faults.jitter_ms)
         self._free_at_ms = max(self._free_at_ms, now_ms + wait_ms) + MS_PER_S * size / faults.bytes_per_s
-        return PieceDelivery(size, self._free_at_ms, delivery)
+        return ChunkDelivery(size, self._free_at_ms, delivery)
--- a/nickelslip/emulator/loop_timer.py
+++ b/nickelslip/emulator/loop_timer.py
@@ -1,4 +1,4 @@
-"""A timer on the event loop that can be moved, with times on the history's clock."""
+"""A resettable timer on the event loop, with times on the history's clock."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class LoopTimer:
-    """At most one pending wake-up on the event loop.
+    """A timer with at most one pending call on the event loop.
 
     Args:
-        history: Gives the clock.
+        history: Provides the clock.
         callback: Called when the timer fires.
     """
 
@@ -24,7 +24,7 @@
         self._fires_at_ms = inf
 
     def set(self, fires_at_ms: float) -> None:
-        """Fire at this moment, in place of any that was set before; infinity only cancels."""
+        """Fire at this time instead of any time set before; infinity cancels the timer."""
         if self._handle is not None:
             if fires_at_ms == self._fires_at_ms:
                 return
--- a/nickelslip/emulator/machine_model.py
+++ b/nickelslip/emulator/machine_model.py
@@ -1,4 +1,4 @@
-"""What the machine of a worker pool is like, in simulated time."""
+"""A model of the machine of a worker pool, in simulated time."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     """The cores of a worker pool.
 
     Attributes:
-        cores: How many there are.
-        speed: Work done in a millisecond by a core.
-        crowded_above_per_core: With more runs on a core less is done in all.
-        crowding_loss: By how much less, for each run more on a core.
-        initial_speed_fraction: The speed at the start.
-        warm_up_ms: How long it takes to full speed.
-        cold_calls_factor: Calls at no speed at all, as a multiple of those at full speed.
-        overload_per_core: It falls over with more runs on a core than this in the mean, sooner while it warms up.
-        overload_window_ms: The span of that mean.
+        cores: Number of cores.
+        speed: Milliseconds of work that a core does per millisecond.
+        crowded_above_per_core: With more runs per core than this, the total throughput decreases.
+        crowding_loss: The decrease for each additional run per core.
+        initial_speed_fraction: The fraction of the full speed at the start.
+        warm_up_ms: Time until full speed.
+        cold_calls_factor: Calls per run at speed 0, as a multiple of those at full speed.
+        overload_per_core: The machine fails if the mean number of runs per core exceeds this; during warm-up it fails
+            at a lower mean.
+        overload_window_ms: The time span of that mean.
     """
 
     cores: int = 2
@@ -38,19 +39,19 @@
 
 
 class Machine:
-    """One worker pool's cores, in one incarnation.
+    """The cores of a worker pool, in one incarnation.
 
     Args:
-        profile: What they are like.
-        now_ms: The moment of the start.
+        profile: The parameters of the machine.
+        now_ms: The time of the start.
 
     Attributes:
-        has_fallen: Whether it fell over.
-        worst_excess: Of concurrency over what it survives, the worst while it warmed up.
+        has_failed: Whether the machine failed from overload.
+        worst_excess: Largest excess of the mean concurrency over the survivable one during warm-up.
     """
 
     def __init__(self, profile: MachineProfile, now_ms: float) -> None:
-        self.has_fallen = False
+        self.has_failed = False
         self.worst_excess = -inf
         self._profile = profile
         self._started_at_ms = now_ms
@@ -58,12 +59,12 @@
         self._concurrency = TimeWeightedMean(profile.overload_window_ms, now_ms)
 
     def warm_up_fraction(self, now_ms: float) -> float:
-        """Return which fraction of its full speed it has."""
+        """Return the current speed as a fraction of the full speed."""
         age_ms = now_ms - self._started_at_ms
         return warm_up_fraction(age_ms, self._profile.initial_speed_fraction, self._profile.warm_up_ms)
 
     def calls_factor(self, now_ms: float) -> float:
-        """Return how many calls runs make, as a multiple of those at full speed."""
+        """Return the number of calls per run, as a multiple of the number at full speed."""
         return 1 + (self._profile.cold_calls_factor - 1) * (1 - self.warm_up_fraction(now_ms))
 
     def _speed(self, now_ms: float, run_count: int) -> float:
@@ -73,40 +74,40 @@
         return speed / (1 + profile.crowding_loss * crowding)
 
     def start(self, now_ms: float, key: Hashable, work_ms: float) -> None:
-        """Put a run on the cores."""
+        """Start a run on the cores."""
         self._processor.add(now_ms, key, work_ms)
         self._update_concurrency(now_ms)
 
     def stop(self, now_ms: float, key: Hashable) -> bool:
-        """Take a run off the cores; return whether it was on them."""
+        """Stop a run; return whether it was on the cores."""
         was_running = self._processor.remove(now_ms, key)
         self._update_concurrency(now_ms)
         return was_running
 
     def take_finished(self, now_ms: float) -> list[Hashable]:
-        """Take off the runs that are finished by now and return them; `has_fallen` says whether it fell over."""
+        """Remove the runs that are finished by now and return them; updates `has_failed` and `worst_excess`."""
         finished = self._processor.take_finished(now_ms)
         self._update_concurrency(now_ms)
         fraction = self.warm_up_fraction(now_ms)
         concurrency = self._concurrency.mean(now_ms)
         survivable = self._profile.cores * (1 + (self._profile.overload_per_core - 1) * fraction)
-        self.has_fallen = self.has_fallen or concurrency > survivable
+        self.has_failed = self.has_failed or concurrency > survivable
         if fraction < 1:
             self.worst_excess = max(self.worst_excess, excess(concurrency, survivable))
         return finished
 
     def next_change_at_ms(self) -> float:
-        """Return when to look for finished runs again."""
+        """Return the time of the next call to `take_finished`."""
         return self._processor.next_change_at_ms()
 
     @property
     def cpu_utilization(self) -> float:
-        """The fraction of the cores that is busy."""
+        """The fraction of the cores that are busy."""
         return min(1.0, len(self._processor) / self._profile.cores)
 
     @property
     def run_count(self) -> int:
-        """How many runs are on the cores."""
+        """The number of runs on the cores."""
         return len(self._processor)
 
     def _update_concurrency(self, now_ms: float) -> None:
--- a/nickelslip/emulator/processes.py
+++ b/nickelslip/emulator/processes.py
@@ -1,7 +1,6 @@
-"""Server processes, known by their ids.
+"""Server processes.
 
-None outlives the process that started it: each asks the kernel to be killed with its parent, before it becomes the
-program.
+No process outlives its parent: before it executes the program, it asks the kernel to be killed when the parent dies.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-ENTRY_POINT = Path(__file__).parent.parent.parent / "deploy" / "serve.py"  # as the deploy file has it
+ENTRY_POINT = Path(__file__).parent.parent.parent / "deploy" / "serve.py"  # the same as in the deployment
 PR_SET_PDEATHSIG = 1
 LIBC = ctypes.CDLL(None, use_errno=True)
 KILL_TIMEOUT_S = 10.0
@@ -26,18 +25,18 @@
 
 
 def die_with_parent(parent_pid: int) -> Callable[[], None]:
-    """Return what a child runs before it becomes the program, so that it is killed when its parent ends."""
+    """Return a function for a child process to call before exec; it has the child killed when its parent ends."""
 
     def prepare() -> None:
         LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-        if os.getppid() != parent_pid:  # it has ended already
+        if os.getppid() != parent_pid:  # the parent has ended already
             os._exit(1)
 
     return prepare
 
 
 def program(*arguments: str) -> list[str]:
-    """Return the command line of the program, by this interpreter."""
+    """Return a command line that runs the server's program with this interpreter."""
     return [sys.executable, "-B", str(ENTRY_POINT), *arguments]
 
 
@@ -45,11 +44,11 @@
     """One process, from its start to its end.
 
     Args:
-        argv: Its command line.
-        log: Its output is appended to this file.
-        on_end: Called with the exit code when it has ended.
-        cwd: Its working directory.
-        environment: Its environment; None for that of this process.
+        argv: The command line.
+        log: The file to which standard output and error are appended.
+        on_end: Called with the exit code when the process has ended.
+        cwd: The working directory.
+        environment: The environment; None for the environment of this process.
     """
 
     def __init__(
@@ -77,12 +76,12 @@
 
     @property
     def pid(self) -> int:
-        """Its id."""
+        """The process id."""
         return self._popen.pid
 
     @property
     def code(self) -> int | None:
-        """Its exit code, or None while it runs."""
+        """The exit code, or None while the process runs."""
         return self._popen.returncode
 
     def _handle_end(self) -> None:
@@ -96,25 +95,25 @@
         self._on_end(self._popen.returncode)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal; one that has ended gets none."""
+        """Send a signal to the process, unless it has ended."""
         if self.code is None:
             with suppress(ProcessLookupError):
                 self._popen.send_signal(number)
 
     async def ended(self, timeout_s: float) -> bool:
-        """Wait for its end; return whether it ended in this time."""
+        """Wait for the end of the process; return whether it ended within the timeout."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._end_event.wait()
         return self._end_event.is_set()
 
     async def kill(self) -> None:
-        """Kill it and wait for its end."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         await self.ended(KILL_TIMEOUT_S)
 
     def cpu_ms(self) -> float:
-        """Return what it has had of a core so far; 0 once it has ended."""
+        """Return the CPU time used so far; 0 after the process has ended."""
         try:
             fields = Path(f"/proc/{self.pid}/schedstat").read_text().split()
         except OSError:
@@ -123,7 +122,7 @@
 
 
 def alive(pids: Sequence[int]) -> list[int]:
-    """Return which of these processes still run."""
+    """Return the ids of those processes that are still running."""
     return [pid for pid in pids if _is_alive(pid)]
 
 
--- a/nickelslip/emulator/records_service.py
+++ b/nickelslip/emulator/records_service.py
@@ -1,4 +1,4 @@
-"""A fake records service: the dependency that all servers of a fleet call."""
+"""A fake records service, the dependency that all servers of a fleet call."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 LINE_END = b"\r\n"
 CALL_VERB = b"OP"
 LISTEN_BACKLOG = 512
-CALL_TIME_SPREAD = (0.7, 1.3)  # a call's work is drawn between these multiples of the mean
+CALL_TIME_SPREAD = (0.7, 1.3)  # the work of a call is drawn between these multiples of the mean
 
 
 class CallKey(NamedTuple):
-    """One call in flight: request ids are unique on a connection only."""
+    """Key of a call in flight; request ids are unique only within a connection."""
 
     connection_number: int
     request_id: str
 
 
 class Listener(NamedTuple):
-    """A listening socket, and the server that knows the service under it ("" for any)."""
+    """A listening socket, and the server that uses its address ("" for all servers)."""
 
     socket_server: asyncio.Server
     server: str
@@ -37,12 +37,12 @@
 
 
 class RecordsService:
-    """The one records service of a fleet; servers know it under an address each, or under one.
+    """The records service of a fleet, with one address for each server or one for all servers.
 
     Args:
-        profile: How fast it is and what it survives.
-        history: Where calls and falls are recorded.
-        seed: For the work of each call.
+        profile: The speed and the overload limit of the service.
+        history: Records calls and failures.
+        seed: Seed of the work of each call.
     """
 
     def __init__(self, profile: ServiceProfile, history: History, seed: int = 1) -> None:
@@ -56,7 +56,7 @@
         self._recovery: asyncio.Task[None] | None = None
 
     async def listen(self, address: Address, server: str = "") -> Address:
-        """Listen for this server, or for any, and return the address with the port that was bound."""
+        """Listen for this server, by default for all servers, and return the address with the port that was bound."""
         loop = asyncio.get_running_loop()
         socket_server = await loop.create_server(
             lambda: RecordsConnection(self, server), *address, backlog=LISTEN_BACKLOG
@@ -67,19 +67,19 @@
         return bound
 
     def fail(self, for_ms: float) -> None:
-        """Go down for a while: calls in flight are lost and connections are refused."""
+        """Go down for this time; calls in flight are lost and connections are refused."""
         self.service.fail(self._history.clock(), for_ms)
         self._go_down(for_ms)
 
     def close(self) -> None:
-        """Close every socket and stop the timer."""
+        """Close all sockets and stop the timer."""
         self._timer.set(inf)
         if self._recovery is not None:
             self._recovery.cancel()
         self._close_sockets()
 
     def begin_call(self, connection: RecordsConnection, request_id: str) -> None:
-        """Start a call that has arrived completely; one with the same id on the connection is replaced."""
+        """Start a call that was received completely; it replaces a call with the same id on the connection."""
         now_ms = self._history.clock()
         key = CallKey(connection.number, request_id)
         if key in self._calls:
@@ -90,7 +90,7 @@
         self._answer_finished_calls()
 
     def cancel_call(self, connection: RecordsConnection, request_id: str) -> None:
-        """Give up a call, if it is still in flight."""
+        """Cancel a call, if it is still in flight."""
         key = CallKey(connection.number, request_id)
         if self._calls.pop(key, None) is None:
             return
@@ -105,7 +105,7 @@
         self._history.add(Kind.CONNECTED, connection.server, "", "records")
 
     def connection_closed(self, connection: RecordsConnection) -> None:
-        """Forget a connection and cancel its calls."""
+        """Unregister a connection and cancel its calls."""
         self._connections.discard(connection)
         for key in [key for key in self._calls if key.connection_number == connection.number]:
             self.cancel_call(connection, key.request_id)
@@ -115,14 +115,14 @@
 
     def _answer_finished_calls(self) -> None:
         now_ms = self._history.clock()
-        fall_count_before = self.service.fall_count
+        failure_count_before = self.service.overload_failure_count
         for finished in self.service.take_finished(now_ms):
             key = cast(CallKey, finished)
             connection = self._calls.pop(key, None)
             if connection is not None:
                 connection.respond(key.request_id)
                 self._record(Kind.CALL_ENDED, connection, key.request_id, now_ms)
-        if self.service.fall_count > fall_count_before:
+        if self.service.overload_failure_count > failure_count_before:
             self._go_down(self.service.profile.down_ms)
         self._timer.set(self.service.next_change_at_ms())
 
@@ -152,7 +152,7 @@
 
     Args:
         records: The service.
-        server: The server that knows the service under the address connected to; "" for any.
+        server: The server that uses the address that was connected to; "" for all servers.
     """
 
     _numbers = count(1)
@@ -170,7 +170,7 @@
         self._records.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Carry out every complete command."""
+        """Execute every complete command."""
         self._buffer += data
         while LINE_END in self._buffer:
             line, _, rest = self._buffer.partition(LINE_END)
@@ -185,7 +185,7 @@
                 self._records.cancel_call(self, request_id.decode())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self._transport = None
         self._records.connection_closed(self)
 
--- a/nickelslip/emulator/relay.py
+++ b/nickelslip/emulator/relay.py
@@ -1,7 +1,7 @@
-"""Relays: a listening address in front of a service, over which a link's faults act.
+"""Relays that listen in front of a service and apply the faults of a link.
 
-Both sides are real programs that know nothing of it. A relay does not look into what passes and holds at most a piece
-of it in each direction: a sender that is too fast is not read meanwhile.
+The programs on both sides are unaware of the relay. A relay does not inspect the data. It buffers at most one chunk in
+each direction of a connection and does not read from a sender while the chunk is pending, which gives backpressure.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from nickelslip.emulator.links import MS_PER_S, Channel, Delivery, Direction, StreamDirection
 
 Address = tuple[str, int]
-PIECE_BYTES = 16 * 1024
+CHUNK_BYTES = 16 * 1024
 CUT_POLL_S = 0.005
 CONNECT_TIMEOUT_S = 2.0
 MIN_SLEEP_MS = 0.1
 
 
 class Relay:
-    """One link: what connects or sends datagrams to its address reaches the service behind it.
+    """One link, which forwards connections and datagrams from its own address to the service behind it.
 
     Args:
         name: The kind of link, such as "pool".
-        server: The server whose link it is.
-        target: Where the service itself is.
-        forward: The direction of what comes from the side that connects.
-        seed: For what the channels draw.
-        history: Where cuts are recorded.
+        server: The server that the link belongs to.
+        target: The address of the service.
+        forward: The direction of the data from the side that connects.
+        seed: Seed of the channels' random draws.
+        history: Records cuts and their ends.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
     # Faults
 
     def set_faults(self, directions: tuple[Direction, ...] = tuple(Direction), **changes: Any) -> None:
-        """Change these fields of the faults in these directions; a cut and its end are recorded."""
+        """Change fields of the faults in these directions; records the begin and the end of a cut."""
         now_ms = self._history.clock()
         for direction in directions:
             channel = self.channels[direction]
@@ -74,8 +74,8 @@
     # Streams
 
     async def listen(self, address: Address) -> Address:
-        """Accept connections at this address, port 0 for any; return the address that was bound."""
-        self._listener = await asyncio.start_server(self._accept, *address, limit=PIECE_BYTES)
+        """Accept connections at this address (port 0 for any port) and return the address that was bound."""
+        self._listener = await asyncio.start_server(self._accept, *address, limit=CHUNK_BYTES)
         host, port = self._listener.sockets[0].getsockname()[:2]
         return str(host), int(port)
 
@@ -89,7 +89,7 @@
         try:
             await _wait_while_cut(self._forward)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                target_reader, target_writer = await asyncio.open_connection(*self.target, limit=PIECE_BYTES)
+                target_reader, target_writer = await asyncio.open_connection(*self.target, limit=CHUNK_BYTES)
             for open_writer in (writer, target_writer):
                 self._writers.add(open_writer)
                 _send_without_delay(open_writer)
@@ -105,19 +105,19 @@
                     any_writer.close()
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, channel: Channel) -> None:
-        """Relay one direction of one connection to its end."""
+        """Relay one direction of one connection until it ends."""
         stream = StreamDirection(channel)
-        while data := await reader.read(PIECE_BYTES):
-            piece = stream.deliver(self._history.clock(), len(data))
-            wait_ms = piece.at_ms - self._history.clock()
+        while data := await reader.read(CHUNK_BYTES):
+            chunk = stream.deliver(self._history.clock(), len(data))
+            wait_ms = chunk.at_ms - self._history.clock()
             if wait_ms > MIN_SLEEP_MS:
                 await asyncio.sleep(wait_ms / MS_PER_S)
             await _wait_while_cut(channel)
-            writer.write(data[: piece.size])
+            writer.write(data[: chunk.size])
             await writer.drain()
-            if piece.delivery is Delivery.RESET:
+            if chunk.delivery is Delivery.RESET:
                 raise ConnectionResetError
-            if piece.delivery is Delivery.HALF_OPEN:
+            if chunk.delivery is Delivery.HALF_OPEN:
                 await asyncio.Event().wait()
         await _wait_while_cut(channel)
         if writer.can_write_eof():
@@ -127,7 +127,7 @@
     # Datagrams
 
     async def listen_datagrams(self, address: Address) -> Address:
-        """Receive datagrams at this address, port 0 for any, and send them on; nothing comes back.
+        """Receive datagrams at this address (port 0 for any port) and forward them; replies are not relayed.
 
         Returns:
             The address that was bound.
@@ -145,20 +145,20 @@
         return str(host), int(port)
 
     def _send_datagram(self, target_socket: socket.socket, data: bytes) -> None:
-        with suppress(OSError):  # lost: nobody receives there
+        with suppress(OSError):  # lost, since there is no receiver
             target_socket.sendto(data, self.target)
 
-    # End
+    # Shutdown
 
     def stop_accepting(self) -> None:
-        """Accept nothing new; connections that stand go on."""
+        """Accept no new connections or datagrams; existing connections continue."""
         if self._datagrams is not None:
             self._datagrams.close()
         if self._listener is not None:
             self._listener.close()
 
     async def close(self) -> None:
-        """End the relay and every connection over it."""
+        """Close the relay and all its connections."""
         self.stop_accepting()
         for task in list(self._tasks):
             task.cancel()
@@ -166,13 +166,13 @@
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    """Hands each datagram to a callback."""
+    """Passes each datagram to a callback."""
 
     def __init__(self, callback: Callable[[bytes], None]) -> None:
         self._callback = callback
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Hand it on."""
+        """Pass the datagram on."""
         self._callback(data)
 
 
@@ -187,8 +187,8 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection with a reset rather than an orderly close."""
-    with suppress(OSError, ValueError, AttributeError):  # one that has been closed has no socket any more
+    """Close a connection with a TCP reset."""
+    with suppress(OSError, ValueError, AttributeError):  # a closed connection has no socket
         connected_socket = writer.get_extra_info("socket")
         connected_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/nickelslip/emulator/scenario_runner.py
+++ b/nickelslip/emulator/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Carries out a schedule against a fleet; each step is recorded in the fleet's history, and undone."""
+"""Runs a schedule of faults against a fleet; each step is recorded in the fleet's history, and undone at its end."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 async def run_schedule(fleet: Fleet, steps: Sequence[Step]) -> None:
-    """Carry out each step at its time, beside the others, and return when the last is undone.
+    """Run each step at its time, concurrently with others, and return when all steps are undone.
 
-    Steps that start or end the process of one server wait for each other.
+    Steps on the process of the same server run one after another.
     """
     begin_at_ms = fleet.history.clock()
     locks = {name: asyncio.Lock() for name in fleet.names}
@@ -50,7 +50,7 @@
     await asyncio.sleep(step.values.get("for_ms", 0.0) / MS_PER_S)
 
 
-# Steps on a server's links and configuration
+# Steps on the links and the configuration of a server
 
 
 async def _cut(fleet: Fleet, step: Step, name: str) -> None:
@@ -62,10 +62,10 @@
 
 
 async def _link_faults(fleet: Fleet, step: Step, name: str, faults: dict[str, Any]) -> None:
-    where: dict[str, Any] = {"link": step.values.get("link", ""), "ways": step.values.get("ways")}
-    await fleet.run_command("set_link", name, **where, **faults)
+    target: dict[str, Any] = {"link": step.values.get("link", ""), "ways": step.values.get("ways")}
+    await fleet.run_command("set_link", name, **target, **faults)
     await _sleep_for_duration(step)
-    await fleet.run_command("set_link", name, **where, **faults_off(faults))
+    await fleet.run_command("set_link", name, **target, **faults_off(faults))
 
 
 async def _reset(fleet: Fleet, step: Step, name: str) -> None:
@@ -76,7 +76,7 @@
     fleet.reload(name)
 
 
-# Steps on a server's process
+# Steps on the process of a server
 
 
 async def _kill(fleet: Fleet, step: Step, name: str) -> None:
@@ -115,7 +115,7 @@
         await asyncio.sleep(step.values["every_ms"] / MS_PER_S)
 
 
-# Steps on what all servers share
+# Steps on the shared services and on load balancers
 
 
 async def _directory_down(fleet: Fleet, step: Step) -> None:
--- a/nickelslip/emulator/service_host.py
+++ b/nickelslip/emulator/service_host.py
@@ -32,7 +32,7 @@
         spec: The services of the whole fleet.
         pools: Servers whose worker pools are there.
         shared: Whether what is shared is there.
-        on_fall: Called with the server's name when a machine falls over.
+        on_machine_failure: Called with the server's name when a machine falls over.
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         spec: ServicesSpec,
         pools: list[str],
         shared: bool,
-        on_fall: Callable[[str], None],
+        on_machine_failure: Callable[[str], None],
     ) -> None:
         self._spec_path = folder / f"host{number}.json"
         self._history_path = folder / f"host{number}.history"
         self._spec_path.write_text(json.dumps({"spec": spec.dump(), "pools": pools, "shared": shared}))
         self._log = (folder / f"host{number}.log").open("wb")
-        self._on_fall = on_fall
+        self._on_machine_failure = on_machine_failure
         self._replies: dict[int, asyncio.Future[Any]] = {}
         self._last_number = READY_NUMBER
         self._process: asyncio.subprocess.Process | None = None
@@ -130,7 +130,7 @@
         while line := await process.stdout.readline():
             message = json.loads(line)
             if "fell" in message:
-                self._on_fall(message["fell"])
+                self._on_machine_failure(message["fell"])
                 continue
             reply = self._replies.pop(message["n"], None)
             if reply is not None and not reply.done():
--- a/nickelslip/emulator/service_model.py
+++ b/nickelslip/emulator/service_model.py
@@ -47,7 +47,7 @@
     Attributes:
         slowdown: The factor by which it is slower than usual.
         down_until_ms: It is down before this moment.
-        fall_count: How often it went down by overload.
+        overload_failure_count: How often it went down by overload.
         overload_ms: How long the mean in flight was over what it survives.
         max_in_flight: Most calls in flight at once.
         call_count: How many calls began.
@@ -58,7 +58,7 @@
         self.profile = profile
         self.slowdown = 1.0
         self.down_until_ms = -inf
-        self.fall_count = 0
+        self.overload_failure_count = 0
         self.overload_ms = 0.0
         self.max_in_flight = 0
         self.call_count = 0
@@ -103,7 +103,7 @@
         finished = self._processor.take_finished(now_ms)
         self._update_in_flight(now_ms)
         if not self.is_down(now_ms) and self._mean_in_flight.mean(now_ms) > self.profile.survivable_in_flight:
-            self.fall_count += 1
+            self.overload_failure_count += 1
             self.fail(now_ms, self.profile.down_ms)
         return finished
 
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -15,12 +15,12 @@
 from nickelslip.emulator.worker_pool import WorkProfile
 
 Address = tuple[str, int]
-Words = Mapping[str, str]
+KeyMap = Mapping[str, str]
 
 READY_NUMBER = 0  # number of the reply of a services process that says that it has started
 
-ADDRESS_WORDS: Words = {"listen": "listen", "pool": "pool", "records": "records", "directory": "directory"}
-CLASS_WORDS: Words = {
+ADDRESS_KEYS: KeyMap = {"listen": "listen", "pool": "pool", "records": "records", "directory": "directory"}
+CLASS_KEYS: KeyMap = {
     "part": "request_fraction",
     "credit": "priority_weight",
     "quoted_ms": "latency_objective_ms",
@@ -29,8 +29,8 @@
     "marked": "has_idempotency_key",
     "without_call": "degraded_value_fraction",
 }
-POLICY_WORDS: Words = {"late_ms": "list_delay_ms", "heeds": "heeds_signals", "most_tries": "max_attempts"}
-MACHINE_WORDS: Words = {
+POLICY_KEYS: KeyMap = {"late_ms": "list_delay_ms", "heeds": "heeds_signals", "most_tries": "max_attempts"}
+MACHINE_KEYS: KeyMap = {
     "cores": "cores",
     "speed": "speed",
     "crowd_at": "crowded_above_per_core",
@@ -41,7 +41,7 @@
     "fall_multiple": "overload_per_core",
     "fall_ms": "overload_window_ms",
 }
-SERVICE_WORDS: Words = {
+SERVICE_KEYS: KeyMap = {
     "slots": "slots",
     "call_ms": "call_ms",
     "crowd_loss": "crowding_loss",
@@ -52,7 +52,7 @@
     "cold_from": "initial_speed_fraction",
     "cold_ms": "warm_up_ms",
 }
-SCALAR_WORDS: Words = {
+SCALAR_KEYS: KeyMap = {
     "balancers": "balancer_count",
     "rate": "rate_per_s",
     "lapse_ms": "directory_lapse_ms",
@@ -107,13 +107,13 @@
     def dump(self) -> dict[str, Any]:
         """Return the JSON form."""
         return {
-            "servers": {name: _dump(addresses, ADDRESS_WORDS) for name, addresses in self.servers.items()},
-            "grades": {name: _dump(traffic, CLASS_WORDS) for name, traffic in self.traffic_classes.items()},
+            "servers": {name: _dump(addresses, ADDRESS_KEYS) for name, addresses in self.servers.items()},
+            "grades": {name: _dump(traffic, CLASS_KEYS) for name, traffic in self.traffic_classes.items()},
             "work": asdict(self.work),
-            "machine": _dump(self.machine, MACHINE_WORDS),
-            "service": _dump(self.service, SERVICE_WORDS),
-            "habits": _dump(self.balancer_policy, POLICY_WORDS),
-            **_dump(self, SCALAR_WORDS),
+            "machine": _dump(self.machine, MACHINE_KEYS),
+            "service": _dump(self.service, SERVICE_KEYS),
+            "habits": _dump(self.balancer_policy, POLICY_KEYS),
+            **_dump(self, SCALAR_KEYS),
         }
 
     @staticmethod
@@ -122,24 +122,24 @@
         return ServicesSpec(
             servers={name: _load_addresses(words) for name, words in value["servers"].items()},
             traffic_classes={
-                name: ClassTraffic(**_fields(words, CLASS_WORDS)) for name, words in value["grades"].items()
+                name: ClassTraffic(**_fields(words, CLASS_KEYS)) for name, words in value["grades"].items()
             },
             work=WorkProfile(**value["work"]),
-            machine=MachineProfile(**_fields(value["machine"], MACHINE_WORDS)),
-            service=ServiceProfile(**_fields(value["service"], SERVICE_WORDS)),
-            balancer_policy=BalancerPolicy(**_fields(value["habits"], POLICY_WORDS)),
-            **_fields({word: value[word] for word in SCALAR_WORDS}, SCALAR_WORDS),
+            machine=MachineProfile(**_fields(value["machine"], MACHINE_KEYS)),
+            service=ServiceProfile(**_fields(value["service"], SERVICE_KEYS)),
+            balancer_policy=BalancerPolicy(**_fields(value["habits"], POLICY_KEYS)),
+            **_fields({word: value[word] for word in SCALAR_KEYS}, SCALAR_KEYS),
         )
 
 
 def _load_addresses(words: Mapping[str, Any]) -> ServerAddresses:
-    fields = _fields(words, ADDRESS_WORDS)
+    fields = _fields(words, ADDRESS_KEYS)
     return ServerAddresses(**{name: (host, port) for name, (host, port) in fields.items()})
 
 
-def _dump(value: object, words: Words) -> dict[str, Any]:
+def _dump(value: object, words: KeyMap) -> dict[str, Any]:
     return {word: getattr(value, name) for word, name in words.items()}
 
 
-def _fields(value: Mapping[str, Any], words: Words) -> dict[str, Any]:
+def _fields(value: Mapping[str, Any], words: KeyMap) -> dict[str, Any]:
     return {words[word]: item for word, item in value.items()}
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -51,7 +51,7 @@
         pool_names: Servers whose worker pools are here.
         has_shared: Whether directory, records service and load balancers are here.
         history: Where they record what they see.
-        on_fall: Called with the server's name when a machine falls over.
+        on_machine_failure: Called with the server's name when a machine falls over.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         pool_names: list[str],
         has_shared: bool,
         history: History,
-        on_fall: Callable[[str], None],
+        on_machine_failure: Callable[[str], None],
     ) -> None:
         self.spec = spec
         self.history = history
@@ -71,7 +71,7 @@
         self.balancers: list[LoadBalancer] = []
         self._pool_names = pool_names
         self._has_shared = has_shared
-        self._on_fall = on_fall
+        self._on_machine_failure = on_machine_failure
         self._pool_listeners: dict[str, list[asyncio.Server]] = {name: [] for name in spec.servers}
         self._tasks: list[asyncio.Task[None]] = []
         self._move_counts: dict[str, int] = {}
@@ -165,7 +165,7 @@
         """Start a new incarnation of a server's worker pool; the one before ends."""
         self.end_pool(server, "replaced")
         spec = self.spec
-        pool = WorkerPool(server, spec.machine, spec.work, spec.seed, self.history, up_ms, self._on_fall)
+        pool = WorkerPool(server, spec.machine, spec.work, spec.seed, self.history, up_ms, self._on_machine_failure)
         self.pools[server] = pool
         address = service_address(spec.servers[server].pool, spec.is_relayed)
         self._pool_listeners[server].append(await pool.listen(address))
@@ -268,7 +268,7 @@
         if self.records is not None:
             service = self.records.service
             figures |= {
-                "records_falls": service.fall_count,
+                "records_falls": service.overload_failure_count,
                 "records_over_ms": service.overload_ms,
                 "records_most": service.max_in_flight,
                 "records_calls": service.call_count,
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -93,7 +93,7 @@
         seed: For the work and the calls of each run.
         history: Where runs, connections and falls are recorded.
         up_ms: How long it takes to come up.
-        on_fall: Called with the server's name when the machine falls over.
+        on_machine_failure: Called with the server's name when the machine falls over.
     """
 
     def __init__(
@@ -104,14 +104,14 @@
         seed: int,
         history: History,
         up_ms: float = 0.0,
-        on_fall: Callable[[str], None] = lambda server: None,
+        on_machine_failure: Callable[[str], None] = lambda server: None,
     ) -> None:
         self.server = server
         self.ended = False
         self._profile = profile
         self._seed = seed
         self._history = history
-        self._on_fall = on_fall
+        self._on_machine_failure = on_machine_failure
         self._machine = Machine(machine, history.clock() + up_ms)
         self._up_at_ms = history.clock() + up_ms
         self._runs: dict[str, Run] = {}
@@ -285,10 +285,10 @@
                 self._notify(RunBlocked(run.blocked_sequence, run.request_id, CALL_BODY))
             else:
                 self._finish(run, RunOutcome.COMPLETED)
-        if self._machine.has_fallen and not self.ended:
+        if self._machine.has_failed and not self.ended:
             self._history.add(Kind.FELL_OVER, self.server, "", "machine")
             self.end("it fell over")
-            self._on_fall(self.server)
+            self._on_machine_failure(self.server)
             return
         self._timer.set(self._machine.next_change_at_ms())
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -45,7 +45,7 @@
         await fleet.start()
         await fleet.wait_until_serving()
         await asyncio.sleep(5.0)
-        assert fleet.local_services.records.service.fall_count == 0, "the records were not flattened"
+        assert fleet.local_services.records.service.overload_failure_count == 0, "the records were not flattened"
         assert fleet.served_fraction(fleet.history.clock() - 2500, fleet.history.clock() - 1200) > 0.7
         await over(fleet)
 
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -44,7 +44,7 @@
     machine.take_finished(900.0)
     assert (
         machine.worst_excess == pytest.approx(excess(7 * 0.9, 2 * (1 + 7 * (0.25 + 0.75 * 0.9 / 5))))
-        and not machine.has_fallen
+        and not machine.has_failed
     )
     service = Service(ServiceProfile(slots=4, survivable_in_flight=4.0, window_ms=1000.0), 0.0)
     for number in range(20):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -71,7 +71,7 @@
         for key in range(7):
             machine.start(0.0, key, 1e6)
         machine.take_finished(100.0)
-    assert cold.has_fallen and not warm.has_fallen
+    assert cold.has_failed and not warm.has_failed
 
 
 def test_a_service_over_what_it_survives_goes_down_loses_its_calls_and_says_for_how_long_it_was():
@@ -83,7 +83,10 @@
     for at in range(10, 200, 10):
         service.take_finished(float(at))
     assert (
-        service.fall_count == 1 and service.is_down(199.0) and service.overload_ms > 0 and service.in_flight(199.0) == 0
+        service.overload_failure_count == 1
+        and service.is_down(199.0)
+        and service.overload_ms > 0
+        and service.in_flight(199.0) == 0
     )
     assert not service.is_down(900.0)
 
@@ -238,7 +241,7 @@
             ["n1", "n2"],
         )
     text = str(refused.value)
-    for place in ("[0].at_ms", "[0].servers", "[1].for_ms", "[2].do", "[3].for_ms: is no word of reload"):
+    for place in ("[0].at_ms", "[0].servers", "[1].for_ms", "[2].do", "[3].for_ms: is not a field of reload"):
         assert f"schedule{place}" in text
 
 
