--- a/nickelslip/emulator/server_processes.py
+++ b/nickelslip/emulator/server_processes.py
@@ -1,4 +1,4 @@
-"""The server processes of a fleet: their start, shutdown, kill and replacement."""
+"""Starts, shuts down, kills and replaces the server processes of a fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from nickelslip.emulator.history import MS_PER_S, History, Kind
 from nickelslip.emulator.processes import Process
 
-SHUTDOWN_SLACK_S = 1.0  # past the time after which the platform would kill
+SHUTDOWN_SLACK_S = 1.0  # added to the time after which the platform would kill the process
 KILL_TIMEOUT_S = 10.0
 
 
@@ -20,19 +20,19 @@
 
 
 class ServerProcesses:
-    """The servers of a fleet by name, each process together with its worker pool.
+    """The servers of a fleet by name, each process with its worker pool.
 
     Args:
-        files: Where configurations and logs are.
-        services: Where worker pools begin and end.
-        history: Where starts and ends are recorded.
-        command_line: Gives the command line for the path of a configuration.
+        files: Provides the paths of configurations and logs.
+        services: Starts and ends worker pools.
+        history: Records starts and ends.
+        command_line: Returns a server's command line, given the path of its configuration.
         cwd: The working directory of servers.
-        stop_ms: After a server is told to shut down, how long it has.
+        stop_ms: Time within which a server must exit after it is told to shut down.
 
     Attributes:
-        by_name: The last process under each name.
-        pids: Ids of all processes that were ever started.
+        by_name: The latest process of each server, by name.
+        pids: Ids of all processes started in this run.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._killed_pids: set[int] = set()
 
     async def start(self, names: Iterable[str], up_ms: float) -> None:
-        """Start a process under each name, with a new worker pool that comes up after `up_ms`."""
+        """Start a process for each name, with a new worker pool that comes up after `up_ms`."""
         await asyncio.gather(*(self._start(name, up_ms) for name in names))
 
     async def _start(self, name: str, up_ms: float) -> None:
@@ -86,7 +86,7 @@
         await asyncio.gather(*(self.by_name[name].ended(KILL_TIMEOUT_S) for name in names))
 
     async def shut_down(self, name: str) -> bool:
-        """Tell a server to shut down and kill it when its time is up; return whether it ended by itself."""
+        """Tell a server to shut down, and kill it if it does not exit in time; return whether it exited by itself."""
         process = self.by_name[name]
         self._history.add(Kind.SHUTDOWN_REQUESTED, name)
         process.signal(signal.SIGTERM)
@@ -98,7 +98,7 @@
         return ended_by_itself
 
     async def replace(self, names: Iterable[str]) -> None:
-        """Shut servers down and start each anew under its name."""
+        """Shut servers down and start a new process for each."""
         await asyncio.gather(*(self._replace(name) for name in names))
 
     async def _replace(self, name: str) -> None:
@@ -106,11 +106,11 @@
         await self._start(name, 0.0)
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a server a signal."""
+        """Send a signal to a server."""
         self.by_name[name].signal(number)
 
     async def close(self) -> None:
-        """Kill every server that still runs, without a record."""
+        """Kill all servers that still run, without recording it."""
         for process in self.by_name.values():
             self._killed_pids.add(process.pid)
             process.signal(signal.SIGKILL)
--- a/nickelslip/emulator/service_host.py
+++ b/nickelslip/emulator/service_host.py
@@ -1,4 +1,4 @@
-"""Another process with a part of a fleet's services, driven by JSON lines over its standard input and output."""
+"""A separate process for some of a fleet's services, controlled by JSON lines on its standard input and output."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class ServiceHost:
-    """A process with the worker pools of some servers, or with what is shared, or both.
+    """A process that runs the worker pools of some servers, the shared services, or both.
 
     Args:
-        folder: Where its files are written.
-        number: Tells its files from those of others.
+        folder: The folder for its files.
+        number: Distinguishes its files from those of other processes.
         spec: The services of the whole fleet.
-        pools: Servers whose worker pools are there.
-        shared: Whether what is shared is there.
-        on_machine_failure: Called with the server's name when a machine falls over.
+        pools: The servers whose worker pools run there.
+        shared: Whether the shared services run there.
+        on_machine_failure: Called with the server's name when a machine fails from overload.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
         """Start the process and wait until its services have started.
 
         Raises:
-            TimeoutError: They have not within 30 s.
-            ServiceHostEndedError: The process ended instead.
+            TimeoutError: The services did not start within 30 s.
+            ServiceHostEndedError: The process ended before its services had started.
         """
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -81,20 +81,20 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether there is a process, ended or not."""
+        """Whether the process has been started; it may have ended since."""
         return self._process is not None
 
     @property
     def pid(self) -> int:
-        """The process's id; only after `start`."""
+        """The process id; available only after `start`."""
         assert self._process is not None
         return self._process.pid
 
     async def run(self, command: str, **values: Any) -> Any:
-        """Have a command carried out and return its result.
+        """Run a command in the process and return its result.
 
         Raises:
-            TimeoutError: No reply came within 30 s.
+            TimeoutError: No reply was received within 30 s.
             ServiceHostEndedError: The process ended before it replied.
         """
         assert self._process is not None
@@ -108,7 +108,7 @@
             return await reply
 
     async def close(self) -> History:
-        """End the process and return its history."""
+        """Stop the process and return its history."""
         assert self._process is not None
         assert self._process.stdin is not None
         with suppress(OSError):
@@ -137,4 +137,4 @@
                 reply.set_result(message["result"])
         for reply in self._replies.values():
             if not reply.done():
-                reply.set_exception(ServiceHostEndedError("the process of the services has ended"))
+                reply.set_exception(ServiceHostEndedError("the services process ended before it replied"))
--- a/nickelslip/emulator/service_model.py
+++ b/nickelslip/emulator/service_model.py
@@ -1,4 +1,4 @@
-"""What a service that all servers share is like, in simulated time."""
+"""A model of a service that all servers share, in simulated time."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True)
 class ServiceProfile:
-    """A service that all servers share.
+    """The parameters of a service that all servers share.
 
     Attributes:
-        slots: How many calls it works on at full speed.
+        slots: Number of calls that it can process at full speed at the same time.
         call_ms: The work of a call.
-        crowding_loss: By how much less is done in all, for each multiple of the slots that is in flight beyond them.
-        survivable_in_flight: It goes down with more calls in flight than this in the mean.
-        window_ms: The span of that mean.
+        crowding_loss: Loss of total throughput for each multiple of `slots` in flight beyond the first.
+        survivable_in_flight: The service goes down if the mean number of calls in flight exceeds this.
+        window_ms: The time span of that mean.
         abandoned_call_linger_ms: How long a cancelled call stays in flight.
-        down_ms: How long it stays down.
-        initial_speed_fraction: The speed when it comes up.
-        warm_up_ms: How long it takes to full speed.
+        down_ms: How long the service stays down.
+        initial_speed_fraction: The fraction of the full speed when it comes up.
+        warm_up_ms: Time until full speed.
     """
 
     slots: int = 16
@@ -38,20 +38,20 @@
 
 
 class Service:
-    """The shared service, in all its incarnations.
+    """The shared service, across all its incarnations.
 
     Args:
-        profile: What it is like.
-        now_ms: The moment of the start.
+        profile: The parameters of the service.
+        now_ms: The time of the start.
 
     Attributes:
         slowdown: The factor by which it is slower than usual.
-        down_until_ms: It is down before this moment.
-        overload_failure_count: How often it went down by overload.
-        overload_ms: How long the mean in flight was over what it survives.
-        max_in_flight: Most calls in flight at once.
-        call_count: How many calls began.
-        worst_excess: Of the mean in flight over what it survives.
+        down_until_ms: The service is down until this time.
+        overload_failure_count: Number of failures from overload.
+        overload_ms: Total time in which the mean number of calls in flight exceeded the survivable one.
+        max_in_flight: Maximum number of calls in flight at once.
+        call_count: Number of calls started.
+        worst_excess: Largest excess of the mean number of calls in flight over the survivable one.
     """
 
     def __init__(self, profile: ServiceProfile, now_ms: float) -> None:
@@ -78,28 +78,28 @@
         return speed / (1 + profile.crowding_loss * crowding) / self.slowdown
 
     def is_down(self, now_ms: float) -> bool:
-        """Return whether it is down."""
+        """Return whether the service is down."""
         return now_ms < self.down_until_ms
 
     def in_flight(self, now_ms: float) -> int:
-        """Return how many calls are in flight, with those cancelled that linger."""
+        """Return the number of calls in flight, including cancelled calls that linger."""
         self._lingering_until_ms = [until_ms for until_ms in self._lingering_until_ms if until_ms > now_ms]
         return len(self._processor) + len(self._lingering_until_ms)
 
     def begin_call(self, now_ms: float, key: Hashable, work_ms: float) -> None:
-        """Begin a call of so much work."""
+        """Begin a call with this amount of work."""
         self.call_count += 1
         self._processor.add(now_ms, key, work_ms)
         self._update_in_flight(now_ms)
 
     def cancel_call(self, now_ms: float, key: Hashable) -> None:
-        """Cancel a call that nobody waits for any more."""
+        """Cancel a call that its caller abandoned."""
         if self._processor.remove(now_ms, key):
             self._lingering_until_ms.append(now_ms + self.profile.abandoned_call_linger_ms)
         self._update_in_flight(now_ms)
 
     def take_finished(self, now_ms: float) -> list[Hashable]:
-        """Return the calls that are finished by now; by overload it may go down, and then has no calls any more."""
+        """Return the calls that are finished by now; if overloaded, the service goes down and drops all other calls."""
         finished = self._processor.take_finished(now_ms)
         self._update_in_flight(now_ms)
         if not self.is_down(now_ms) and self._mean_in_flight.mean(now_ms) > self.profile.survivable_in_flight:
@@ -108,7 +108,7 @@
         return finished
 
     def fail(self, now_ms: float, for_ms: float) -> None:
-        """Go down, and come up again with a new warm-up after `for_ms`."""
+        """Go down for `for_ms`; afterwards the service warms up again."""
         self._processor.clear(now_ms)
         self._lingering_until_ms.clear()
         self._update_in_flight(now_ms)
@@ -116,7 +116,7 @@
         self._up_at_ms = self.down_until_ms
 
     def next_change_at_ms(self) -> float:
-        """Return when to look for finished calls again."""
+        """Return the time of the next call to `take_finished`."""
         return self._processor.next_change_at_ms()
 
     def _update_in_flight(self, now_ms: float) -> None:
--- a/nickelslip/emulator/services_process.py
+++ b/nickelslip/emulator/services_process.py
@@ -1,7 +1,7 @@
-"""A process of its own for a part of a fleet's services.
+"""The program of a separate process for some of a fleet's services.
 
-`python -m nickelslip.emulator.services_process SPEC HISTORY` reads the spec with the part that is this process's, takes
-commands as JSON lines on standard input, replies on standard output, and writes its history at the end.
+`python -m nickelslip.emulator.services_process SPEC HISTORY` reads the specification and which services to run. It
+reads commands as JSON lines from standard input, replies on standard output, and writes its history at the end.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def main() -> None:
-    """Run the services until the input ends."""
+    """Run the services until the end of the input."""
     part = json.loads(Path(sys.argv[1]).read_text())
     history = History()
     services = SharedServices(
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -1,6 +1,6 @@
-"""What a fleet's services are like, and its JSON form for the processes that run a part of them.
+"""The specification of a fleet's services, and its JSON form for the processes that run some of them.
 
-The words of the JSON form are mapped to fields by the tables here.
+The `*_KEYS` tables map the keys of the JSON form to fields.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 Address = tuple[str, int]
 KeyMap = Mapping[str, str]
 
-READY_NUMBER = 0  # number of the reply of a services process that says that it has started
+READY_NUMBER = 0  # number of the reply that a services process sends when it has started
 
 ADDRESS_KEYS: KeyMap = {"listen": "listen", "pool": "pool", "records": "records", "directory": "directory"}
 CLASS_KEYS: KeyMap = {
@@ -55,7 +55,7 @@
 SCALAR_KEYS: KeyMap = {
     "balancers": "balancer_count",
     "rate": "rate_per_s",
-    "lapse_ms": "directory_lapse_ms",
+    "lapse_ms": "directory_expiry_ms",
     "seed": "seed",
     "relayed": "is_relayed",
     "read_list": "records_list",
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class ServerAddresses:
-    """Where a server listens and where it finds its services; relays are at these addresses, where there are any."""
+    """Addresses at which a server listens and finds its services; with relays, the relays use these addresses."""
 
     listen: Address
     pool: Address
@@ -74,21 +74,21 @@
 
 @dataclass(frozen=True)
 class ServicesSpec:
-    """A fleet's services.
+    """The specification of a fleet's services.
 
     Attributes:
-        servers: Each server's addresses.
-        traffic_classes: What clients send.
-        work: What runs are like.
-        machine: What worker pools run on.
-        service: What the records service is like.
-        balancer_policy: How load balancers behave.
-        balancer_count: How many there are.
+        servers: The addresses of each server.
+        traffic_classes: The traffic of clients, by traffic class.
+        work: The work and the calls of runs.
+        machine: The machines of worker pools.
+        service: The records service.
+        balancer_policy: The behaviour of load balancers.
+        balancer_count: Number of load balancers.
         rate_per_s: Requests per second of all clients together.
-        directory_lapse_ms: How long an entry of the endpoint list lasts without a report.
-        seed: For everything that is drawn.
-        is_relayed: Whether a relay stands on each link.
-        records_list: Whether the endpoint list is read into the history ten times a second.
+        directory_expiry_ms: Time after which an entry of the endpoint list expires without a new report.
+        seed: Seed of all random draws.
+        is_relayed: Whether each link has a relay.
+        records_list: Whether the endpoint list is recorded in the history ten times per second.
     """
 
     servers: dict[str, ServerAddresses]
@@ -99,7 +99,7 @@
     balancer_policy: BalancerPolicy = field(default_factory=BalancerPolicy)
     balancer_count: int = 4
     rate_per_s: float = 100.0
-    directory_lapse_ms: float = 3000.0
+    directory_expiry_ms: float = 3000.0
     seed: int = 1
     is_relayed: bool = True
     records_list: bool = False
@@ -118,28 +118,28 @@
 
     @staticmethod
     def load(value: dict[str, Any]) -> ServicesSpec:
-        """Return what a JSON form says."""
+        """Return the specification that a JSON form describes."""
         return ServicesSpec(
-            servers={name: _load_addresses(words) for name, words in value["servers"].items()},
+            servers={name: _load_addresses(addresses) for name, addresses in value["servers"].items()},
             traffic_classes={
-                name: ClassTraffic(**_fields(words, CLASS_KEYS)) for name, words in value["grades"].items()
+                name: ClassTraffic(**_fields(traffic, CLASS_KEYS)) for name, traffic in value["grades"].items()
             },
             work=WorkProfile(**value["work"]),
             machine=MachineProfile(**_fields(value["machine"], MACHINE_KEYS)),
             service=ServiceProfile(**_fields(value["service"], SERVICE_KEYS)),
             balancer_policy=BalancerPolicy(**_fields(value["habits"], POLICY_KEYS)),
-            **_fields({word: value[word] for word in SCALAR_KEYS}, SCALAR_KEYS),
+            **_fields({key: value[key] for key in SCALAR_KEYS}, SCALAR_KEYS),
         )
 
 
-def _load_addresses(words: Mapping[str, Any]) -> ServerAddresses:
-    fields = _fields(words, ADDRESS_KEYS)
+def _load_addresses(value: Mapping[str, Any]) -> ServerAddresses:
+    fields = _fields(value, ADDRESS_KEYS)
     return ServerAddresses(**{name: (host, port) for name, (host, port) in fields.items()})
 
 
-def _dump(value: object, words: KeyMap) -> dict[str, Any]:
-    return {word: getattr(value, name) for word, name in words.items()}
+def _dump(value: object, keys: KeyMap) -> dict[str, Any]:
+    return {key: getattr(value, name) for key, name in keys.items()}
 
 
-def _fields(value: Mapping[str, Any], words: KeyMap) -> dict[str, Any]:
-    return {words[word]: item for word, item in value.items()}
+def _fields(value: Mapping[str, Any], keys: KeyMap) -> dict[str, Any]:
+    return {keys[key]: item for key, item in value.items()}
--- a/nickelslip/emulator/shared_processor.py
+++ b/nickelslip/emulator/shared_processor.py
@@ -1,4 +1,4 @@
-"""Work that shares the speed of one processor, in simulated time."""
+"""A processor whose speed is shared equally by its jobs, in simulated time."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from math import inf
 from typing import NamedTuple
 
-MAX_STEP_MS = 50.0  # a speed that changes with time is looked at anew at least so often
+MAX_STEP_MS = 50.0  # the speed changes with time and is re-evaluated at least this often
 MIN_SPEED = 1e-9
 ROUNDING_TOLERANCE_MS = 1e-6
 
 
 def warm_up_fraction(age_ms: float, initial_fraction: float, warm_up_ms: float) -> float:
-    """Return the fraction of its full speed that something has at this age: it rises linearly to 1."""
+    """Return the speed at this age as a fraction of the full speed; it rises linearly to 1."""
     if warm_up_ms <= 0:
         return 1.0
     return min(1.0, initial_fraction + (1 - initial_fraction) * max(0.0, age_ms) / warm_up_ms)
 
 
 class Job(NamedTuple):
-    """A job, and at which sum of work done by each job it is finished."""
+    """A job; it is finished when the work done per job reaches `finish_work_ms`."""
 
     finish_work_ms: float
     number: int
@@ -28,18 +28,18 @@
 
 
 class SharedProcessor:
-    """Jobs that all progress alike.
+    """Jobs that all progress at the same speed.
 
     Args:
-        now_ms: The moment of the beginning.
-        speed: Gives the work that each job gets in a millisecond, for a moment and the number of jobs.
+        now_ms: The start time.
+        speed: Returns the work per millisecond done on each job, given the time and the number of jobs.
     """
 
     def __init__(self, now_ms: float, speed: Callable[[float, int], float]) -> None:
         self._now_ms = now_ms
         self._speed = speed
         self._work_done_ms = 0.0
-        self._heap: list[Job] = []  # with jobs that were removed meanwhile
+        self._heap: list[Job] = []  # may contain jobs that were removed since
         self._jobs: dict[Hashable, Job] = {}
         self._last_number = 0
 
@@ -52,7 +52,7 @@
         self._now_ms = now_ms
 
     def add(self, now_ms: float, key: Hashable, work_ms: float) -> None:
-        """Add a job of so many milliseconds at a speed of 1."""
+        """Add a job that takes `work_ms` at a speed of 1."""
         self._advance(now_ms)
         self._last_number += 1
         job = Job(self._work_done_ms + work_ms, self._last_number, key)
@@ -60,7 +60,7 @@
         heapq.heappush(self._heap, job)
 
     def remove(self, now_ms: float, key: Hashable) -> bool:
-        """Remove a job; return whether it was there."""
+        """Remove a job; return whether it existed."""
         self._advance(now_ms)
         return self._jobs.pop(key, None) is not None
 
@@ -71,7 +71,10 @@
         self._heap.clear()
 
     def next_change_at_ms(self) -> float:
-        """Return when to look again: at the first end, or sooner, since the speed may change; infinity if idle."""
+        """Return the time of the next update: when the first job ends, or earlier as the speed may change.
+
+        Without jobs it is infinity.
+        """
         job = self._next_job()
         if job is None:
             return inf
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -1,7 +1,7 @@
-"""The fake services of a fleet, or a part of them, in one process, and the commands that act on them.
+"""All or some of the fake services of a fleet, in one process, and the commands that control them.
 
-The same commands are called in the fleet's own process and, as JSON lines, in one of its own (services_process.py). No
-server is started or signalled from here.
+The commands are called directly in the fleet's own process, or as JSON lines in a separate process
+(`services_process`). This module neither starts servers nor sends them signals.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from nickelslip.emulator.worker_pool import WorkerPool
 
 Address = tuple[str, int]
-PORTS_BEHIND_RELAY = 1  # a service behind a relay is at the relay's port and so much more
-PORTS_PER_MOVE = 10  # between the addresses of a service that moves
-OLD_CONNECTIONS_S = 1.5  # connections to an address that was left are closed after this, by the page on service
+SERVICE_PORT_OFFSET = 1  # port of a service behind a relay, relative to the relay's port
+MOVE_PORT_OFFSET = 10  # between successive addresses of a service that moves
+OLD_RELAY_CLOSE_DELAY_S = 1.5  # after a move, connections to the old address close after this, as on the platform
 LIST_INTERVAL_MS = 100.0
-NO_EXCESS = -1e9  # in place of an infinity, which JSON does not have
+NO_EXCESS = -1e9  # used instead of minus infinity, which JSON lacks
 POOL_LINK = "pool"
 RECORDS_LINK = "records"
 DIRECTORY_LINK = "directory"
@@ -34,24 +34,24 @@
 
 
 class UnknownServiceCommandError(ValueError):
-    """A command that is not in COMMANDS."""
+    """The command is not in COMMANDS."""
 
 
 def service_address(address: Address, is_relayed: bool) -> Address:
-    """Return where a service itself is that servers know under this address."""
+    """Return the service's own address, given the address that servers use."""
     host, port = address
-    return (host, port + PORTS_BEHIND_RELAY) if is_relayed else address
+    return (host, port + SERVICE_PORT_OFFSET) if is_relayed else address
 
 
 class SharedServices:
-    """Services and relays of a part of a fleet: the worker pools of some servers, or what is shared, or both.
+    """Services and relays in one process: the worker pools of some servers, the shared services, or both.
 
     Args:
-        spec: The whole fleet's services.
-        pool_names: Servers whose worker pools are here.
-        has_shared: Whether directory, records service and load balancers are here.
-        history: Where they record what they see.
-        on_machine_failure: Called with the server's name when a machine falls over.
+        spec: The services of the whole fleet.
+        pool_names: The servers whose worker pools run here.
+        has_shared: Whether directory, records service and load balancers run here.
+        history: Records the observations of the services.
+        on_machine_failure: Called with the server's name when a machine fails from overload.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         self._pool_listeners: dict[str, list[asyncio.Server]] = {name: [] for name in spec.servers}
         self._tasks: list[asyncio.Task[None]] = []
         self._move_counts: dict[str, int] = {}
-        self._worst_ended_excess = NO_EXCESS  # of machines that are gone
+        self._worst_ended_excess = NO_EXCESS  # of the machines of ended worker pools
 
     # Start
 
     async def start(self) -> None:
-        """Start everything but the worker pools, which begin with their servers."""
+        """Start all services but the worker pools, which start with their servers."""
         if self._has_shared:
             await self._start_shared()
         if self.spec.is_relayed:
@@ -89,7 +89,7 @@
 
     async def _start_shared(self) -> None:
         spec = self.spec
-        self.directory = DirectoryService(self.history, spec.directory_lapse_ms)
+        self.directory = DirectoryService(self.history, spec.directory_expiry_ms)
         self.records = RecordsService(spec.service, self.history, spec.seed)
         if spec.is_relayed:
             for name in spec.servers:
@@ -133,7 +133,7 @@
             await directory.listen(address)
 
     def _balancer_addresses(self) -> dict[str, Address]:
-        """Return by server where load balancers connect: its relay is behind the address at which it listens."""
+        """Return by server the address to which load balancers connect; with relays, the relay's address."""
         return {
             name: service_address(addresses.listen, self.spec.is_relayed)
             for name, addresses in self.spec.servers.items()
@@ -162,7 +162,7 @@
     # Worker pools
 
     async def start_pool(self, server: str, up_ms: float = 0.0) -> None:
-        """Start a new incarnation of a server's worker pool; the one before ends."""
+        """Start a new incarnation of a server's worker pool and end the previous one."""
         self.end_pool(server, "replaced")
         spec = self.spec
         pool = WorkerPool(server, spec.machine, spec.work, spec.seed, self.history, up_ms, self._on_machine_failure)
@@ -180,19 +180,22 @@
             self.pools[server].end(reason)
 
     def register_later(self, server: str, up_ms: float = 0.0) -> None:
-        """Have the directory list a server after this time, as its worker pool comes up."""
+        """Register a server with the directory after `up_ms`, when its worker pool comes up."""
         if self.directory is not None:
             asyncio.get_running_loop().call_later(up_ms / MS_PER_S, self.directory.register, server)
 
     # Links
 
     def set_link_faults(self, server: str, link: str, ways: list[str] | None, faults: dict[str, Any]) -> None:
-        """Set faults, by their words, on one link of a server or on all with "", in some directions or both."""
+        """Set faults, given under their keys, on a link of a server.
+
+        With `link` "" all links are affected, and with `ways` None both directions.
+        """
         for relay in self._relays_of(server, link):
             relay.set_faults(directions(ways), **fault_fields(faults))
 
     def reset_links(self, server: str, link: str = "") -> None:
-        """Reset every connection of one link of a server, or of all with ""."""
+        """Reset all connections of a link of a server; with `link` "", those of all links."""
         for relay in self._relays_of(server, link):
             relay.reset_connections()
 
@@ -200,54 +203,54 @@
         return [relay for name, relay in self.relays[server].items() if link in ("", name)]
 
     async def move(self, server: str) -> list[Address]:
-        """Give a server's services other addresses.
+        """Move a server's services to other addresses.
 
-        The old ones accept nothing new, and connections that stand there are closed a little later.
+        The old addresses accept no new connections, and existing connections there are closed shortly afterwards.
 
         Returns:
-            Where the server listens, and where it finds worker pool, records service and directory from now on.
+            The server's listening address, and the new addresses of worker pool, records service and directory.
         """
         self._move_counts[server] = self._move_counts.get(server, 0) + 1
         addresses = [self.spec.servers[server].listen]
         for link in MOVED_LINKS:
             old_relay = self.relays[server][link]
             host, port = getattr(self.spec.servers[server], link)
-            address = (host, port + PORTS_PER_MOVE * self._move_counts[server])
+            address = (host, port + MOVE_PORT_OFFSET * self._move_counts[server])
             addresses.append(address)
             await self._start_relay(server, link, address, old_relay.target)
             old_relay.stop_accepting()
             self._tasks.append(asyncio.get_running_loop().create_task(_close_later(old_relay)))
         return addresses
 
-    # What all servers share
+    # Shared services
 
     def take_directory_down(self) -> None:
-        """Stop the directory from hearing reports."""
+        """Make the directory ignore reports."""
         if self.directory is not None:
             self.directory.take_down()
 
     def bring_directory_up(self, empty: bool = False) -> None:
-        """Let the directory hear again, with its entries or with none."""
+        """Make the directory accept reports again, with its previous entries or with an empty list."""
         if self.directory is not None:
             self.directory.bring_up(empty)
 
     def lose_reports(self, fraction: float) -> None:
-        """Lose this fraction of all reports to the directory."""
+        """Drop this fraction of all reports to the directory."""
         if self.directory is not None:
             self.directory.lost_fraction = fraction
 
     def take_records_down(self, for_ms: float) -> None:
-        """Take the records service down for a while."""
+        """Take the records service down for this time."""
         if self.records is not None:
             self.records.fail(for_ms)
 
     def slow_records(self, factor: float) -> None:
-        """Make the records service slower than usual by this factor."""
+        """Make the records service slower by this factor; 1 restores the usual speed."""
         if self.records is not None:
             self.records.service.slowdown = factor
 
     def set_request_rate(self, rate_per_s: float) -> None:
-        """Set the rate of all clients together; they start with the first call."""
+        """Set the total request rate of all clients; the first call starts them."""
         for balancer in self.balancers:
             balancer.traffic.rate_per_s = rate_per_s / len(self.balancers)
             if not balancer.is_started:
@@ -259,7 +262,7 @@
             balancer.restart()
 
     def figures(self) -> dict[str, Any]:
-        """Return what only the services themselves can tell."""
+        """Return the figures that only the services know."""
         pool_excesses = [pool.worst_excess for pool in self.pools.values()]
         figures: dict[str, Any] = {
             "lag_ms": max((balancer.lag_ms for balancer in self.balancers), default=0.0),
@@ -276,21 +279,21 @@
             }
         return figures
 
-    # Commands and end
+    # Commands and shutdown
 
     async def run_command(self, command: str, **values: Any) -> Any:
         """Run one of COMMANDS and return its result.
 
         Raises:
-            UnknownServiceCommandError: There is no such command.
+            UnknownServiceCommandError: The command is not in COMMANDS.
         """
         if command not in COMMANDS:
-            raise UnknownServiceCommandError(f"no command: {command}")
+            raise UnknownServiceCommandError(f"unknown command: {command}")
         result = COMMANDS[command](self, **values)
         return await result if asyncio.iscoroutine(result) else result
 
     async def close(self) -> None:
-        """End all services and relays."""
+        """Stop all services and relays."""
         for task in self._tasks:
             task.cancel()
         for balancer in self.balancers:
@@ -306,7 +309,7 @@
 
 
 async def _close_later(relay: Relay) -> None:
-    await asyncio.sleep(OLD_CONNECTIONS_S)
+    await asyncio.sleep(OLD_RELAY_CLOSE_DELAY_S)
     await relay.close()
 
 
@@ -332,4 +335,4 @@
     "restart_balancers": lambda services, part=1.0: services.restart_balancers(part),
     "figures": SharedServices.figures,
 }
-"""Methods by the words of commands; where a value's word is not the argument's name, it is mapped here."""
+"""Methods by command name; lambdas map values whose keys differ from the names of the arguments."""
--- a/nickelslip/emulator/time_weighted_mean.py
+++ b/nickelslip/emulator/time_weighted_mean.py
@@ -1,4 +1,4 @@
-"""The mean of a level over the latest span of time, and how far a figure is over its budget."""
+"""The mean of a level over a sliding time window, and the excess of a figure over its budget."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 
 
 def excess(figure: float, budget: float) -> float:
-    """Return by how much a figure is over its budget, in units of what is put down to chance.
+    """Return by how much a figure exceeds its budget, in units of the random variation that is expected.
 
-    The unit is twice the root of the budget and two more: up to 1 an excess is chance.
+    The unit is twice the square root of the budget plus 2. An excess of up to 1 is attributed to chance.
     """
     return (figure - budget) / (CHANCE_ROOT_FACTOR * sqrt(budget) + CHANCE_CONSTANT)
 
 
 class LevelStep(NamedTuple):
-    """A level that holds from a moment on."""
+    """A level and the time from which it applies."""
 
     from_ms: float
     level: float
 
 
 class TimeWeightedMean:
-    """A level over time, and its mean over the latest span.
+    """A level over time, and its mean over a sliding window.
 
     Args:
-        window_ms: The span.
-        now_ms: The moment of the beginning; what lies before counts as 0.
+        window_ms: The length of the window.
+        now_ms: The start time; before it the level counts as 0.
     """
 
     def __init__(self, window_ms: float, now_ms: float) -> None:
         self._window_ms = window_ms
         self._steps: deque[LevelStep] = deque([LevelStep(now_ms, 0.0)])
-        self._closed_area = 0.0  # of all steps in the window but the last
+        self._closed_area = 0.0  # integral over all kept steps but the last
 
     def set(self, now_ms: float, level: float) -> None:
         """Set the level from now on."""
@@ -47,7 +47,7 @@
         self._steps.append(LevelStep(now_ms, level))
 
     def mean(self, now_ms: float) -> float:
-        """Return the mean over the latest span."""
+        """Return the mean over the window that ends now."""
         begin_ms = now_ms - self._window_ms
         while len(self._steps) > 1 and self._steps[1].from_ms <= begin_ms:
             step = self._steps.popleft()
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -1,4 +1,4 @@
-"""A fake worker pool: a listener, its connections and the runs on one emulated machine."""
+"""A fake worker pool with a listener, its connections, and runs on one emulated machine."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 )
 
 Address = tuple[str, int]
-MAX_KEPT_NOTIFICATIONS = 4000  # by the protocol's page
+MAX_KEPT_NOTIFICATIONS = 4000  # set by the protocol
 WORK_BEFORE_CALLS_FRACTION = 0.5
 CALL_BODY = b"look up"
 MEMORY_USED_GAUGE = 0.2
@@ -45,18 +45,18 @@
 
 
 def expected_response(body: bytes) -> bytes:
-    """Return what a run makes of a request's body; whoever checks a response knows it too."""
+    """Return the response body that a run produces from a request body; response checks use it too."""
     return body[::-1]
 
 
 @dataclass(frozen=True)
 class WorkProfile:
-    """What runs of each traffic class are like.
+    """The work and the calls of runs, by traffic class.
 
     Attributes:
         work_ms: Work by traffic class, in milliseconds at a speed of 1.
         calls: Mean number of dependency calls by traffic class.
-        spread: Each run's work is drawn within this fraction of the mean.
+        spread: The work of each run is drawn uniformly within plus or minus this fraction of the mean.
     """
 
     work_ms: dict[str, float]
@@ -66,11 +66,11 @@
 
 @dataclass
 class Run:
-    """A run and how far it is.
+    """A run and its progress.
 
     Attributes:
-        parts_ms: Work still to be done, in parts with a dependency call after each but the last.
-        blocked_sequence: Sequence number of the notification of the call it waits for; 0 while it waits for none.
+        parts_ms: The remaining work, in parts with a dependency call after each but the last.
+        blocked_sequence: Sequence number of the notification of the call that the run waits for; 0 if it waits for none.
     """
 
     request_id: str
@@ -82,18 +82,18 @@
 
 
 class WorkerPool:
-    """One incarnation of one server's worker pool.
+    """One incarnation of a server's worker pool.
 
-    Connections are accepted at once, but nothing is written on them before the pool is up.
+    Connections are accepted immediately, but nothing is written to them before the pool is up.
 
     Args:
-        server: The server it belongs to.
-        machine: What its machine is like.
-        profile: What runs are like.
-        seed: For the work and the calls of each run.
-        history: Where runs, connections and falls are recorded.
-        up_ms: How long it takes to come up.
-        on_machine_failure: Called with the server's name when the machine falls over.
+        server: The server that the pool belongs to.
+        machine: The parameters of its machine.
+        profile: The work and the calls of runs.
+        seed: Seed of the work and the calls of each run.
+        history: Records runs, connections and machine failures.
+        up_ms: Time until the pool is up.
+        on_machine_failure: Called with the server's name when the machine fails from overload.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         self._timer = LoopTimer(history, self._advance)
 
     async def listen(self, address: Address) -> asyncio.Server:
-        """Listen at an address; a pool that has moved listens at several."""
+        """Listen at an address; may be called for several addresses."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: WorkerPoolConnection(self), *address)
         if self._history.clock() < self._up_at_ms:
@@ -131,21 +131,21 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether it takes commands."""
+        """Whether the pool accepts commands."""
         return not self.ended and self._history.clock() >= self._up_at_ms
 
     @property
     def worst_excess(self) -> float:
-        """The worst excess of concurrency on its machine while that was warming up."""
+        """The largest excess of concurrency on the machine during its warm-up."""
         return self._machine.worst_excess
 
     @property
     def is_linked(self) -> bool:
-        """Whether a server has a bound connection here."""
+        """Whether the pool has a bound connection of a server."""
         return any(connection.bound for connection in self._connections)
 
     def end(self, reason: str) -> None:
-        """End the incarnation: connections are reset and runs come to nothing."""
+        """End the incarnation: connections are reset and runs are discarded."""
         if self.ended:
             return
         self.ended = True
@@ -154,7 +154,7 @@
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset the connections; runs go on, and notifications are kept for the next."""
+        """Reset the connections; runs continue, and notifications are kept for the next connection."""
         for connection in list(self._connections):
             connection.abort()
 
@@ -168,7 +168,7 @@
             connection.abort()
 
     def connection_closed(self, connection: WorkerPoolConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         if connection in self._connections:
             self._connections.remove(connection)
 
@@ -188,7 +188,7 @@
     # Commands
 
     def handle_line(self, connection: WorkerPoolConnection, line: Line) -> None:
-        """Carry out one decoded line; an unknown command resets the connection."""
+        """Execute one decoded line; an unknown command resets the connection."""
         if self.ended:
             return
         try:
@@ -276,7 +276,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Notify of every part that is done by now, and wait for the next."""
+        """Process every part that is finished by now, and set the timer for the next."""
         now_ms = self._history.clock()
         for key in self._machine.take_finished(now_ms):
             run = self._runs[str(key)]
@@ -312,11 +312,11 @@
     """One connection of a server to its worker pool.
 
     Args:
-        pool: The pool.
+        pool: The worker pool.
 
     Attributes:
-        after_sequence: The server wants notifications after this one; None until it binds.
-        bound: Whether the pool has accepted it.
+        after_sequence: The server asked for notifications after this sequence number; None until it binds.
+        bound: Whether the pool has bound the connection.
     """
 
     def __init__(self, pool: WorkerPool) -> None:
@@ -332,18 +332,18 @@
         self._pool.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Carry out every complete line."""
+        """Execute every complete line."""
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             self._pool.handle_line(self, json.loads(line))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self._transport = None
         self._pool.connection_closed(self)
 
     def send(self, message: Reply) -> None:
-        """Write a message, unless the connection is gone."""
+        """Write a message, unless the connection is closed."""
         if self._transport is not None:
             self._transport.write(encode_line(message))
 
--- a/nickelslip/emulator/worker_pool_messages.py
+++ b/nickelslip/emulator/worker_pool_messages.py
@@ -1,7 +1,7 @@
 """Messages between a server and its fake worker pool, and their JSON lines.
 
-The fake has a decoder and encoder of its own, written from the protocol's page, so that a fault in the server's codec
-cannot cancel itself out.
+The fake has its own decoder and encoder, written from the specification of the protocol. A fault in the server's codec
+therefore cannot go unnoticed because both sides share it.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class RunOutcome(Enum):
-    """How a run ended; the value is the word on the wire."""
+    """How a run ended; the value is its name on the wire."""
 
     COMPLETED = "fine"
     SUSPENDED = "broken_off"
 
 
 class UnknownCommandError(Exception):
-    """A command whose name the protocol does not have."""
+    """The protocol has no command of this name."""
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class SkipCall:
-    """The server lets a run go on without the call that it announced with this sequence number."""
+    """The server tells a run to continue without the call that it announced with this sequence number."""
 
     request_id: str
     sequence: int
@@ -96,7 +96,7 @@
     """
     decoder = COMMAND_DECODERS.get(line["op"])
     if decoder is None:
-        raise UnknownCommandError(f"no command of a worker pool: {line['op']!r}")
+        raise UnknownCommandError(f"unknown worker pool command: {line['op']!r}")
     return decoder(line)
 
 
@@ -107,7 +107,7 @@
     up_ms: float
 
     def to_line(self) -> Line:
-        """Return the message as it goes on the wire."""
+        """Return the message in its wire format."""
         return {"op": "bound", "end": "running", "ms": self.up_ms}
 
 
@@ -119,19 +119,19 @@
     gauges: tuple[float, ...]
 
     def to_line(self) -> Line:
-        """Return the message as it goes on the wire."""
+        """Return the message in its wire format."""
         return {"op": "polled", "tag": self.tag, "values": list(self.gauges)}
 
 
 @dataclass(frozen=True)
 class UnknownRun:
-    """The pool has never had the run that a command was for; `command` is the command's name."""
+    """The pool has never received the run that a command refers to; `command` is the command's name."""
 
     command: str
     request_id: str
 
     def to_line(self) -> Line:
-        """Return the message as it goes on the wire."""
+        """Return the message in its wire format."""
         return {"op": "unknown", "end": self.command, "id": self.request_id}
 
 
@@ -144,7 +144,7 @@
     call_body: bytes
 
     def to_line(self) -> Line:
-        """Return the message as it goes on the wire."""
+        """Return the message in its wire format."""
         body = b64encode(self.call_body).decode()
         return {"op": "blocked", "id": self.request_id, "body": body, "seq": self.sequence}
 
@@ -160,7 +160,7 @@
     response_body: bytes
 
     def to_line(self) -> Line:
-        """Return the message as it goes on the wire."""
+        """Return the message in its wire format."""
         return {
             "op": "finished",
             "id": self.request_id,
