--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -70,7 +70,7 @@
 
     Attributes:
         parts_ms: The remaining work, in parts with a dependency call after each but the last.
-        blocked_sequence: Sequence number of the notification of the call that the run waits for; 0 if it waits for none.
+        blocked_sequence: Sequence number of the notification of the call that the run waits for; 0 if none.
     """
 
     request_id: str
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The rig itself: models in simulated time, links, checkers that find what is planted, schedules, and nothing left."""
+"""Tests of the emulator: its models in simulated time, links, checkers, schedules and the cleanup of processes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 # Models
 
 
-def test_a_mean_over_a_span_forgets_what_lies_before_it():
+def test_mean_ignores_levels_before_its_window():
     level = TimeWeightedMean(100.0, 0.0)
     level.set(0.0, 4.0)
     assert level.mean(50.0) == pytest.approx(2.0) and level.mean(100.0) == pytest.approx(4.0)
@@ -46,17 +46,17 @@
     assert level.mean(200.0) == pytest.approx(2.0) and level.mean(260.0) == pytest.approx(0.0)
 
 
-def test_jobs_share_a_speed_and_end_in_the_order_of_what_is_left():
+def test_jobs_share_the_speed_and_finish_in_order_of_remaining_work():
     jobs = SharedProcessor(0.0, lambda now, number: 1 / number)
     jobs.add(0.0, "a", 10.0)
     jobs.add(5.0, "b", 3.0)
-    assert jobs.next_change_at_ms() == pytest.approx(11.0)  # 3 of work at half the speed, before the 5 that a has left
+    assert jobs.next_change_at_ms() == pytest.approx(11.0)  # b needs 3 ms of work at half speed; a has 5 ms left
     assert jobs.take_finished(11.0) == ["b"] and jobs.take_finished(12.0) == [] and jobs.take_finished(13.0) == ["a"]
     jobs.add(20.0, "c", 5.0)
     assert jobs.remove(22.0, "c") and not jobs.remove(22.0, "c") and jobs.next_change_at_ms() == inf
 
 
-def test_a_cold_machine_is_slower_calls_more_and_falls_sooner():
+def test_cold_machine_makes_more_calls_and_fails_at_lower_concurrency():
     kind = MachineProfile(
         cores=2,
         initial_speed_fraction=0.25,
@@ -74,14 +74,14 @@
     assert cold.has_failed and not warm.has_failed
 
 
-def test_a_service_over_what_it_survives_goes_down_loses_its_calls_and_says_for_how_long_it_was():
+def test_overloaded_service_goes_down_drops_its_calls_and_counts_overload_time():
     service = Service(
         ServiceProfile(slots=2, call_ms=10.0, survivable_in_flight=4.0, window_ms=100.0, down_ms=500.0), 0.0
     )
     for key in range(8):
         service.begin_call(0.0, key, 1e6)
-    for at in range(10, 200, 10):
-        service.take_finished(float(at))
+    for now_ms in range(10, 200, 10):
+        service.take_finished(float(now_ms))
     assert (
         service.overload_failure_count == 1
         and service.is_down(199.0)
@@ -91,30 +91,30 @@
     assert not service.is_down(900.0)
 
 
-def test_calls_given_up_stay_in_a_services_hands_for_a_while():
+def test_cancelled_calls_stay_in_flight_for_the_linger_time():
     service = Service(ServiceProfile(abandoned_call_linger_ms=50.0), 0.0)
     service.begin_call(0.0, "a", 100.0)
     service.cancel_call(1.0, "a")
     assert service.in_flight(50.0) == 1 and service.in_flight(52.0) == 0
 
 
-def test_a_list_lapses_hears_nothing_while_it_is_down_and_may_come_back_empty():
-    listing = EndpointList(3000.0)
-    assert listing.report(0.0, "n1") and listing.listed(3000.0) == ["n1"] and listing.listed(3001.0) == []
-    listing.report(4000.0, "n1")
-    listing.take_down(5000.0)
-    assert listing.listed(60_000.0) == ["n1"] and not listing.report(60_000.0, "n2")
-    listing.bring_up(61_000.0)
-    assert listing.listed(64_000.0) == ["n1"]
-    listing.take_down(64_000.0)
-    listing.bring_up(65_000.0, empty=True)
-    assert listing.listed(65_000.0) == []
+def test_endpoint_list_expires_entries_ignores_reports_while_down_and_may_come_up_empty():
+    endpoints = EndpointList(3000.0)
+    assert endpoints.report(0.0, "n1") and endpoints.listed(3000.0) == ["n1"] and endpoints.listed(3001.0) == []
+    endpoints.report(4000.0, "n1")
+    endpoints.take_down(5000.0)
+    assert endpoints.listed(60_000.0) == ["n1"] and not endpoints.report(60_000.0, "n2")
+    endpoints.bring_up(61_000.0)
+    assert endpoints.listed(64_000.0) == ["n1"]
+    endpoints.take_down(64_000.0)
+    endpoints.bring_up(65_000.0, empty=True)
+    assert endpoints.listed(65_000.0) == []
 
 
 # Links
 
 
-def test_a_channel_loses_and_doubles_as_often_as_it_is_told():
+def test_channel_loses_and_duplicates_the_configured_fractions():
     channel = Channel(random.Random(1), Faults(lost_fraction=0.25, duplicated_fraction=0.1))
     times = [len(channel.datagram_deliveries(0.0)) for _ in range(4000)]
     assert 0.22 < times.count(0) / 4000 < 0.28 and 0.06 < times.count(2) / 4000 < 0.09
@@ -122,7 +122,7 @@
     assert channel.datagram_deliveries(1.0) == []
 
 
-def test_a_stream_resets_or_goes_silent_at_its_byte_and_keeps_the_order_of_what_is_delayed():
+def test_stream_resets_or_becomes_half_open_at_its_limit_and_keeps_order():
     stream = StreamDirection(Channel(random.Random(1), Faults(delay_ms=10.0, jitter_ms=50.0, reset_after_bytes=25.0)))
     first, second = stream.deliver(0.0, 10), stream.deliver(1.0, 10)
     assert second[1] >= first[1] >= 10.0 and stream.deliver(2.0, 10)[::2] == (5, Delivery.RESET)
@@ -133,38 +133,38 @@
 # Checkers
 
 
-def told(*events):
-    return History(Event(at, kind, "n1", ident, detail) for at, kind, ident, detail in events)
+def history_of(*events):
+    return History(Event(at_ms, kind, "n1", request_id, detail) for at_ms, kind, request_id, detail in events)
 
 
-GOOD = (
+VALID_EVENTS = (
     (0.0, Kind.STARTED, "", None),
     (1000.0, Kind.REQUEST_WRITTEN, "a1", ["pay", "", 2000.0]),
     (1100.0, Kind.RUN_STARTED, "a1", "pay"),
     (1500.0, Kind.ANSWERED, "a1", ["done", True]),
     (9000.0, Kind.FAULT, "", "the end"),
 )
-LEAVES = (900.0, Kind.SHUTDOWN_REQUESTED, "", None)
+SHUTDOWN = (900.0, Kind.SHUTDOWN_REQUESTED, "", None)
 
 
-def without(kind):
-    return tuple(each for each in GOOD if each[1] is not kind)
+def valid_events_without(kind):
+    return tuple(event for event in VALID_EVENTS if event[1] is not kind)
 
 
 @pytest.mark.parametrize(
     ("rule", "events"),
     (
-        ("duplicate", (*GOOD, (1600.0, Kind.ANSWERED, "a1", ["done", True]))),
-        ("duplicate", (*GOOD, (1200.0, Kind.RUN_STARTED, "a1", "pay"))),
-        ("duplicate", (*without(Kind.ANSWERED), (1600.0, Kind.ANSWERED, "a1", ["later", False]))),
+        ("duplicate", (*VALID_EVENTS, (1600.0, Kind.ANSWERED, "a1", ["done", True]))),
+        ("duplicate", (*VALID_EVENTS, (1200.0, Kind.RUN_STARTED, "a1", "pay"))),
+        ("duplicate", (*valid_events_without(Kind.ANSWERED), (1600.0, Kind.ANSWERED, "a1", ["later", False]))),
         (
             "duplicate",
             (
-                *GOOD,
+                *VALID_EVENTS,
                 *(
-                    (at, kind, ident, detail)
-                    for ident in ("b1", "b2")
-                    for at, kind, detail in (
+                    (at_ms, kind, request_id, detail)
+                    for request_id in ("b1", "b2")
+                    for at_ms, kind, detail in (
                         (1000.0, Kind.REQUEST_WRITTEN, ["book", "m", 2000.0]),
                         (1100.0, Kind.RUN_STARTED, "book"),
                         (1200.0, Kind.ANSWERED, ["done", True]),
@@ -172,18 +172,20 @@
                 ),
             ),
         ),
-        ("lost", without(Kind.ANSWERED)),
-        ("lost", (*without(Kind.ANSWERED), (2300.0, Kind.ANSWERED, "a1", ["done", True]))),
-        ("lost", (*without(Kind.ANSWERED), (1500.0, Kind.ANSWERED, "a1", ["done", False]))),
-        ("lost", without(Kind.RUN_STARTED)),
-        ("lost", (*without(Kind.ANSWERED), LEAVES, (1900.0, Kind.ENDED, "", 0))),
-        ("drain", (*GOOD, (100.0, Kind.SHUTDOWN_REQUESTED, "", None))),
+        ("lost", valid_events_without(Kind.ANSWERED)),
+        ("lost", (*valid_events_without(Kind.ANSWERED), (2300.0, Kind.ANSWERED, "a1", ["done", True]))),
+        ("lost", (*valid_events_without(Kind.ANSWERED), (1500.0, Kind.ANSWERED, "a1", ["done", False]))),
+        ("lost", valid_events_without(Kind.RUN_STARTED)),
+        ("lost", (*valid_events_without(Kind.ANSWERED), SHUTDOWN, (1900.0, Kind.ENDED, "", 0))),
+        ("drain", (*VALID_EVENTS, (100.0, Kind.SHUTDOWN_REQUESTED, "", None))),
     ),
 )
-def test_the_checker_of_the_rules_finds_a_planted_breach_and_nothing_else(rule, events):
+def test_rule_checker_finds_only_the_planted_violation(rule, events):
     check = {"idempotent_classes": ["read"], "grace_ms": 300.0, "slack_ms": 100.0, "window_ms": 4000.0}
-    assert checkers.request_violations(told(*GOOD), **check) == []
-    found = checkers.request_violations(History(sorted(told(*events).events, key=lambda each: each.at_ms)), **check)
+    assert checkers.request_violations(history_of(*VALID_EVENTS), **check) == []
+    found = checkers.request_violations(
+        History(sorted(history_of(*events).events, key=lambda event: event.at_ms)), **check
+    )
     assert found and {line.split(":")[0] for line in found} == {rule}, found
 
 
@@ -197,40 +199,40 @@
         (1700.0, Kind.PAUSED, "", None),
     ),
 )
-def test_what_nobody_is_owed_is_not_found_lost(excuse):
-    events = sorted((*without(Kind.ANSWERED), excuse), key=lambda each: each[0])
-    assert checkers.request_violations(told(*events), ["read"], 300.0, 100.0) == []
+def test_attempt_that_needs_no_answer_is_not_reported_as_lost(excuse):
+    events = sorted((*valid_events_without(Kind.ANSWERED), excuse), key=lambda event: event[0])
+    assert checkers.request_violations(history_of(*events), ["read"], 300.0, 100.0) == []
 
 
-def test_checkers_of_a_whole_fleet_find_what_is_planted():
-    at = [Event(float(100 * number), Kind.CALL_BEGAN, f"n{number}", "", 0) for number in range(10)]
-    assert fleet_properties.capacity_violations(at, lambda event: 1.0, 10.0) == []
-    assert len(fleet_properties.capacity_violations(at, lambda event: 1.0, 7.0)) == 3
+def test_fleet_checkers_find_planted_violations():
+    calls = [Event(float(100 * number), Kind.CALL_BEGAN, f"n{number}", "", 0) for number in range(10)]
+    assert fleet_properties.capacity_violations(calls, lambda event: 1.0, 10.0) == []
+    assert len(fleet_properties.capacity_violations(calls, lambda event: 1.0, 7.0)) == 3
     assert fleet_properties.overlap_violations(
         [(0, 10), (5, 15), (20, 30)], 2
     ) == [] and fleet_properties.overlap_violations([(0, 10), (5, 15)], 1)
     assert fleet_properties.overlap_violations([(0, 10), (10, 20)], 1) == [], (
-        "one that ends as the next begins does not overlap it"
+        "a span that ends when the next begins does not overlap it"
     )
-    assert fleet_properties.peak_over_mean(at, 100.0, 0.0, 1000.0) == pytest.approx(1.0)
-    assert fleet_properties.peak_over_mean([*at, *at[:1]], 100.0, 0.0, 1000.0) == pytest.approx(20 / 11)
+    assert fleet_properties.peak_over_mean(calls, 100.0, 0.0, 1000.0) == pytest.approx(1.0)
+    assert fleet_properties.peak_over_mean([*calls, *calls[:1]], 100.0, 0.0, 1000.0) == pytest.approx(20 / 11)
     listed = History([Event(0.0, Kind.LISTED, "", "", ["n1", "n2"]), Event(100.0, Kind.LISTED, "", "", ["n1"])])
     assert fleet_properties.unlisted_count(listed, ["n1", "n2"], 0.0, 1000.0) == 1
-    ends = History([Event(0.0, Kind.STARTED, "n1", "", None), Event(5.0, Kind.ENDED, "n1", "", 0)])
-    assert checkers.bad_exits(ends), "it was not told to leave"
+    exits = History([Event(0.0, Kind.STARTED, "n1", "", None), Event(5.0, Kind.ENDED, "n1", "", 0)])
+    assert checkers.bad_exits(exits), "the server exited without having been told to shut down"
 
 
-def test_a_history_comes_back_from_its_file_and_joins_in_the_order_of_time(tmp_path):
-    first, second = told(*GOOD[:2]), told(*GOOD[2:])
+def test_history_is_restored_from_its_file_and_joined_in_chronological_order(tmp_path):
+    first, second = history_of(*VALID_EVENTS[:2]), history_of(*VALID_EVENTS[2:])
     first.save(tmp_path / "one")
-    assert History.joined([second, History.load(tmp_path / "one")]).events == told(*GOOD).events
+    assert History.joined([second, History.load(tmp_path / "one")]).events == history_of(*VALID_EVENTS).events
 
 
 # Schedules
 
 
-def test_a_schedule_is_refused_with_every_fault_and_its_place():
-    with pytest.raises(ScheduleError) as refused:
+def test_invalid_schedule_is_rejected_with_the_location_of_every_error():
+    with pytest.raises(ScheduleError) as raised:
         parse_schedule(
             [
                 {"at_ms": -1, "do": "kill", "servers": ["n9"]},
@@ -240,12 +242,12 @@
             ],
             ["n1", "n2"],
         )
-    text = str(refused.value)
+    text = str(raised.value)
     for place in ("[0].at_ms", "[0].servers", "[1].for_ms", "[2].do", "[3].for_ms: is not a field of reload"):
         assert f"schedule{place}" in text
 
 
-def test_a_schedule_chooses_by_name_part_and_zone_and_is_the_same_for_a_seed():
+def test_schedule_selects_servers_by_fraction_and_zone_and_is_reproducible():
     names = [f"n{number}" for number in range(9)]
     value = [
         {"at_ms": 9, "do": "cut", "servers": {"zone": 1}, "for_ms": 5, "ways": ["OUT"]},
@@ -264,7 +266,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.parametrize("seed", (3, 8))
-async def test_drawn_faults_break_no_rule_and_what_was_done_stands_in_the_history(tmp_path, seed):
+async def test_random_faults_violate_no_rule_and_are_recorded(tmp_path, seed):
     async with Fleet(Plan(size=4, seed=seed), tmp_path) as fleet:
         await fleet.start()
         await fleet.wait_until_serving()
@@ -280,7 +282,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_relay_cuts_one_way_and_a_process_that_stands_still_serves_again(tmp_path):
+async def test_relay_cuts_one_direction_and_a_paused_server_resumes(tmp_path):
     async with Fleet(Plan(size=3), tmp_path) as fleet:
         await fleet.start()
         await fleet.wait_until_serving()
@@ -292,13 +294,13 @@
         await run_schedule(fleet, [Step(0.0, "stand_still", ("n2",), {"for_ms": 1500.0})])
         await asyncio.sleep(0.5)
         with pytest.raises(FleetTimeoutError):
-            await fleet.wait_until(lambda: False, 0.1, "what never comes")
+            await fleet.wait_until(lambda: False, 0.1, "a condition that is never true")
         await fleet.stop_requests()
         assert not fleet.violations(), "\n".join(fleet.violations()[:20])
 
 
 @pytest.mark.anyio
-async def test_surroundings_in_processes_of_their_own_tell_the_same_history(tmp_path):
+async def test_services_in_a_separate_process_record_the_same_kinds_of_events(tmp_path):
     async with Fleet(Plan(size=3, relayed=False, hosts=1), tmp_path) as fleet:
         await fleet.start()
         await fleet.set_request_rate()
@@ -318,7 +320,7 @@
     assert not fleet.remaining_pids()
 
 
-RIG = """
+FLEET_SCRIPT = """
 import asyncio, sys
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
@@ -332,12 +334,14 @@
 
 
 @pytest.mark.parametrize("number", (signal.SIGKILL, signal.SIGINT))
-def test_nothing_outlives_a_rig_that_is_killed_or_interrupted(number):
-    rig = subprocess.Popen([sys.executable, "-c", RIG], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
-    pids = [int(each) for each in rig.stdout.readline().split()]
+def test_no_process_outlives_a_killed_or_interrupted_fleet(number):
+    fleet_process = subprocess.Popen(
+        [sys.executable, "-c", FLEET_SCRIPT], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
+    )
+    pids = [int(pid) for pid in fleet_process.stdout.readline().split()]
     assert len(pids) == 5 and alive(pids) == pids
-    rig.send_signal(number)
-    rig.wait(20)
+    fleet_process.send_signal(number)
+    fleet_process.wait(20)
     for _ in range(100):
         if not alive(pids):
             break
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
-"""The days of the standing test in small: a few true processes of the program, with faults between them.
+"""Tests of small fleets of real server processes under faults.
 
-Each day goes on for some seconds under a steady load, does to the servers what its namesake does, and then looks at the
-four rules in what went over the sockets.
+Each test is a short form of a daily scenario of the long-running test. It runs for some seconds under steady load,
+injects the faults of that scenario, and then checks the four rules against the traffic on the sockets.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 
 
 @asynccontextmanager
-async def day(tmp_path, **plan):
-    """A fleet that serves, under load; in the end the rules are looked at."""
+async def serving_fleet(tmp_path, **plan):
+    """Yield a serving fleet under load; afterwards check the rules and that every server still runs."""
     async with Fleet(Plan(**plan), tmp_path) as fleet:
         await fleet.start()
         await fleet.wait_until_serving()
@@ -40,24 +40,26 @@
     assert not fleet.remaining_pids()
 
 
-async def test_calm_then_half_are_replaced_in_steps_while_a_reload_moves_the_addresses(tmp_path):
-    async with day(tmp_path, size=6, rate=90.0) as fleet:
-        begin = fleet.history.events[0].at_ms
-        stay = fleet.names[3:]
+async def test_half_the_servers_are_replaced_in_steps_while_services_of_the_others_move(tmp_path):
+    async with serving_fleet(tmp_path, size=6, rate=90.0) as fleet:
+        begin_at_ms = fleet.history.events[0].at_ms
+        remaining = fleet.names[3:]
         for step in (fleet.names[:2], fleet.names[2:3]):
             await fleet.replace(*step)
-            for name in stay:
+            for name in remaining:
                 await fleet.move_services(name)
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         links = fleet.history.of(Kind.POOL_LINKED)
-        assert all(sum(each.server == name for each in links) == 3 for name in stay), "each move made a link"
-        assert fleet.served_fraction(begin) > 0.8
+        assert all(sum(event.server == name for event in links) == 3 for name in remaining), (
+            "each move caused a new connection to the worker pool"
+        )
+        assert fleet.served_fraction(begin_at_ms) > 0.8
 
 
-async def test_most_balancers_restart_at_once_while_the_directory_is_down(tmp_path):
-    async with day(tmp_path, size=4) as fleet:
-        begin = fleet.history.clock()
+async def test_most_load_balancers_restart_at_once_while_the_directory_is_down(tmp_path):
+    async with serving_fleet(tmp_path, size=4) as fleet:
+        begin_at_ms = fleet.history.clock()
         await fleet.run_command("directory_down")
         await fleet.run_command("restart_balancers", part=0.75)
         await asyncio.sleep(1.0)
@@ -66,44 +68,44 @@
         await asyncio.sleep(1.5)
         await fleet.run_command("directory_up")
         await fleet.wait_until_serving()
-        assert fleet.served_fraction(begin, fleet.history.clock() - 1000) > 0.7
+        assert fleet.served_fraction(begin_at_ms, fleet.history.clock() - 1000) > 0.7
 
 
-async def test_a_third_is_killed_and_comes_back_cold(tmp_path):
-    async with day(tmp_path, size=6) as fleet:
-        gone = fleet.names[:2]
-        await fleet.kill(*gone)
+async def test_servers_that_were_killed_serve_again_after_their_start(tmp_path):
+    async with serving_fleet(tmp_path, size=6) as fleet:
+        killed = fleet.names[:2]
+        await fleet.kill(*killed)
         await asyncio.sleep(1.0)
-        await fleet.start(*gone)
+        await fleet.start(*killed)
         await fleet.wait_until_serving()
-        back = fleet.history.clock()
+        serving_at_ms = fleet.history.clock()
         await asyncio.sleep(2.0)
-        assert priority_weight_totals(fleet.history, back, fleet.history.clock(), set(gone))[1] > 0, (
-            "those that came back serve"
+        assert priority_weight_totals(fleet.history, serving_at_ms, fleet.history.clock(), set(killed))[1] > 0, (
+            "the restarted servers serve requests"
         )
 
 
-async def test_a_third_is_cut_off_from_everything_for_six_seconds(tmp_path):
-    async with day(tmp_path, size=6) as fleet:
-        off = fleet.names[:2]
-        await fleet.cut(*off)
+async def test_fleet_recovers_after_a_third_is_cut_off_for_six_seconds(tmp_path):
+    async with serving_fleet(tmp_path, size=6) as fleet:
+        cut_off = fleet.names[:2]
+        await fleet.cut(*cut_off)
         await asyncio.sleep(6.0)
-        assert not set(off) & set(fleet.local_services.directory.listed())
-        await fleet.heal(*off)
-        healed = fleet.history.clock()
+        assert not set(cut_off) & set(fleet.local_services.directory.listed())
+        await fleet.heal(*cut_off)
+        restored_at_ms = fleet.history.clock()
         await fleet.wait_until_serving()
         await asyncio.sleep(2.5)
-        assert fleet.served_fraction(healed + 500, fleet.history.clock() - 1000) > 0.8
+        assert fleet.served_fraction(restored_at_ms + 500, fleet.history.clock() - 1000) > 0.8
 
 
-async def test_most_are_replaced_within_seconds(tmp_path):
-    async with day(tmp_path, size=5) as fleet:
-        chance = random.Random(7)
+async def test_most_servers_are_replaced_within_seconds_and_exit_cleanly(tmp_path):
+    async with serving_fleet(tmp_path, size=5) as fleet:
+        generator = random.Random(7)
         async with asyncio.TaskGroup() as tasks:
             for name in fleet.names[:4]:
                 tasks.create_task(fleet.replace(name))
-                await asyncio.sleep(chance.uniform(0.1, 0.6))
+                await asyncio.sleep(generator.uniform(0.1, 0.6))
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         ended = fleet.history.of(Kind.ENDED)
-        assert len(ended) == 4 and all(each.detail == 0 for each in ended), "each left by itself"
+        assert len(ended) == 4 and all(event.detail == 0 for event in ended), "each server exited by itself"
