--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -94,7 +94,7 @@
 def _incarnation_excuses(
     observed: ObservedHistory, attempt: Attempt, incarnation: Incarnation | None, answer_by_ms: float
 ) -> bool:
-    """Return whether the server was killed, or was unreachable before it shut down."""
+    """Return whether the server was killed, or exited after it was cut off while the attempt was open."""
     if incarnation is None:
         return False
     if incarnation.killed_at_ms <= answer_by_ms:
--- a/nickelslip/emulator/clock_skew.py
+++ b/nickelslip/emulator/clock_skew.py
@@ -31,9 +31,9 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM})
     offset_ms, drift, *arguments = sys.argv[1:]
     skew(float(offset_ms), float(drift))
-    from nickelslip.server.cli import main as program
+    from nickelslip.server.cli import main as server_main
 
-    program(arguments)
+    server_main(arguments)
 
 
 if __name__ == "__main__":
--- a/nickelslip/emulator/directory_service.py
+++ b/nickelslip/emulator/directory_service.py
@@ -39,11 +39,11 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         """Record a report. Other datagrams are ignored, and a random fraction of the reports is lost."""
-        words = data.split(b" ")
-        if len(words) != REPORT_FIELD_COUNT or words[0] != REPORT_VERB or words[2] not in REPORT_STATES:
+        fields = data.split(b" ")
+        if len(fields) != REPORT_FIELD_COUNT or fields[0] != REPORT_VERB or fields[2] not in REPORT_STATES:
             return
         now_ms = self._history.clock()
-        name = words[1].decode()
+        name = fields[1].decode()
         if self._random.random() < self.lost_fraction:
             return
         self._history.add(Kind.REPORTED, name, "", self._endpoints.report(now_ms, name), now_ms)
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -17,7 +17,7 @@
 from nickelslip.emulator.fleet_plan import Plan
 from nickelslip.emulator.fleet_services import FleetServices
 from nickelslip.emulator.history import MS_PER_S, History
-from nickelslip.emulator.processes import Process, alive, program
+from nickelslip.emulator.processes import Process, program_command_line, running_pids
 from nickelslip.emulator.server_processes import CommandLine, ServerProcesses
 from nickelslip.emulator.services_spec import ServicesSpec
 from nickelslip.emulator.shared_services import SharedServices
@@ -33,7 +33,7 @@
 
 def serve_command_line(config: str) -> list[str]:
     """Return the command line of a server with this configuration."""
-    return program("serve", "--config", config)
+    return program_command_line("serve", "--config", config)
 
 
 class Fleet:
@@ -163,7 +163,7 @@
 
     def remaining_pids(self) -> list[int]:
         """Return the ids of server processes of this run that still exist."""
-        return alive(self.pids)
+        return running_pids(self.pids)
 
     # Commands
 
@@ -213,7 +213,7 @@
         """Cut one link of these servers, by default all links, in the given directions, by default both."""
         await self._faults.set_cut(names, link, ways, True)
 
-    async def heal(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
+    async def restore(self, *names: str, link: str = "", ways: list[str] | None = None) -> None:
         """Restore links that were cut."""
         await self._faults.set_cut(names, link, ways, False)
 
--- a/nickelslip/emulator/load_balancers.py
+++ b/nickelslip/emulator/load_balancers.py
@@ -141,12 +141,12 @@
         for _ in range(2 * len(candidates)):
             self._position += 1
             name = candidates[self._position % len(candidates)]
-            if not self._is_excluded(name, now_ms):
+            if not self._should_skip(name, now_ms):
                 return name
         return None
 
-    def _is_excluded(self, name: str, now_ms: float) -> bool:
-        """Return whether a server is excluded, by its Retry-After or at random by its advertised weight."""
+    def _should_skip(self, name: str, now_ms: float) -> bool:
+        """Return whether to skip a server because of its Retry-After or, at random, its advertised weight."""
         if not self._policy.heeds_signals:
             return False
         if now_ms < self._retry_at_ms.get(name, 0.0):
@@ -196,12 +196,12 @@
         request = ClientRequest(traffic_class, traffic, idempotency_key, body)
         tried: set[str] = set()
         for attempt_number in range(self._policy.max_attempts):
-            left_ms = traffic.timeout_ms - (self._history.clock() - sent_at_ms)
-            name = self._choose_server(tried) if left_ms > MIN_ATTEMPT_MS else None
+            remaining_ms = traffic.timeout_ms - (self._history.clock() - sent_at_ms)
+            name = self._choose_server(tried) if remaining_ms > MIN_ATTEMPT_MS else None
             if name is None:
                 return
             tried.add(name)
-            result, request_id = await self._attempt(name, request, left_ms, attempt_number > 0)
+            result, request_id = await self._attempt(name, request, remaining_ms, attempt_number > 0)
             if result.status == COMPLETED_STATUS:
                 self._record_success(name, request_id, request, sent_at_ms)
                 return
@@ -210,27 +210,27 @@
 
     def _record_success(self, name: str, request_id: str, request: ClientRequest, sent_at_ms: float) -> None:
         traffic = request.traffic
-        in_objective = self._history.clock() - sent_at_ms <= traffic.latency_objective_ms
+        is_within_objective = self._history.clock() - sent_at_ms <= traffic.latency_objective_ms
         detail = [
             request.traffic_class,
             traffic.priority_weight,
-            in_objective,
+            is_within_objective,
             sent_at_ms,
             traffic.degraded_value_fraction,
         ]
         self._history.add(Kind.CLIENT_COMPLETED, name, request_id, detail)
 
     async def _attempt(
-        self, name: str, request: ClientRequest, left_ms: float, is_retry: bool
+        self, name: str, request: ClientRequest, remaining_ms: float, is_retry: bool
     ) -> tuple[AttemptResult, str]:
         """Make an attempt at one server; return its result and its request id."""
         connection = await self._connection(name)
         if connection is None:
             return AttemptResult(AttemptEnd.NOT_CONNECTED), ""
         request_id = self._draw_id()
-        fields = self._encode_fields(request_id, request.idempotency_key, left_ms, is_retry)
+        fields = self._encode_fields(request_id, request.idempotency_key, remaining_ms, is_retry)
         outgoing = OutgoingRequest(
-            request_id, request.traffic_class, fields, request.idempotency_key, request.body, left_ms
+            request_id, request.traffic_class, fields, request.idempotency_key, request.body, remaining_ms
         )
         return await connection.send(outgoing), request_id
 
@@ -245,7 +245,7 @@
             self._connections[name] = connection
         return connection
 
-    def _encode_fields(self, request_id: str, idempotency_key: str, left_ms: float, is_retry: bool) -> str:
+    def _encode_fields(self, request_id: str, idempotency_key: str, remaining_ms: float, is_retry: bool) -> str:
         tenants = self.traffic.tenants
         tenant = self._random.choices(list(tenants), list(tenants.values()))[0]
         fields = [
@@ -253,7 +253,7 @@
             f"ts={time.time() * MS_PER_S:.0f}",
             f"via={self._number}",
             f"owner={tenant}",
-            f"timeout={left_ms:.0f}",
+            f"timeout={remaining_ms:.0f}",
             f"need={MEMORY_NEED}",
             f"level={self._random.random():.4f}",
         ]
--- a/nickelslip/emulator/machine_model.py
+++ b/nickelslip/emulator/machine_model.py
@@ -17,8 +17,8 @@
     Attributes:
         cores: Number of cores.
         speed: Milliseconds of work that a core does per millisecond.
-        crowded_above_per_core: With more runs per core than this, the total throughput decreases.
-        crowding_loss: The decrease for each additional run per core.
+        contention_threshold_per_core: With more runs per core than this, the total throughput decreases.
+        contention_loss: The decrease for each additional run per core.
         initial_speed_fraction: The fraction of the full speed at the start.
         warm_up_ms: Time until full speed.
         cold_calls_factor: Calls per run at speed 0, as a multiple of those at full speed.
@@ -29,8 +29,8 @@
 
     cores: int = 2
     speed: float = 1.0
-    crowded_above_per_core: float = 3.0
-    crowding_loss: float = 0.15
+    contention_threshold_per_core: float = 3.0
+    contention_loss: float = 0.15
     initial_speed_fraction: float = 1.0
     warm_up_ms: float = 0.0
     cold_calls_factor: float = 1.0
@@ -69,9 +69,9 @@
 
     def _speed(self, now_ms: float, run_count: int) -> float:
         profile = self._profile
-        crowding = max(0.0, run_count / profile.cores - profile.crowded_above_per_core)
+        contention = max(0.0, run_count / profile.cores - profile.contention_threshold_per_core)
         speed = profile.speed * self.warm_up_fraction(now_ms) * min(1.0, profile.cores / run_count)
-        return speed / (1 + profile.crowding_loss * crowding)
+        return speed / (1 + profile.contention_loss * contention)
 
     def start(self, now_ms: float, key: Hashable, work_ms: float) -> None:
         """Start a run on the cores."""
--- a/nickelslip/emulator/processes.py
+++ b/nickelslip/emulator/processes.py
@@ -35,7 +35,7 @@
     return prepare
 
 
-def program(*arguments: str) -> list[str]:
+def program_command_line(*arguments: str) -> list[str]:
     """Return a command line that runs the server's program with this interpreter."""
     return [sys.executable, "-B", str(ENTRY_POINT), *arguments]
 
@@ -80,7 +80,7 @@
         return self._popen.pid
 
     @property
-    def code(self) -> int | None:
+    def exit_code(self) -> int | None:
         """The exit code, or None while the process runs."""
         return self._popen.returncode
 
@@ -96,11 +96,11 @@
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal to the process, unless it has ended."""
-        if self.code is None:
+        if self.exit_code is None:
             with suppress(ProcessLookupError):
                 self._popen.send_signal(number)
 
-    async def ended(self, timeout_s: float) -> bool:
+    async def wait_until_ended(self, timeout_s: float) -> bool:
         """Wait for the end of the process; return whether it ended within the timeout."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
@@ -110,7 +110,7 @@
     async def kill(self) -> None:
         """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
-        await self.ended(KILL_TIMEOUT_S)
+        await self.wait_until_ended(KILL_TIMEOUT_S)
 
     def cpu_ms(self) -> float:
         """Return the CPU time used so far; 0 after the process has ended."""
@@ -121,7 +121,7 @@
         return int(fields[0]) / NS_PER_MS
 
 
-def alive(pids: Sequence[int]) -> list[int]:
+def running_pids(pids: Sequence[int]) -> list[int]:
     """Return the ids of those processes that are still running."""
     return [pid for pid in pids if _is_alive(pid)]
 
--- a/nickelslip/emulator/server_processes.py
+++ b/nickelslip/emulator/server_processes.py
@@ -83,14 +83,14 @@
             self._history.add(Kind.KILLED, name, "", reason)
             process.signal(signal.SIGKILL)
             await self._services.run("end_pool", name, why=reason)
-        await asyncio.gather(*(self.by_name[name].ended(KILL_TIMEOUT_S) for name in names))
+        await asyncio.gather(*(self.by_name[name].wait_until_ended(KILL_TIMEOUT_S) for name in names))
 
     async def shut_down(self, name: str) -> bool:
         """Tell a server to shut down, and kill it if it does not exit in time; return whether it exited by itself."""
         process = self.by_name[name]
         self._history.add(Kind.SHUTDOWN_REQUESTED, name)
         process.signal(signal.SIGTERM)
-        ended_by_itself = await process.ended(self._stop_ms / MS_PER_S + SHUTDOWN_SLACK_S)
+        ended_by_itself = await process.wait_until_ended(self._stop_ms / MS_PER_S + SHUTDOWN_SLACK_S)
         if not ended_by_itself:
             self._history.add(Kind.FAULT, name, "", "did not leave in time")
             await process.kill()
@@ -114,4 +114,4 @@
         for process in self.by_name.values():
             self._killed_pids.add(process.pid)
             process.signal(signal.SIGKILL)
-        await asyncio.gather(*(process.ended(KILL_TIMEOUT_S) for process in self.by_name.values()))
+        await asyncio.gather(*(process.wait_until_ended(KILL_TIMEOUT_S) for process in self.by_name.values()))
--- a/nickelslip/emulator/service_model.py
+++ b/nickelslip/emulator/service_model.py
@@ -17,7 +17,7 @@
     Attributes:
         slots: Number of calls that it can process at full speed at the same time.
         call_ms: The work of a call.
-        crowding_loss: Loss of total throughput for each multiple of `slots` in flight beyond the first.
+        contention_loss: Loss of total throughput for each multiple of `slots` in flight beyond the first.
         survivable_in_flight: The service goes down if the mean number of calls in flight exceeds this.
         window_ms: The time span of that mean.
         abandoned_call_linger_ms: How long a cancelled call stays in flight.
@@ -28,7 +28,7 @@
 
     slots: int = 16
     call_ms: float = 5.0
-    crowding_loss: float = 0.3
+    contention_loss: float = 0.3
     survivable_in_flight: float = 64.0
     window_ms: float = 2000.0
     abandoned_call_linger_ms: float = 100.0
@@ -71,11 +71,11 @@
 
     def _speed(self, now_ms: float, call_count: int) -> float:
         profile = self.profile
-        crowding = max(0.0, call_count / profile.slots - 1)
+        contention = max(0.0, call_count / profile.slots - 1)
         age_ms = now_ms - self._up_at_ms
         fraction = warm_up_fraction(age_ms, profile.initial_speed_fraction, profile.warm_up_ms)
         speed = fraction * min(1.0, profile.slots / call_count)
-        return speed / (1 + profile.crowding_loss * crowding) / self.slowdown
+        return speed / (1 + profile.contention_loss * contention) / self.slowdown
 
     def is_down(self, now_ms: float) -> bool:
         """Return whether the service is down."""
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -33,8 +33,8 @@
 MACHINE_KEYS: KeyMap = {
     "cores": "cores",
     "speed": "speed",
-    "crowd_at": "crowded_above_per_core",
-    "crowd_loss": "crowding_loss",
+    "crowd_at": "contention_threshold_per_core",
+    "crowd_loss": "contention_loss",
     "cold_from": "initial_speed_fraction",
     "cold_ms": "warm_up_ms",
     "cold_calls": "cold_calls_factor",
@@ -44,7 +44,7 @@
 SERVICE_KEYS: KeyMap = {
     "slots": "slots",
     "call_ms": "call_ms",
-    "crowd_loss": "crowding_loss",
+    "crowd_loss": "contention_loss",
     "survives": "survivable_in_flight",
     "span_ms": "window_ms",
     "linger_ms": "abandoned_call_linger_ms",
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -16,7 +16,7 @@
 from nickelslip.emulator.fleet_properties import counts_per_bin
 from nickelslip.emulator.history import Kind
 from nickelslip.emulator.machine_model import MachineProfile
-from nickelslip.emulator.processes import program
+from nickelslip.emulator.processes import program_command_line
 from nickelslip.emulator.schedule import servers_of_zone
 from nickelslip.emulator.service_model import ServiceProfile
 from nickelslip.startup.crash_loop_file import FILE_NAME
@@ -117,7 +117,7 @@
         await asyncio.sleep(0.5)
         await fleet.start(*restarted)
         await asyncio.sleep(2.0)
-        await fleet.heal(*cut_off)
+        await fleet.restore(*cut_off)
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         await stop_and_check_rules(fleet)
@@ -130,7 +130,9 @@
     overlay.write_text(json.dumps({"version": 1, "node": {"starts": str(starts)}}))
 
     def command_line(config):
-        return program("serve", "--config", config, *(("--config", str(overlay)) if config.endswith("n1.json") else ()))
+        return program_command_line(
+            "serve", "--config", config, *(("--config", str(overlay)) if config.endswith("n1.json") else ())
+        )
 
     async with Fleet(Plan(size=3, read_list=True), tmp_path, command_line) as fleet:
         await fleet.start("n2", "n3")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,7 @@
 from nickelslip.emulator.history import Event, History, Kind
 from nickelslip.emulator.links import Channel, Delivery, Faults, StreamDirection
 from nickelslip.emulator.machine_model import Machine, MachineProfile
-from nickelslip.emulator.processes import alive
+from nickelslip.emulator.processes import running_pids
 from nickelslip.emulator.scenario_runner import run_schedule
 from nickelslip.emulator.schedule import ScheduleError, Step, parse_schedule
 from nickelslip.emulator.service_model import Service, ServiceProfile
@@ -57,7 +57,7 @@
 
 
 def test_cold_machine_makes_more_calls_and_fails_at_lower_concurrency():
-    kind = MachineProfile(
+    profile = MachineProfile(
         cores=2,
         initial_speed_fraction=0.25,
         warm_up_ms=1000.0,
@@ -65,7 +65,7 @@
         overload_per_core=5.0,
         overload_window_ms=100.0,
     )
-    cold, warm = Machine(kind, 0.0), Machine(kind, -1000.0)
+    cold, warm = Machine(profile, 0.0), Machine(profile, -1000.0)
     assert cold.calls_factor(0.0) == pytest.approx(2.5) and warm.calls_factor(0.0) == 1.0
     for machine in (cold, warm):
         for key in range(7):
@@ -181,10 +181,10 @@
     ),
 )
 def test_rule_checker_finds_only_the_planted_violation(rule, events):
-    check = {"idempotent_classes": ["read"], "grace_ms": 300.0, "slack_ms": 100.0, "window_ms": 4000.0}
-    assert checkers.request_violations(history_of(*VALID_EVENTS), **check) == []
+    limits = {"idempotent_classes": ["read"], "grace_ms": 300.0, "slack_ms": 100.0, "window_ms": 4000.0}
+    assert checkers.request_violations(history_of(*VALID_EVENTS), **limits) == []
     found = checkers.request_violations(
-        History(sorted(history_of(*events).events, key=lambda event: event.at_ms)), **check
+        History(sorted(history_of(*events).events, key=lambda event: event.at_ms)), **limits
     )
     assert found and {line.split(":")[0] for line in found} == {rule}, found
 
@@ -276,8 +276,8 @@
         await fleet.wait_until_serving()
         await fleet.stop_requests()
         assert not fleet.violations(scripted_falls=True), "\n".join(fleet.violations(scripted_falls=True)[:20])
-        done = [event.detail.split()[0] for event in fleet.history.of(Kind.FAULT)]
-        assert all(step.do in done for step in steps)
+        recorded = [event.detail.split()[0] for event in fleet.history.of(Kind.FAULT)]
+        assert all(step.do in recorded for step in steps)
     assert not fleet.remaining_pids()
 
 
@@ -288,7 +288,7 @@
         await fleet.wait_until_serving()
         await fleet.cut("n1", link="directory", ways=["OUT"])
         await fleet.wait_until(lambda: "n1" not in fleet.local_services.directory.listed(), 5.0)
-        await fleet.heal("n1", link="directory", ways=["OUT"])
+        await fleet.restore("n1", link="directory", ways=["OUT"])
         await fleet.wait_until(lambda: "n1" in fleet.local_services.directory.listed(), 2.0)
         await fleet.set_request_rate()
         await run_schedule(fleet, [Step(0.0, "stand_still", ("n2",), {"for_ms": 1500.0})])
@@ -339,11 +339,11 @@
         [sys.executable, "-c", FLEET_SCRIPT], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL
     )
     pids = [int(pid) for pid in fleet_process.stdout.readline().split()]
-    assert len(pids) == 5 and alive(pids) == pids
+    assert len(pids) == 5 and running_pids(pids) == pids
     fleet_process.send_signal(number)
     fleet_process.wait(20)
     for _ in range(100):
-        if not alive(pids):
+        if not running_pids(pids):
             break
         signal.sigtimedwait((), 0.05)
-    assert not alive(pids)
+    assert not running_pids(pids)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
         yield fleet
         await fleet.stop_requests()
         assert not fleet.violations(), "\n".join(fleet.violations()[:20])
-        assert set(fleet.processes) == {name for name in fleet.names if fleet.processes[name].code is None}
+        assert set(fleet.processes) == {name for name in fleet.names if fleet.processes[name].exit_code is None}
     assert not fleet.remaining_pids()
 
 
@@ -91,7 +91,7 @@
         await fleet.cut(*cut_off)
         await asyncio.sleep(6.0)
         assert not set(cut_off) & set(fleet.local_services.directory.listed())
-        await fleet.heal(*cut_off)
+        await fleet.restore(*cut_off)
         restored_at_ms = fleet.history.clock()
         await fleet.wait_until_serving()
         await asyncio.sleep(2.5)
