--- a/nickelslip/json_fields.py
+++ b/nickelslip/json_fields.py
@@ -36,20 +36,20 @@
         else:
             self._report(f"{path or 'settings'}: an object is needed")
 
-    def child(self, name: str, needed: bool = True) -> JsonFields:
-        """Return the fields of the object in a field; an object that is not needed may be absent."""
+    def child(self, name: str, required: bool = True) -> JsonFields:
+        """Return the fields of the object in a field; an object that is not required may be absent."""
         value = self._fields.get(name)
-        if not needed:
+        if not required:
             value = value or {}
         return JsonFields(value, self._path_of(name), self._errors)
 
-    def children(self, name: str, needed: bool = True) -> list[JsonFields]:
-        """Return the fields of each object in a list; a list that is needed must not be empty."""
+    def children(self, name: str, required: bool = True) -> list[JsonFields]:
+        """Return the fields of each object in a list; a required list must not be empty."""
         value = self._fields.get(name)
-        if not isinstance(value, list) and (needed or value is not None):
+        if not isinstance(value, list) and (required or value is not None):
             self._report(f"{self._path_of(name)}: a list is needed")
             return []
-        if needed and not value:
+        if required and not value:
             self._report(f"{self._path_of(name)}: the list is empty")
         path = self._path_of(name)
         return [JsonFields(item, f"{path}[{index}]", self._errors) for index, item in enumerate(value or [])]
--- a/nickelslip/settings.py
+++ b/nickelslip/settings.py
@@ -71,8 +71,8 @@
     top = JsonFields(value, "settings", errors)
     machine = top.child("specifics")
     rules = top.child("invariants")
-    bounds = top.child("bounds", needed=False)
-    habits = top.child("client-habits", needed=False)
+    bounds = top.child("bounds", required=False)
+    habits = top.child("client-habits", required=False)
     dependency = machine.choice("below", DEPENDENCIES, NO_DEPENDENCY)
     traffic_classes = _decode_traffic_classes(top, machine, dependency, errors)
     has_share = dependency == SHARED_DEPENDENCY
@@ -145,5 +145,6 @@
 
 def _decode_tenants(top: JsonFields) -> tuple[Tenant, ...]:
     return tuple(
-        Tenant(fields.text("name"), fields.number("quota-rps", 0.0)) for fields in top.children("tenants", needed=False)
+        Tenant(fields.text("name"), fields.number("quota-rps", 0.0))
+        for fields in top.children("tenants", required=False)
     )
