--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -29,7 +29,7 @@
 from nickelslip.configuration.validation import InvalidDocumentError
 from tests.test_config import VALID_CONFIGURATION
 
-OURS = """// a small server
+SMALL_DOCUMENT = """// a small server
 {version: 1,
  node: {name: "n1", listen: "127.0.0.1:6565", stop_ms: 3200, memory_mb: 192, descriptors: 512},
  peers: {pool: "127.0.0.1:7300", records: "127.0.0.1:8900", directory: "127.0.0.1:7946"},
@@ -41,15 +41,15 @@
 """
 
 
-def ours(*overlays, environment=None):
+def layered_document(*overlays, environment=None):
     """Return the small server's document, merged with the overlays and the environment."""
-    layers = [parse_document(text.encode(), f"{index}.json5") for index, text in enumerate((OURS, *overlays))]
+    layers = [parse_document(text.encode(), f"{index}.json5") for index, text in enumerate((SMALL_DOCUMENT, *overlays))]
     return apply_layers(layers, environment or {})
 
 
 def faults_of(*overlays, environment=None):
     with pytest.raises(InvalidDocumentError) as error_info:
-        ours(*overlays, environment=environment)
+        layered_document(*overlays, environment=environment)
     return error_info.value.faults
 
 
@@ -57,7 +57,7 @@
 
 
 def test_conversion_between_config_and_document_is_lossless():
-    config = ours().config
+    config = layered_document().config
     assert (config.settings.core_count, config.pool, config.settings.traffic_classes[1].priority_weight) == (
         2,
         ("127.0.0.1", 7300),
@@ -70,7 +70,9 @@
 
 def test_all_faults_are_reported_together_with_path_line_and_column():
     invalid = (
-        OURS.replace("cores: 2", "cores: 2.5").replace('"single-use"', '"twice"').replace("credit: 1", "credits: 1")
+        SMALL_DOCUMENT.replace("cores: 2", "cores: 2.5")
+        .replace('"single-use"', '"twice"')
+        .replace("credit: 1", "credits: 1")
     )
     position_by_path = {
         ".".join(fault.path): (fault.line, fault.column)
@@ -107,7 +109,7 @@
 )
 def test_an_invalid_overlay_is_rejected_with_the_reason(overlay, expected_text):
     with pytest.raises(InvalidDocumentError, match=expected_text):
-        ours(overlay)
+        layered_document(overlay)
 
 
 @given(st.binary(max_size=200) | st.text(alphabet="{}[]:,\"'ab1.-+/* \n\\", max_size=80).map(str.encode))
@@ -120,7 +122,7 @@
 
 
 def test_a_later_layer_overrides_single_keys_and_each_value_has_its_origin():
-    layered = ours(
+    layered = layered_document(
         "{machine: {cores: 4}, grades: {payout: {credit: 5}, extra: {credit: 1, quoted_ms: 9, abandon_ms: 9,\n"
         "repeat: 'replayable'}}, customers: {acme: null}}",
         environment={"ROUTER_NAME": "n7", "NICKELSLIP_SET_MACHINE__MEMORY_KB": "9000"},
@@ -139,8 +141,8 @@
 
 def test_a_plan_lists_each_difference_and_when_it_takes_effect():
     old, new = (
-        ours().document,
-        ours(
+        layered_document().document,
+        layered_document(
             "{peers: {pool: '127.0.0.1:1'}, machine: {cores: 3, cold_ms: 5},\n"
             "grades: {payout: {credit: 4}}, customers: {b: {share_per_s: 1}}}"
         ).document,
@@ -154,7 +156,7 @@
         "grades.payout.credit": Effect.NEW,
     }
     assert [difference.path[1] for difference in plan_of(old, new).needing_restart] == ["cold_ms"]
-    assert plan_of(old, old).is_empty and plan_of(old, ours("{node: {seed: 'ff'}}").document).is_empty
+    assert plan_of(old, old).is_empty and plan_of(old, layered_document("{node: {seed: 'ff'}}").document).is_empty
 
 
 # Changes, their history, crashes and restarts
@@ -167,7 +169,7 @@
 
 def started_changes():
     """Return the change manager of a server that started without a history, and the selection of its start."""
-    layered = ours()
+    layered = layered_document()
     selection = select_start([], layered.document, 0.0)
     changes = ChangeManager(
         Generation(1, layered.config), layered.document, [selection.record], digest_of(layered.document)
@@ -230,7 +232,7 @@
         record = changes.roll_back(4.0, "harm")[1] if rolls_back else changes.confirm(4.0, "good")
         assert changes.in_force.generation.config.pool == ("127.0.0.1", 99)
         assert changes.in_force.generation.config.settings.core_count == (2 if rolls_back else 3)
-        restart = select_start([*changes.records], ours().document, 5.0)
+        restart = select_start([*changes.records], layered_document().document, 5.0)
         assert record in changes.records and restart.document["peers"]["pool"] == "127.0.0.1:99"
         assert restart.document["machine"]["cores"] == (2 if rolls_back else 3)
 
@@ -250,7 +252,7 @@
 @given(COMMANDS)
 @settings(derandomize=True, max_examples=120, deadline=None)
 def test_any_command_sequence_leaves_a_confirmed_generation_or_the_files_in_force(commands):
-    file_document = ours().document
+    file_document = layered_document().document
     disk = history.encode_file([])
     confirmed_digests = {digest_of(file_document)}
     changes, now_ms = None, 0.0
@@ -321,7 +323,7 @@
 
 
 def test_a_history_truncated_or_corrupted_at_any_byte_yields_only_intact_records():
-    document = ours().document
+    document = layered_document().document
     records = [
         HistoryRecord(
             number, event, number, f"{number:032x}", "test", float(number), "", document if number % 2 else None
@@ -357,7 +359,7 @@
 WORK = {"payout": 20.0, "balance": 40.0}
 
 
-def fill(metrics, rng, begin_at_ms, end_at_ms, in_time_fraction, load=1.0, weight=1.0, cpu_fraction=0.6):
+def record_traffic(metrics, rng, begin_at_ms, end_at_ms, in_time_fraction, load=1.0, weight=1.0, cpu_fraction=0.6):
     """Record random requests of each class and tenant, of which the given fraction completes in time."""
     for number in range(int(begin_at_ms / BUCKET_MS), int(end_at_ms / BUCKET_MS)):
         now_ms = number * BUCKET_MS + 1.0
@@ -386,11 +388,11 @@
 ):
     """Return the first verdict of harm, else the last verdict, and the time since the change in milliseconds."""
     rng, metrics = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
-    fill(metrics, rng, 0.0, 15_000.0, baseline_fraction)
+    record_traffic(metrics, rng, 0.0, 15_000.0, baseline_fraction)
     analysis = CanaryAnalysis(Baseline(metrics.between(0.0, 15_000.0)), 15_000.0, 4.0)
     now_ms, verdict = 15_000.0, None
     while now_ms < 15_000.0 + duration_ms:
-        fill(metrics, rng, now_ms, now_ms + BUCKET_MS, in_time_fraction, load, weight, cpu_fraction)
+        record_traffic(metrics, rng, now_ms, now_ms + BUCKET_MS, in_time_fraction, load, weight, cpu_fraction)
         now_ms += BUCKET_MS
         verdict = analysis.evaluate(metrics.between(analysis.evaluated_until_ms, now_ms))
         if verdict.status is CanaryStatus.HARM:
@@ -419,8 +421,8 @@
     found_count = 0
     for seed in range(12):
         rng, metrics = random.Random(seed), RequestMetrics(20_000.0, {"payout": 100.0, "balance": 100.0})
-        fill(metrics, rng, 0.0, 8000.0, lambda pair: 0.97)
-        fill(
+        record_traffic(metrics, rng, 0.0, 8000.0, lambda pair: 0.97)
+        record_traffic(
             metrics,
             rng,
             8000.0,
@@ -429,14 +431,14 @@
             load=2.0,
             cpu_fraction=1.0,
         )
-        fill(metrics, rng, 12_000.0, 15_000.0, lambda pair: 0.97)
+        record_traffic(metrics, rng, 12_000.0, 15_000.0, lambda pair: 0.97)
         analysis, now_ms, verdict = (
             CanaryAnalysis(Baseline(metrics.between(0.0, 15_000.0)), 15_000.0, 4.0),
             15_000.0,
             None,
         )
         while now_ms < 20_000.0 and (verdict is None or verdict.status is not CanaryStatus.HARM):
-            fill(metrics, rng, now_ms, now_ms + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
+            record_traffic(metrics, rng, now_ms, now_ms + BUCKET_MS, lambda pair: 0.97 if pair[0] == "payout" else 0.5)
             now_ms += BUCKET_MS
             verdict = analysis.evaluate(metrics.between(analysis.evaluated_until_ms, now_ms))
         found_count += verdict.status is CanaryStatus.HARM
@@ -575,5 +577,5 @@
 
 
 def test_a_document_read_back_from_json_has_the_same_digest():
-    decoded = json.loads(json.dumps(document_of(ours().config)))
-    assert digest_of(decoded) == digest_of(ours().document)
+    decoded = json.loads(json.dumps(document_of(layered_document().config)))
+    assert digest_of(decoded) == digest_of(layered_document().document)
--- a/tests/test_configuration_manager.py
+++ b/tests/test_configuration_manager.py
@@ -39,7 +39,7 @@
 from tests.support.request_ids import A, B, C
 from tests.support.server_rig import ServerRig, free_port
 from tests.support.waiting import wait_until
-from tests.test_configuration import OURS, fill, ours
+from tests.test_configuration import SMALL_DOCUMENT, layered_document, record_traffic
 
 pytestmark = pytest.mark.anyio
 RULES = ChangeRules(canary_period_ms=1000.0, max_canary_period_ms=1500.0, baseline_ms=15_000.0, reload_all=True)
@@ -223,7 +223,7 @@
         rig.configuration_manager.observation.request_metrics = rig.server.request_metrics = RequestMetrics(
             16_000.0, objectives_ms
         )
-        fill(
+        record_traffic(
             rig.configuration_manager.observation.request_metrics,
             rng,
             begin_at_ms,
@@ -240,7 +240,7 @@
                 while not is_over():
                     await anyio.sleep(0.26)
                     end_at_ms = rig.server.clock() - 1
-                    fill(metrics, rng, filled_until_ms, end_at_ms, in_time_fraction)
+                    record_traffic(metrics, rng, filled_until_ms, end_at_ms, in_time_fraction)
                     filled_until_ms = (end_at_ms // 250) * 250
 
         metrics.set_latency_objectives(objectives_ms)
@@ -280,20 +280,24 @@
 
 async def test_a_file_replaced_or_written_while_it_is_read_is_never_applied_in_part(tmp_path, monkeypatch):
     file = tmp_path / "c.json5"
-    file.write_text(OURS)
+    file.write_text(SMALL_DOCUMENT)
     real_fstat, writes = os.fstat, []
 
     def write_twice_and_fstat(descriptor):
         if len(writes) < 2:
-            writes.append(file.write_text(OURS + " " * (len(writes) + 1)))
+            writes.append(file.write_text(SMALL_DOCUMENT + " " * (len(writes) + 1)))
         return real_fstat(descriptor)
 
     monkeypatch.setattr(loading.os, "fstat", write_twice_and_fstat)
-    assert loading.read_file(str(file)) == (OURS + "  ").encode()
+    assert loading.read_file(str(file)) == (SMALL_DOCUMENT + "  ").encode()
     monkeypatch.setattr(
         loading.os,
         "fstat",
-        lambda descriptor: (writes.append(1), file.write_text(OURS + " " * len(writes)), real_fstat(descriptor))[-1],
+        lambda descriptor: (
+            writes.append(1),
+            file.write_text(SMALL_DOCUMENT + " " * len(writes)),
+            real_fstat(descriptor),
+        )[-1],
     )
     with pytest.raises(InvalidDocumentError, match="being written"):
         loading.read_file(str(file))
@@ -315,7 +319,7 @@
 
 def test_a_kill_at_any_system_call_preserves_the_last_confirmed_document(tmp_path, monkeypatch):
     """Kills the process at each system call in turn, with only a part of an interrupted write on the disk."""
-    document, real_calls = ours().document, {name: getattr(os, name) for name in SYSTEM_CALLS}
+    document, real_calls = layered_document().document, {name: getattr(os, name) for name in SYSTEM_CALLS}
     max_call_count = 0
     for step in range(200):
         folder = tmp_path / str(step)
@@ -548,7 +552,7 @@
     """Start the program without its peers. It waits for them and applies changes meanwhile."""
     base, overlay = tmp_path / "base.json5", tmp_path / "extra.json"
     if not base.exists():
-        base.write_text(OURS)
+        base.write_text(SMALL_DOCUMENT)
     overlay.write_text(
         json.dumps(
             {
@@ -611,7 +615,8 @@
         assert run_command("status", "--socket", str(tmp_path / "none"), exit_code=5)
         result = json.loads(run_command("rollout", str(invalid), str(tmp_path / "s"), "--json", exit_code=4))
         assert result["course"] == "undone" and result["nodes"][str(tmp_path / "s")]["place"] == "bad"
-        base.write_text(OURS.replace("cores: 2", "cores: 3"))  # a changed file takes precedence over the history
+        # a changed file takes precedence over the history
+        base.write_text(SMALL_DOCUMENT.replace("cores: 2", "cores: 3"))
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
         process, _ = start_program(tmp_path, port)
