--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test files share: a model of the admission rules, and a server among fake services."""
+"""Shared test helpers: a model of the admission rules, and a server connected to fake services."""
--- a/tests/support/failing_listener.py
+++ b/tests/support/failing_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket whose accepts fail."""
+"""A listening socket whose `accept` calls fail."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 
 
 class FailingListener:
-    """A listening socket whose next accepts fail with these codes, one after the other.
+    """Wraps a listening socket and makes the next `accept` calls fail, one for each error code.
 
     Args:
-        real: The socket that everything else is passed to.
-        codes: The errno of each failure.
+        listener: The socket that handles every other call.
+        codes: The `errno` value of each failure, in order.
 
     Attributes:
-        accept_count: How many times accept was called.
+        codes: The `errno` values of the failures still to come.
+        accept_count: The number of calls to `accept`, failed ones included.
     """
 
-    def __init__(self, real: socket.socket, *codes: int) -> None:
-        self._real = real
+    def __init__(self, listener: socket.socket, *codes: int) -> None:
+        self._listener = listener
         self.codes = list(codes)
         self.accept_count = 0
 
     def accept(self) -> tuple[socket.socket, object]:
-        """Fail with the next code, or accept once there is none left."""
+        """Raise `OSError` with the next code; once all codes are used, accept a connection."""
         self.accept_count += 1
         if self.codes:
-            raise OSError(self.codes.pop(0), "made up")
-        return self._real.accept()
+            raise OSError(self.codes.pop(0), "simulated accept failure")
+        return self._listener.accept()
 
     def __getattr__(self, name: str) -> object:
-        return getattr(self._real, name)
+        return getattr(self._listener, name)
--- a/tests/support/fake_records_service.py
+++ b/tests/support/fake_records_service.py
@@ -1,4 +1,4 @@
-"""A records service that keeps the calls it receives and replies as a test asks."""
+"""A records service that stores the calls it receives and sends the replies that a test chooses."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class CallConnections(dict[str, anyio.abc.SocketStream]):
-    """The connection of each call by request id; reading one that is closed gives None.
+    """Maps each request id to the connection of its last call, or to None once that connection is closed.
 
     Args:
-        open_streams: The connections that are open.
+        open_streams: The open connections. The service updates this set.
     """
 
     def __init__(self, open_streams: set[anyio.abc.SocketStream]) -> None:
@@ -24,10 +24,10 @@
 
 
 class FakeRecordsService(FakeTcpService):
-    """The records service: it keeps calls as (verb, request id, body).
+    """A fake records service. Stores each call in `received` as (verb, request id, body).
 
     Attributes:
-        connections_by_request: The connection on which each request's last call came.
+        connections_by_request: The connection that each request's last call arrived on.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self.connections_by_request = CallConnections(self.streams)
 
     async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
-        """Keep each complete call and its connection."""
+        """Store each complete call and its connection, and return the incomplete rest."""
         while b"\r\n" in buffered:
             verb, request_id, *rest = buffered.split(b"\r\n", 1)[0].decode().split(" ")
             start = buffered.index(b"\r\n") + 2
@@ -48,6 +48,6 @@
         return buffered
 
     async def reply(self, request_id: str, word: str, body: bytes | None = None, to: str = "") -> None:
-        """Send a reply on the connection of the request's call, or on that of the request named by `to`."""
+        """Send a reply on the connection of the request's call, or on the connection of the request `to`."""
         tail = b"" if body is None else b" %d\r\n%b" % (len(body), body)
         await self.connections_by_request[to or request_id].send(f"{request_id} {word}".encode() + tail + b"\r\n")  # type: ignore[union-attr]
--- a/tests/support/fake_tcp_service.py
+++ b/tests/support/fake_tcp_service.py
@@ -1,4 +1,4 @@
-"""A TCP service that keeps what it receives: the base of the fake services."""
+"""The base class of the fake TCP services, which store the messages they receive."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 
 
 class FakeTcpService:
-    """A listener that accepts any number of connections and answers on the last one.
+    """A listener that accepts any number of connections.
 
     Attributes:
-        connection_count: How many connections were accepted.
-        stream: The last connection, or None after `abort_connections`.
+        connection_count: The number of connections accepted.
+        stream: The last connection accepted, or None after `abort_connections`.
         received: The messages received, in order.
         streams: All open connections.
+        listener: The listening socket, once `listen` has returned.
+        port: The port listened on.
+        scope: The cancel scope of the listening task.
+        stopped: Set once the listening socket is closed.
     """
 
     def __init__(self) -> None:
@@ -26,7 +30,7 @@
         self.streams: set[anyio.abc.SocketStream] = set()
 
     async def listen(self, tasks: anyio.abc.TaskGroup, port: int = 0) -> Any:
-        """Listen on the port, 0 for any free one, and serve in the task group; return the service itself."""
+        """Listen on the port (0 for any free one), serve in the task group, and return the service itself."""
         self.listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.port = self.listener.extra(anyio.abc.SocketAttribute.local_port)
         self.scope = anyio.CancelScope()
@@ -51,17 +55,17 @@
         self.streams.discard(stream)
 
     async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
-        """Handle the complete messages, and return the rest."""
+        """Handle the complete messages in the buffer, and return the incomplete rest."""
         raise NotImplementedError
 
     async def abort_connections(self) -> None:
-        """Close all connections forcefully."""
+        """Close all connections at once, without an orderly shutdown."""
         self.stream = None
         for stream in list(self.streams):
             await anyio.aclose_forcefully(stream)
 
     async def stop(self) -> None:
-        """Stop listening, and close all connections."""
+        """Stop listening and abort all connections."""
         self.scope.cancel()
         await self.stopped.wait()
         await self.abort_connections()
--- a/tests/support/fake_worker_pool.py
+++ b/tests/support/fake_worker_pool.py
@@ -1,4 +1,4 @@
-"""A worker pool that keeps the commands it receives and sends the notifications that a test asks for."""
+"""A worker pool that stores the commands it receives and sends the notifications that a test chooses."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 
 class FakeWorkerPool(FakeTcpService):
-    """The worker pool's end of the link.
+    """A fake worker pool: the far end of the server's link.
 
     Attributes:
-        seq: The number of the last notification.
-        notifications: All notifications so far; those that a new link has not received are sent again.
-        accepts_binds: Set once links may be bound.
+        send_lock: Held while a line is sent.
+        seq: The sequence number of the last notification.
+        notifications: All notifications sent. After a bind, those later than the bind's number are sent again.
+        accepts_binds: An event that a test sets to let the pool answer bind commands.
         answers_gauge_queries: Whether gauge queries are answered.
-        gauge_query_count: How many gauge queries were received.
+        gauge_query_count: The number of gauge queries received.
     """
 
     def __init__(self) -> None:
@@ -34,7 +35,7 @@
         self.gauge_query_count = 0
 
     async def parse(self, buffered: bytes, stream: anyio.abc.SocketStream) -> bytes:
-        """Keep each command, except gauge queries, and answer a query and a bind."""
+        """Store each command except gauge queries, and answer gauge queries and binds."""
         *lines, rest = buffered.split(b"\n")
         for command in map(json.loads, lines):
             if command["op"] == "poll":
@@ -55,29 +56,29 @@
                 await self.send_line(**notification)
 
     async def send_line(self, **line: object) -> None:
-        """Send one line on the last link, if there is one."""
+        """Send one line on the last link, if any."""
         async with self.send_lock:
             if self.stream is not None:
                 await self.stream.send(json.dumps(line).encode() + b"\n")
 
     async def notify(self, op: str, request_id: str, **fields: object) -> None:
-        """Send a notification under the next number, and keep it for later links."""
+        """Send a notification with the next sequence number, and store it for later links."""
         self.seq += 1
         self.notifications.append({"op": op, "seq": self.seq, "id": request_id, **fields})
         await self.send_line(**self.notifications[-1])
 
     async def finish(self, request_id: str, end: str = "fine", body: bytes = b"result") -> None:
-        """Notify that the run ended."""
+        """Notify the server that the run finished, with this outcome and result."""
         await self.notify("finished", request_id, end=end, ms=20.0, body=b64encode(body).decode())
 
     async def block(self, request_id: str, body: bytes = CALL_BODY) -> None:
-        """Notify that the run reached its call."""
+        """Notify the server that the run is blocked on its call, with the call's body."""
         await self.notify("blocked", request_id, body=b64encode(body).decode())
 
     def received_binds(self) -> list[dict[str, object]]:
-        """Return the bind commands received."""
+        """Return all bind commands received."""
         return [command for command in self.received if command["op"] == "bind"]
 
     def received_commands(self, op: str, request_id: str) -> list[dict[str, object]]:
-        """Return the commands of this kind received for the request."""
+        """Return all commands with this `op` received for the request."""
         return [command for command in self.received if command["op"] == op and command.get("id") == request_id]
--- a/tests/support/load_balancer_client.py
+++ b/tests/support/load_balancer_client.py
@@ -1,4 +1,4 @@
-"""Load balancers' connections, on streams and on plain sockets."""
+"""Clients that connect to the server as a load balancer does: on an anyio stream or on a plain socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from nickelslip.server import resp
 
 
-def _usual_fields(request_id: str) -> dict[str, object]:
+def _default_fields(request_id: str) -> dict[str, object]:
     return {
         "req": request_id,
         "ts": int(time.time() * 1000),
@@ -26,20 +26,20 @@
 def encode_request(
     request_id: str, class_name: str = "read", tag: int = 2, body: bytes = b"body", **fields: object
 ) -> bytes:
-    """Encode a request with the usual fields, changed by the keywords; a field that is None is left out."""
-    known = {**_usual_fields(request_id), **fields}
-    text = ",".join(f"{name}={value}" for name, value in known.items() if value is not None)
+    """Encode a request with the default fields. Keywords override them, and a field set to None is omitted."""
+    request_fields = {**_default_fields(request_id), **fields}
+    text = ",".join(f"{name}={value}" for name, value in request_fields.items() if value is not None)
     return resp.message(b"ASK", b"%d" % tag, class_name.encode(), text.encode(), body)
 
 
 class LoadBalancerClient:
-    """A load balancer's connection that numbers its requests.
+    """A load balancer's connection that tags its requests with consecutive numbers.
 
     Args:
         stream: The connection.
 
     Attributes:
-        tag: The number of the last request.
+        tag: The tag of the last request.
     """
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
@@ -48,21 +48,21 @@
         self.tag = 0
 
     async def send(self, *parts: bytes | str) -> None:
-        """Send one message of these parts."""
+        """Send one message with these parts."""
         await self.stream.send(resp.message(*(part.encode() if isinstance(part, str) else part for part in parts)))
 
     async def send_request(
         self, request_id: str, class_name: str = "read", body: bytes = b"body", without: str = "", **fields: object
     ) -> int:
-        """Send a request with the usual fields, changed or left out; return its number."""
+        """Send a request with the default fields, except `without`, and return its tag. Keywords override fields."""
         self.tag += 1
-        known = {**_usual_fields(request_id), **fields}
-        text = ",".join(f"{name}={value}" for name, value in known.items() if name != without)
+        request_fields = {**_default_fields(request_id), **fields}
+        text = ",".join(f"{name}={value}" for name, value in request_fields.items() if name != without)
         await self.send("ASK", str(self.tag), class_name, text, body)
         return self.tag
 
     async def receive_answer(self, wait_s: float = 3.0) -> tuple[int, str, dict[str, str], bytes]:
-        """Return the next answer: number, word, fields, body."""
+        """Receive the next answer and return its tag, word, fields and body."""
         with anyio.fail_after(wait_s):
             while (message := resp.parse(self._buffered, 0, len(self._buffered))) is None:
                 self._buffered += await self.stream.receive()
@@ -72,7 +72,7 @@
         return int(tag), word.decode(), fields, rest[1] if len(rest) > 1 else b""
 
     async def is_closed_by_server(self, wait_s: float = 3.0) -> bool:
-        """Return whether the server closes the connection without sending anything more."""
+        """Wait for data or the end of the connection; return whether the server closed it without sending more."""
         with anyio.fail_after(wait_s):
             try:
                 return not await self.stream.receive()
@@ -81,10 +81,16 @@
 
 
 class RawClient:
-    """A connection whose sends are in the system's buffers when they return, so that a test fixes the order of events.
+    """A connection on a plain socket.
+
+    When `send` returns, the data is already in the system's buffers. A test can therefore fix the order of events.
 
     Args:
         port: The server's port on the loopback address.
+
+    Attributes:
+        sock: The socket, which does not block.
+        local_address: The socket's own address.
     """
 
     def __init__(self, port: int) -> None:
@@ -94,22 +100,22 @@
         self.local_address = self.sock.getsockname()
 
     def send(self, data: bytes) -> None:
-        """Send all the bytes, or raise where the system's buffer is full."""
+        """Send all the data, or raise if the system's buffer is full."""
         self.sock.sendall(data)
 
     async def receive_until(self, word: bytes, wait_s: float = 3.0) -> bytes:
-        """Receive until this word has come, and return all that came."""
+        """Receive until this word has arrived, and return all data received."""
         received = b""
         with anyio.fail_after(wait_s):
             while word not in received:
                 await anyio.wait_readable(self.sock)
                 more = self.sock.recv(65536)
-                assert more, f"it ended after {received!r}"
+                assert more, f"the server closed the connection after sending {received!r}"
                 received += more
         return received
 
     async def receive_to_end(self, wait_s: float = 3.0) -> bytes:
-        """Receive until the server closes the connection, and return all that came; a reset raises."""
+        """Receive until the server closes the connection, and return all data received; a reset raises."""
         received = b""
         with anyio.fail_after(wait_s):
             while True:
--- a/tests/support/platform_settings.py
+++ b/tests/support/platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the server under test, as the platform sends them."""
+"""Settings of the server under test, in the platform's format."""
 
 from __future__ import annotations
 
--- a/tests/support/request_ids.py
+++ b/tests/support/request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids in the form that the server accepts."""
+"""Request ids in the format that the server accepts."""
 
 A = "00000000000000a1"
 B = "00000000000000b2"
--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -1,4 +1,4 @@
-"""The real server on loopback sockets, among fake services."""
+"""The real server on loopback sockets, connected to fake services."""
 
 from __future__ import annotations
 
@@ -38,23 +38,24 @@
 
 
 class ServerRig:
-    """A server among fake services, in this process or in one of its own.
+    """A server connected to fake services, in this process or in a subprocess.
 
     Args:
-        in_subprocess: Whether `run_program` runs the server, so that none is started here.
-        change_rules: Rules of configuration changes, where the test makes changes.
-        specifics: Keys of the settings' `specifics` that differ from the usual ones.
+        in_subprocess: Whether the test runs the server in a subprocess. The rig then starts only the services.
+        change_rules: The rules for configuration changes, or None for a server without a configuration manager.
+        specifics: Keys of the settings' `specifics` that override those of `PLATFORM_SETTINGS`.
 
     Attributes:
-        platform_settings: The settings, as the platform sends them.
-        config: The configuration file's content.
+        platform_settings: The settings, in the platform's format.
+        config: The content of the configuration file.
         pool: The fake worker pool.
         records: The fake records service.
-        reports: The load reports that reached the directory.
+        reports: The load reports that the directory received.
         server: The server under test.
+        listener: The socket that the server accepts clients on.
         port: The port that clients connect to.
-        configuration_manager: The configuration manager, or None.
-        exited_cleanly: What `Server.run` returned, or None.
+        configuration_manager: The configuration manager, or None without `change_rules`.
+        exited_cleanly: The return value of `Server.run`, or None while it has not returned.
     """
 
     def __init__(self, in_subprocess: bool = False, change_rules: ChangeRules | None = None, **specifics: Any) -> None:
@@ -99,7 +100,7 @@
         self.config["records"] = f"127.0.0.1:{self.records.port}"
 
     def read(self) -> Config:
-        """Return the configuration as its file would have it now."""
+        """Return the configuration that the server would read from its file now."""
         config = config_from_platform(self.config, {})
         return config if self._change_rules is None else replace(config, changes=self._change_rules)
 
@@ -118,20 +119,20 @@
             )
 
     async def push(self, document: dict[str, object], **fields: object) -> Any:
-        """Apply a document over the configuration in force, as an operator would."""
+        """Apply a partial document to the configuration in force, as an operator would, and return the reply."""
         return await self.configuration_manager.command({"do": "apply", "document": document, **fields})
 
     def reload_settings(self) -> None:
-        """Have the server, which has read nothing yet, begin under the settings as they are now."""
+        """Make the server start from the current settings; call this before the server reads any input."""
         self.server.generation = Generation(1, self.read())
 
     def set_descriptor_shares(self, **shares: int) -> None:
-        """Set how many descriptors each part has, in place of what follows from the limit."""
+        """Override the descriptor shares that the server computes from its descriptor limit."""
         generation = self.server.generation
         vars(generation)["descriptor_shares"] = generation.descriptor_shares._replace(**shares)
 
     async def move_services(self) -> None:
-        """Replace the worker pool and the records service by new ones, and notify the server."""
+        """Replace the worker pool and the records service with new ones, and have the server reload."""
         self.pool = await self.start_pool_at_new_address()
         self.records = FakeRecordsService()
         await self.records.listen(self._tasks)
@@ -139,7 +140,7 @@
         (self.server.reload_handler or self.server).reload()
 
     async def start_pool_at_new_address(self) -> FakeWorkerPool:
-        """Start the same worker pool at another address, and return it."""
+        """Start a worker pool with the same notifications at another address, and return it."""
         pool = FakeWorkerPool()
         pool.notifications = self.pool.notifications
         pool.seq = self.pool.seq
@@ -148,13 +149,13 @@
         return pool
 
     async def start_directory(self, port: int = 0) -> int:
-        """Start the directory; return its port."""
+        """Start the directory and return its port."""
         self._udp = await anyio.create_udp_socket(local_host="127.0.0.1", local_port=port)
         self._tasks.start_soon(self._receive_reports, self._udp)
         return self._udp.extra(anyio.abc.SocketAttribute.local_port)
 
     async def stop_directory(self) -> int:
-        """Stop the directory; return the port that it had."""
+        """Stop the directory and return the port it listened on."""
         port = self._udp.extra(anyio.abc.SocketAttribute.local_port)
         await self._udp.aclose()
         return port
@@ -176,17 +177,17 @@
                 await self._tasks.__aexit__(None, None, None)
 
     async def wait_until_serving(self) -> ServerRig:
-        """Have the worker pool answer, and wait until the server has bound its link."""
+        """Let the worker pool accept binds, wait until the server is serving with its link up, and return the rig."""
         self.pool.accepts_binds.set()
         await wait_until(lambda: self.server.phase is Phase.SERVING and self.server.worker_pool.is_up)
         return self
 
     async def connect_client(self) -> LoadBalancerClient:
-        """Connect a load balancer."""
+        """Connect a load balancer to the server."""
         return LoadBalancerClient(await anyio.connect_tcp("127.0.0.1", self.port))
 
     def connection_of(self, client: RawClient) -> LoadBalancerConnection | None:
-        """Return the server's side of this client's connection, or None once it is closed."""
+        """Return the server's end of this client's connection, or None if it is closed."""
         listener: Any = self.server.listeners[0]
         return next(
             (
@@ -200,7 +201,7 @@
     async def start_run(
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
-        """Send a request, and wait until its run has been started; return its number."""
+        """Send a request, wait until the worker pool is told to start its run, and return its tag."""
         tag = await client.send_request(request_id, class_name, **fields)
         await wait_until(lambda: self.pool.received_commands("spawn", request_id))
         return tag
@@ -208,7 +209,7 @@
     async def start_call(
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
-        """Send a request, and wait until its run's call has reached the records service; return its number."""
+        """Send a request, wait until the records service receives its run's call, and return its tag."""
         tag = await self.start_run(client, request_id, class_name, **fields)
         await self.pool.block(request_id)
         await wait_until(lambda: ("OP", request_id, CALL_BODY) in self.records.received)
@@ -224,7 +225,7 @@
 
 @asynccontextmanager
 async def run_program(rig: ServerRig, folder: Path) -> AsyncIterator[subprocess.Popen[bytes]]:
-    """Run the program in a process of its own among the rig's services, and kill it at the end."""
+    """Run the program in a subprocess, connected to the rig's services, and kill it at the end."""
     rig.port = free_port()
     file = folder / "config.json"
     file.write_text(json.dumps({**rig.config, "listen": f"127.0.0.1:{rig.port}"}))
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting with a bound."""
+"""Waiting for a condition, with a time limit."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 async def wait_until(condition: Callable[[], object], wait_s: float = 3.0) -> None:
-    """Wait until the condition holds.
+    """Wait until the condition is true.
 
     Raises:
-        TimeoutError: It does not hold within wait_s seconds.
+        TimeoutError: The condition is still false after `wait_s` seconds.
     """
     with anyio.fail_after(wait_s):
         while not condition():
