--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for the whole suite: the tests that are known to fail."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints them at the end of a run."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     for item in items:
         for entry in entries:
             if entry.covers(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=f"known red: {entry.seen} ({entry.issue})", strict=False))
+                item.add_marker(pytest.mark.xfail(reason=f"known red: {entry.symptom} ({entry.issue})", strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     for entry in config.stash[KNOWN_FAILURES]:
         has_passed = any(entry.covers(report.nodeid) for report in terminalreporter.getreports("xpassed"))
         note = "; it passed: take it off" if has_passed else ""
-        terminalreporter.write_line(f"known red: {entry.test}: {entry.seen} ({entry.issue}); {entry.command}{note}")
+        terminalreporter.write_line(f"known red: {entry.test}: {entry.symptom} ({entry.issue}); {entry.command}{note}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it may hold, and that it passes over exactly what it names."""
+"""Tests of the list of known failures: its format, and that it tolerates only the failures of the listed tests."""
 
 import pathlib
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def suite(pytester):
-    """A repository with a suite of its own and this list."""
+    """Return a function that runs a small separate suite with the given lines in its list of known failures."""
     folder = pytester.mkpydir("tests")
     for name in ("known_red.py", "conftest.py"):
         (folder / name).write_text((HERE / name).read_text())
@@ -35,7 +35,7 @@
     return run
 
 
-def test_what_is_listed_is_run_and_passed_over_and_nothing_else_is(suite):
+def test_only_listed_tests_are_expected_to_fail(suite):
     result = suite(f"{RED} | make test, seed 1 | it is broken | issue 7")
     assert result.ret == 1 and result.parseoutcomes() == {"failed": 1, "passed": 2, "xfailed": 1}
     result = suite(
@@ -47,7 +47,7 @@
     )
 
 
-def test_a_test_with_cases_may_be_named_as_a_whole_and_one_that_passes_is_told(suite):
+def test_an_entry_may_cover_all_cases_and_a_listed_test_that_passes_is_reported(suite):
     result = suite(
         f"{RED} | make test, seed 1 | it is broken | issue 7",
         f"{CASES} | make test, seed 1 | both | issue 8",
@@ -59,7 +59,7 @@
     )
 
 
-def test_an_empty_or_absent_list_passes_over_nothing(suite):
+def test_an_empty_list_tolerates_no_failures(suite):
     assert suite("").parseoutcomes() == {"failed": 2, "passed": 2}
 
 
@@ -78,15 +78,15 @@
         ["tests/test_one.py::test_cases[3] | command | seen | issue"],
     ),
 )
-def test_a_list_that_is_not_in_order_fails_the_suite(lines, suite):
+def test_a_malformed_list_is_a_usage_error(lines, suite):
     assert suite(*lines).ret == pytest.ExitCode.USAGE_ERROR
 
 
-def test_a_part_of_the_suite_may_be_run_with_names_that_are_not_in_it(suite):
+def test_a_partial_run_accepts_listed_tests_that_it_does_not_collect(suite):
     assert suite(f"{RED} | make test, seed 1 | it is broken | issue 7", args=(GREEN,)).ret == 0
 
 
-def test_the_list_of_this_repository_is_in_order():
+def test_the_list_of_this_repository_is_well_formed():
     from tests.known_red import read_known_failures
 
     assert len(read_known_failures(HERE.parent / "KNOWN-RED.txt")) <= 3
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -1,6 +1,7 @@
-"""Settings that no earlier deployment had, in the real server.
+"""The real server with settings that no earlier deployment used.
 
-No tenants, runs that can be paused, a tier of servers below in place of a shared dependency, and no marks on retries.
+They have no tenants, runs that can be paused, a downstream tier of servers instead of a shared dependency, and clients
+that do not mark retries.
 """
 
 import anyio
@@ -21,9 +22,9 @@
     return "asyncio", {"use_uvloop": True}
 
 
-def new_operator(**facts: object) -> ServerRig:
-    """Build a rig with the settings of operators without tenants."""
-    rig = ServerRig(below="next_hop", **facts)
+def rig_without_tenants(**specifics: object) -> ServerRig:
+    """Return a rig with a downstream tier, no tenants and clients that do not mark retries."""
+    rig = ServerRig(below="next_hop", **specifics)
     for name in ("dep-share", "calls-over-ms", "stays-for-ms"):
         del rig.platform_settings["specifics"][name]
     del rig.platform_settings["tenants"]
@@ -32,19 +33,19 @@
     return rig
 
 
-async def test_without_tenants_a_request_names_none_and_is_served():
-    async with new_operator() as rig:
+async def test_without_tenants_only_a_request_that_names_no_tenant_succeeds():
+    async with rig_without_tenants() as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         assert not rig.server.generation.settings.tenants and not rig.server.generation.settings.clients_mark_retries
         await rig.start_run(client, A, without="owner")
         await rig.pool.finish(A)
         assert (await client.receive_answer())[:2] == (1, "done")
-        await client.send_request(B)  # for an unknown tenant
+        await client.send_request(B)  # its tenant is unknown
         assert (await client.receive_answer())[:2] == (2, "error")
 
 
-async def test_a_run_that_can_be_paused_is_stopped_once_its_client_has_disconnected():
-    async with new_operator(**{"stop-mode": "pause"}) as rig:
+async def test_a_run_that_can_be_paused_is_suspended_when_its_request_is_cancelled():
+    async with rig_without_tenants(**{"stop-mode": "pause"}) as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         assert rig.server.generation.settings.preemption is Preemption.KEEP_PROGRESS
         tag = await rig.start_run(client, A, without="owner")
@@ -54,14 +55,14 @@
         await wait_until(lambda: not rig.server.requests)
 
 
-async def test_calls_to_a_downstream_tier_are_not_limited_and_a_broken_one_is_retried_or_skipped():
-    async with new_operator(cpus=4) as rig:
+async def test_calls_to_a_downstream_tier_are_not_limited_and_are_retried_or_skipped_on_connection_loss():
+    async with rig_without_tenants(cpus=4) as rig:
         client = await (await rig.wait_until_serving()).connect_client()
         for request_id in (A, B, C):
             await rig.start_call(client, request_id, without="owner")
         await rig.records.reply(A, "DONE", b"reply")
         await wait_until(lambda: rig.pool.received_commands("supply", A))
-        await rig.records.abort_connections()  # replayable: either is right
+        await rig.records.abort_connections()  # the class is idempotent, so a retry and a skipped call are both correct
         with anyio.fail_after(3):
             for request_id in (B, C):
                 await wait_until(
