--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,10 +1,10 @@
-"""The platform's command for a server, under a kernel that ends it for whatever the platform does not give.
+"""Runs the platform's command for a server under a system call filter that kills it for calls the platform forbids.
 
-Owns a filter of system calls (seccomp, no special rights) that the process puts on itself before it becomes the `run`
-line of the deploy file: starting a process that is no thread, io_uring, splice, sendfile, a Unix socket that somebody
-could come to, a socket over IPv6, a file opened to be written. Each of these ends the process with SIGSYS, so a run
-that ends with 0 has asked for none of them from the first line to the end of a drain. One thing is asked for: the
-event loop's library asks once whether the kernel has io_uring, and is told that it has none, as on the platform.
+The process installs a seccomp filter, which needs no privileges, and then executes the `run` line of the deploy file.
+These calls kill the process with SIGSYS: starting a process (threads are allowed), io_uring, splice, sendfile, a Unix
+socket that others could connect to (a socket pair is allowed), an IPv6 socket, and opening a file for writing. A run
+that exits with 0 has therefore made none of them, from its start to the end of the drain. There is one exception: the
+event loop's library probes once for io_uring, and the filter fails that call with ENOSYS, as the platform does.
 """
 
 from __future__ import annotations
@@ -28,13 +28,16 @@
 from tests.support.server_rig import ServerRig
 from tests.support.waiting import wait_until
 
-pytestmark = [pytest.mark.anyio, pytest.mark.skipif(platform.machine() != "x86_64", reason="numbers of system calls")]
+pytestmark = [
+    pytest.mark.anyio,
+    pytest.mark.skipif(platform.machine() != "x86_64", reason="the system call numbers are those of x86_64"),
+]
 ROOT = Path(__file__).parent.parent
 ALLOW, KILL, ERRNO = 0x7FFF0000, 0x80000000, 0x00050000
 ENOSYS = 38
 CLONE_THREAD, AF_UNIX, AF_INET6 = 0x10000, 1, 10
-WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT
-NR = {
+WRITE_FLAGS = os.O_WRONLY | os.O_RDWR | os.O_CREAT
+SYSCALL_NUMBERS = {
     "socket": 41,
     "clone": 56,
     "fork": 57,
@@ -56,19 +59,19 @@
 }
 
 
-def refusing() -> bytes:
-    """The filter, as instructions of classic BPF over the number and the arguments of a system call."""
+def syscall_filter() -> bytes:
+    """Return the filter as classic BPF instructions that test the number and arguments of a system call."""
 
-    def step(code: int, k: int, yes: int = 0, no: int = 0) -> bytes:
-        return struct.pack("HBBI", code, yes, no, k)
+    def instruction(code: int, operand: int, jump_if_true: int = 0, jump_if_false: int = 0) -> bytes:
+        return struct.pack("HBBI", code, jump_if_true, jump_if_false, operand)
 
     def load(offset: int) -> bytes:
-        return step(0x20, offset)
+        return instruction(0x20, offset)
 
-    def first(argument: int) -> int:
-        return 16 + 8 * argument
+    def argument_offset(index: int) -> int:
+        return 16 + 8 * index
 
-    out = load(0)
+    instructions = load(0)
     for name in (
         "fork",
         "vfork",
@@ -81,46 +84,60 @@
         "creat",
         "openat2",
     ):
-        out += step(0x15, NR[name], 0, 1) + step(0x06, KILL)
-    for name in ("io_uring_setup", "clone3"):  # the flags of the latter lie in memory: clone is asked for next
-        out += step(0x15, NR[name], 0, 1) + step(0x06, ERRNO | ENOSYS)
-    # each of the following looks at an argument, and ends the filter where the number is its own
-    out += step(0x15, NR["clone"], 0, 4) + load(first(0)) + step(0x45, CLONE_THREAD, 1, 0)
-    out += step(0x06, KILL) + step(0x06, ALLOW)
-    out += step(0x15, NR["socket"], 0, 5) + load(first(0)) + step(0x15, AF_UNIX, 1, 0) + step(0x15, AF_INET6, 0, 1)
-    out += step(0x06, KILL) + step(0x06, ALLOW)
+        instructions += instruction(0x15, SYSCALL_NUMBERS[name], 0, 1) + instruction(0x06, KILL)
+    # clone3 passes its flags in memory, where the filter can't test them. After ENOSYS the caller falls back to clone.
+    for name in ("io_uring_setup", "clone3"):
+        instructions += instruction(0x15, SYSCALL_NUMBERS[name], 0, 1) + instruction(0x06, ERRNO | ENOSYS)
+    # Each of the following checks tests an argument. If the number matches, the check decides and the filter ends.
+    instructions += (
+        instruction(0x15, SYSCALL_NUMBERS["clone"], 0, 4)
+        + load(argument_offset(0))
+        + instruction(0x45, CLONE_THREAD, 1, 0)
+    )
+    instructions += instruction(0x06, KILL) + instruction(0x06, ALLOW)
+    instructions += (
+        instruction(0x15, SYSCALL_NUMBERS["socket"], 0, 5)
+        + load(argument_offset(0))
+        + instruction(0x15, AF_UNIX, 1, 0)
+        + instruction(0x15, AF_INET6, 0, 1)
+    )
+    instructions += instruction(0x06, KILL) + instruction(0x06, ALLOW)
     for name, argument in (("open", 1), ("openat", 2)):
-        out += step(0x15, NR[name], 0, 4) + load(first(argument)) + step(0x45, WRITES, 0, 1)
-        out += step(0x06, KILL) + step(0x06, ALLOW)
-    return out + step(0x06, ALLOW)
+        instructions += (
+            instruction(0x15, SYSCALL_NUMBERS[name], 0, 4)
+            + load(argument_offset(argument))
+            + instruction(0x45, WRITE_FLAGS, 0, 1)
+        )
+        instructions += instruction(0x06, KILL) + instruction(0x06, ALLOW)
+    return instructions + instruction(0x06, ALLOW)
 
 
-def put_on(filter_: bytes) -> None:
-    """Put the filter on this process for good; what it becomes by exec keeps it."""
+def install_filter(instructions: bytes) -> None:
+    """Install the filter on this process permanently; it remains in force after exec."""
 
     class Program(ctypes.Structure):
-        _fields_ = [("length", ctypes.c_ushort), ("steps", ctypes.c_char_p)]
+        _fields_ = [("length", ctypes.c_ushort), ("instructions", ctypes.c_char_p)]
 
     libc = ctypes.CDLL(None, use_errno=True)
-    program = Program(len(filter_) // 8, filter_)
+    program = Program(len(instructions) // 8, instructions)
     if libc.prctl(38, 1, 0, 0, 0) or libc.prctl(22, 2, ctypes.byref(program), 0, 0):
         raise OSError(ctypes.get_errno(), "prctl")
 
 
-def started(command: str, filter_: bytes, **more: object) -> subprocess.Popen[bytes]:
-    """`/bin/sh -c` of the command, from the root of the repository, under the filter."""
+def start_filtered(command: str, instructions: bytes, **popen_arguments: object) -> subprocess.Popen[bytes]:
+    """Run the command with `/bin/sh -c` from the root of the repository, under the filter."""
     return subprocess.Popen(
         ["/bin/sh", "-c", command],
         cwd=ROOT,
-        preexec_fn=lambda: put_on(filter_),  # noqa: PLW1509
+        preexec_fn=lambda: install_filter(instructions),  # noqa: PLW1509
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
-        **more,
+        **popen_arguments,
     )  # type: ignore[call-overload]
 
 
 @pytest.mark.parametrize(
-    "asked",
+    "statement",
     (
         "import os; os.fork()",
         "import subprocess; subprocess.run(['/bin/true'])",
@@ -132,29 +149,33 @@
         "import ctypes; ctypes.CDLL(None).syscall(426, 8, 0)",
     ),
 )
-async def test_the_filter_ends_whoever_asks_for_one_of_these(asked, tmp_path):
-    process = started(f'exec {sys.executable} -c "{asked}"', refusing(), env={**os.environ, "TMPDIR": str(tmp_path)})
+async def test_the_filter_kills_a_process_that_makes_a_forbidden_call(statement, tmp_path):
+    process = start_filtered(
+        f'exec {sys.executable} -c "{statement}"', syscall_filter(), env={**os.environ, "TMPDIR": str(tmp_path)}
+    )
     process.communicate(timeout=20)
     assert process.returncode == -signal.SIGSYS
 
 
-async def test_the_run_line_asks_for_nothing_that_the_platform_refuses(tmp_path):
-    """From the first line over a served transaction, a reload and a drain to the end, in one process."""
+async def test_the_run_line_makes_no_call_that_the_platform_forbids(tmp_path):
+    """Covers the start, two requests, a reload, a lost link to the worker pool and a drain, all in one process."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     run = deploy["run"].replace(".venv/bin/python", sys.executable)
-    assert run.startswith("exec ") and not set("|&;$`<>") & set(run), "one command, and nothing left behind it"
+    assert run.startswith("exec ") and not set("|&;$`<>") & set(run), (
+        "the run line must be a single command that replaces the shell"
+    )
     async with ServerRig(in_subprocess=True) as rig:
         file = tmp_path / "config.json"
         rig.config["listen"] = f"127.0.0.1:{rig.port}"
         rig.listener.close()
         file.write_text(json.dumps(rig.config))
-        (tmp_path / "own").mkdir()
-        process = started(
+        (tmp_path / "tmp").mkdir()
+        process = start_filtered(
             run,
-            refusing(),
+            syscall_filter(),
             env={
                 "PATH": "/usr/bin:/bin",
-                "TMPDIR": str(tmp_path / "own"),
+                "TMPDIR": str(tmp_path / "tmp"),
                 "ROUTER_CONFIG": str(file),
                 "HOME": "/nonexistent",
             },
@@ -174,21 +195,21 @@
             connection_count = rig.pool.connection_count
             file.write_text(json.dumps({**rig.config, "lookup": "127.0.0.1:9"}))
             process.send_signal(signal.SIGHUP)
-            await rig.pool.abort_connections()  # and a link that is lost
+            await rig.pool.abort_connections()  # the server must reconnect
             await wait_until(lambda: rig.pool.connection_count > connection_count)
             await client.send_request(B)
             await wait_until(lambda: rig.pool.received_commands("spawn", B))
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
             maps = Path(f"/proc/{process.pid}/maps").read_text()
-            assert not children and "/libc.so" in maps, "one process, linked against the C library"
+            assert not children and "/libc.so" in maps, "the server must be one process, linked against the C library"
             await rig.pool.finish(B)
             assert (await client.receive_answer())[:2] == (2, "done")
             process.send_signal(signal.SIGTERM)
-            begun = time.monotonic()
-            while process.poll() is None and time.monotonic() - begun < 10:
+            signalled_at_s = time.monotonic()
+            while process.poll() is None and time.monotonic() - signalled_at_s < 10:
                 await anyio.sleep(0.02)
             assert process.returncode == 0, process.stdout.read().decode()
-            assert not list((tmp_path / "own").iterdir()), "nothing is written to the folder that it may write"
+            assert not list((tmp_path / "tmp").iterdir()), "the server must write no file to its temporary folder"
         finally:
             if process.poll() is None:
                 process.kill()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The deployments of our own: each loads as the bench and a server would have it, and none has left a word behind."""
+"""The deployments in deploy/sites: each must load, and none of their names may occur in the package."""
 
 import pathlib
 import re
@@ -13,38 +13,45 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
-EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-REPEATS = {"safe": RetrySafety.IDEMPOTENT, "keyed": RetrySafety.IDEMPOTENCY_KEY, "unsafe": RetrySafety.NON_IDEMPOTENT}
+IDEMPOTENCY_WORDS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+RETRY_SAFETY = {
+    "safe": RetrySafety.IDEMPOTENT,
+    "keyed": RetrySafety.IDEMPOTENCY_KEY,
+    "unsafe": RetrySafety.NON_IDEMPOTENT,
+}
 
 
-def settings(site):
-    """What a server of it may be told, in the platform's form, by the lower end of each range."""
+def settings_and_work(site):
+    """Return a server's settings in the platform's format, and the work of a run by class, in milliseconds.
 
-    def least(value):
+    Where the deployment gives a range, the lower end is used.
+    """
+
+    def lower_end(value):
         return value[0] if isinstance(value, list) else value
 
     family, kind = site["fam"], site["tier"][0]["kind"][0]
-    work = [least(each["work_ms"]) for each in site["class"]]
-    held_kb = least(family["hold_kb"])
+    work = [lower_end(traffic_class["work_ms"]) for traffic_class in site["class"]]
+    held_kb = lower_end(family["hold_kb"])
     return {
         "classes": [
             {
-                "name": each["name"],
-                "gain": each["worth"],
-                "aim-ms": each["aim_ms"],
-                "deadline-ms": each["deadline_ms"],
-                "idempotency": EFFECTS[each["effect"]],
-                **({"memory-span-ms": each["window_ms"]} if "window_ms" in each else {}),
+                "name": traffic_class["name"],
+                "gain": traffic_class["worth"],
+                "aim-ms": traffic_class["aim_ms"],
+                "deadline-ms": traffic_class["deadline_ms"],
+                "idempotency": IDEMPOTENCY_WORDS[traffic_class["effect"]],
+                **({"memory-span-ms": traffic_class["window_ms"]} if "window_ms" in traffic_class else {}),
             }
-            for each in site["class"]
+            for traffic_class in site["class"]
         ],
-        "tenants": [{"name": each["name"], "quota-rps": 100 * each["share"]} for each in site["tenant"]],
+        "tenants": [{"name": tenant["name"], "quota-rps": 100 * tenant["share"]} for tenant in site["tenant"]],
         "tick-ms": site["day"]["tick_ms"],
         "servers": site["scale"]["servers"][0],
         "invariants": {
             "answer-slack-ms": family["slack_ms"],
-            "cold-from": least(kind["cold_from"]),
-            "cold-ms": 1000 * least(kind["cold_s"]),
+            "cold-from": lower_end(kind["cold_from"]),
+            "cold-ms": 1000 * lower_end(kind["cold_s"]),
             "fall-multiple": site["rules"]["fall_multiple"],
             "stop-sending-within-ms": site["rules"]["drain_grace_ms"],
         },
@@ -53,23 +60,23 @@
             "run-factor": family["run_factor"],
             "say": "bias",
             "below": "common",
-            "memory-kb": least(family["memory_runs"]) * kind["cores"] * held_kb * family["run_factor"],
+            "memory-kb": lower_end(family["memory_runs"]) * kind["cores"] * held_kb * family["run_factor"],
             "dep-share": kind["cores"] / 2,
             "calls-over-ms": family["shared_fall_ms"],
             "stays-for-ms": 50.0,
             "kb-per-key": held_kb,
             "stop-mode": family["halt"],
-            "class-calls": [least(each["calls"]) > 0 for each in family["class"]],
+            "class-calls": [lower_end(traffic_class["calls"]) > 0 for traffic_class in family["class"]],
         },
     }, work
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_site_loads_with_all_that_the_bench_wants_beside_it(path):
-    assert {each.name for each in path.parent.iterdir()} == {path.name, "real.json", "wire.json", "unlock.txt"}
+def test_a_deployment_loads_and_has_all_files_that_the_bench_needs(path):
+    assert {file.name for file in path.parent.iterdir()} == {path.name, "real.json", "wire.json", "unlock.txt"}
     site = tomllib.loads(path.read_text())
     assert site["name"] == path.stem == path.parent.name and len(site["fam"]["class"]) == len(site["class"])
-    told, work = settings(site)
+    settings, work = settings_and_work(site)
     config = config_from_platform(
         {
             "name": "n1",
@@ -80,37 +87,46 @@
             "seed": "1",
             "stop_ms": site["rules"]["drain_grace_ms"] + 700,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "settings": told,
+            "settings": settings,
         },
         {},
     )
-    grades = config.settings.traffic_classes
-    assert [grade.retry_safety for grade in grades] == [REPEATS[each["effect"]] for each in site["class"]]
-    assert all(mean < grade.latency_objective_ms < grade.timeout_ms for mean, grade in zip(work, grades, strict=True))
+    traffic_classes = config.settings.traffic_classes
+    assert [traffic_class.retry_safety for traffic_class in traffic_classes] == [
+        RETRY_SAFETY[site_class["effect"]] for site_class in site["class"]
+    ]
+    assert all(
+        work_ms < traffic_class.latency_objective_ms < traffic_class.timeout_ms
+        for work_ms, traffic_class in zip(work, traffic_classes, strict=True)
+    )
     AdmissionController(Generation(1, config).settings, 1, 0.0).start(0.0)
 
 
-def test_the_sites_pull_in_opposite_directions():
+def test_the_deployments_differ_in_timeouts_zones_classes_and_tenants():
     short, long = (tomllib.loads(path.read_text()) for path in SITES)
-    assert max(each["deadline_ms"] for each in short["class"]) < min(each["aim_ms"] for each in long["class"])
+    assert max(traffic_class["deadline_ms"] for traffic_class in short["class"]) < min(
+        traffic_class["aim_ms"] for traffic_class in long["class"]
+    )
     assert len(short["net"]["zones"]) == 1 < len(long["net"]["zones"])
-    credit = {each["effect"]: each["worth"] * each["share"] for each in short["class"]}
-    assert credit["keyed"] + credit["unsafe"] > 2 * credit["safe"]
+    value = {
+        traffic_class["effect"]: traffic_class["worth"] * traffic_class["share"] for traffic_class in short["class"]
+    }
+    assert value["keyed"] + value["unsafe"] > 2 * value["safe"]
     assert len(long["class"]) > 2 * len(short["class"]) and len(long["tenant"]) > 2 * len(short["tenant"])
 
 
-def words(site):
-    """All that is named in it."""
+def names_in(site):
+    """Yield the names of a deployment and of its zones, classes, tenants, tiers and kinds of server."""
     yield site["name"]
     yield from site["net"]["zones"]
-    kinds = [kind for one in site["tier"] for kind in one["kind"]]
-    for each in (*site["class"], *site["tenant"], *site["tier"], *kinds):
-        yield each["name"]
+    kinds = [kind for tier in site["tier"] for kind in tier["kind"]]
+    for named in (*site["class"], *site["tenant"], *site["tier"], *kinds):
+        yield named["name"]
 
 
-def test_no_word_of_any_deployment_stands_in_the_package_or_the_deploy_file():
-    named = {word for path in SITES for word in words(tomllib.loads(path.read_text()))}
-    found = re.compile(r"\b(" + "|".join(map(re.escape, named)) + r")\b")
+def test_no_name_from_a_deployment_occurs_in_the_package_or_the_deploy_files():
+    names = {name for path in SITES for name in names_in(tomllib.loads(path.read_text()))}
+    any_name = re.compile(r"\b(" + "|".join(map(re.escape, names)) + r")\b")
     files = [*(ROOT / "nickelslip").rglob("*.py"), ROOT / "deploy" / "balancer.toml", ROOT / "deploy" / "serve.py"]
-    assert len(named) > 30 and len(files) > 40
-    assert not [(file.name, match[0]) for file in files for match in found.finditer(file.read_text())]
+    assert len(names) > 30 and len(files) > 40
+    assert not [(file.name, match[0]) for file in files for match in any_name.finditer(file.read_text())]
