--- a/benchmarks/capacity/documents.py
+++ b/benchmarks/capacity/documents.py
@@ -1,6 +1,6 @@
 """Generates configurations with a given number of tenants and traffic classes, in both formats.
 
-`lifted_bounds` raises the limits on the size of a document and on the names in it. The cost of documents that the
+`raised_limits` raises the limits on the size of a document and on the names in it. The cost of documents that the
 server would reject can then be measured. It changes nothing else in the server.
 """
 
@@ -72,7 +72,7 @@
     return value
 
 
-def own_document(
+def native_document(
     tenant_count: int, ports: Ports | None = None, socket: str = "", traffic_class_count: int | None = None
 ) -> Document:
     """Return the same configuration as a nickelslip document.
@@ -90,13 +90,13 @@
     return {"version": 1, **document}
 
 
-def encoded(value: dict[str, Any]) -> bytes:
+def encode_compact(value: dict[str, Any]) -> bytes:
     """Return a configuration as compact JSON."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 @contextmanager
-def lifted_bounds() -> Iterator[None]:
+def raised_limits() -> Iterator[None]:
     """Raise the limits on the size of a document and on its numbers of tenants and traffic classes."""
     with ExitStack() as stack:
         stack.enter_context(
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -23,7 +23,7 @@
 
     factor: float
     exponent: float
-    error: float
+    standard_error: float
 
     def at(self, size: float) -> float:
         """Return the value that the power law predicts at this size."""
@@ -50,5 +50,5 @@
     intercept = mean_value - exponent * mean_size
     pairs = zip(sizes, values, strict=True)
     residual = sum((value - intercept - exponent * size) ** 2 for size, value in pairs)
-    error = sqrt(residual / (count - 2) / size_variation)
-    return Fit(exp(intercept), exponent, error)
+    standard_error = sqrt(residual / (count - 2) / size_variation)
+    return Fit(exp(intercept), exponent, standard_error)
--- a/benchmarks/capacity/in_process.py
+++ b/benchmarks/capacity/in_process.py
@@ -16,7 +16,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.capacity.documents import encoded, own_document, tenant_name
+from benchmarks.capacity.documents import encode_compact, native_document, tenant_name
 from nickelslip.admission.controller import AdmissionController
 from nickelslip.admission.estimators import SlidingWindowSum
 from nickelslip.admission.interface import Arrival, Outcome, RequestState, Settings
@@ -31,7 +31,7 @@
 
 SEED = 7
 MEASURED_CHANGES = 1  # over which the memory of one further change is averaged
-FULL_CHANGES = MAX_RECORDS_IN_MEMORY // 2 + 4  # each adds two records, so these fill the history in memory
+CHANGES_TO_FILL_HISTORY = MAX_RECORDS_IN_MEMORY // 2 + 4  # each adds two records, so these fill the history in memory
 RUN_MS = 40.0  # work of a run on a core
 UNREACHED_MS = 600_000.0  # a latency objective and timeout that no queued request reaches within a measurement
 BUCKETS_PER_RING = 16
@@ -49,7 +49,7 @@
     return float(median(times))
 
 
-def whole_of(document: Document) -> Document:
+def checked_document(document: Document) -> Document:
     """Return the completed document after the checks that a pushed document passes.
 
     Raises:
@@ -86,12 +86,12 @@
             self.changes.confirm(self.now_ms, "benchmark")
 
 
-def part_for(number: int) -> Document:
+def quota_overlay(number: int) -> Document:
     """Return a partial document that changes one tenant's quota."""
     return {"customers": {tenant_name(0): {"share_per_s": 3.0 + number}}}
 
 
-def rules_part_for(number: int) -> Document:
+def change_rules_overlay(number: int) -> Document:
     """Return a partial document that changes the change rules.
 
     Such a change has no canary period, so many can follow each other.
@@ -116,25 +116,25 @@
 
 
 def configuration_cost(tenants: int, repeats: int, traffic_class_count: int | None = None) -> ConfigurationCost:
-    """Measure the cost of each step. Call it under `lifted_bounds`."""
-    document = own_document(tenants, traffic_class_count=traffic_class_count)
-    text = encoded(document)
-    whole = whole_of(document)
-    changed, _ = complete(merge(whole, part_for(0)))
+    """Measure the cost of each step. Call it under `raised_limits`."""
+    document = native_document(tenants, traffic_class_count=traffic_class_count)
+    text = encode_compact(document)
+    whole = checked_document(document)
+    changed, _ = complete(merge(whole, quota_overlay(0)))
     old, new = Generation(1, config_from(whole)).settings, Generation(2, config_from(changed)).settings
     controller = AdmissionController(old, SEED, 0.0)
     steps, number = ChangeSteps(whole), iter(range(1, 1000))
     return ConfigurationCost(
         text_bytes=len(text),
         parse_ms=processor_ms(lambda: parse_document(text, "settings", with_positions=False), repeats),
-        check_ms=processor_ms(lambda: whole_of(document), repeats),
+        check_ms=processor_ms(lambda: checked_document(document), repeats),
         build_ms=processor_ms(lambda: config_from(whole), repeats),
         plan_ms=processor_ms(lambda: plan_of(whole, changed), repeats),
         digest_ms=processor_ms(lambda: digest_of(whole), repeats),
         prove_ms=processor_ms(lambda: AdmissionController(new, SEED, 0.0), repeats),
         apply_ms=processor_ms(lambda: controller.settings_changed(1.0, new), repeats),
         undo_ms=processor_ms(lambda: controller.settings_changed(1.0, old), repeats),
-        change_ms=processor_ms(lambda: steps.push(part_for(next(number))), repeats),
+        change_ms=processor_ms(lambda: steps.push(quota_overlay(next(number))), repeats),
     )
 
 
@@ -148,8 +148,8 @@
 
 
 def memory_cost(tenants: int, traffic_class_count: int | None = None) -> MemoryCost:
-    """Measure what is kept. Call it under `lifted_bounds`. It is slow because of tracemalloc."""
-    whole = whole_of(own_document(tenants, traffic_class_count=traffic_class_count))
+    """Measure what is kept. Call it under `raised_limits`. It is slow because of tracemalloc."""
+    whole = checked_document(native_document(tenants, traffic_class_count=traffic_class_count))
     tracemalloc.start()
     try:
         bytes_before = traced_bytes()
@@ -160,10 +160,10 @@
         tables = traced_bytes()
         del controller
         steps = ChangeSteps(whole)
-        steps.push(part_for(0))
+        steps.push(quota_overlay(0))
         first = traced_bytes()
         for number in range(1, MEASURED_CHANGES + 1):
-            steps.push(part_for(number))
+            steps.push(quota_overlay(number))
         change = (traced_bytes() - first) / MEASURED_CHANGES
     finally:
         tracemalloc.stop()
@@ -172,13 +172,13 @@
 
 def full_history_bytes(tenants: int) -> float:
     """Return the memory kept beyond the first configuration once changes fill the history in memory."""
-    whole = whole_of(own_document(tenants))
+    whole = checked_document(native_document(tenants))
     tracemalloc.start()
     try:
         steps = ChangeSteps(whole)
         bytes_before = traced_bytes()
-        for number in range(FULL_CHANGES):
-            steps.push(part_for(number))
+        for number in range(CHANGES_TO_FILL_HISTORY):
+            steps.push(quota_overlay(number))
         return traced_bytes() - bytes_before
     finally:
         tracemalloc.stop()
@@ -206,7 +206,7 @@
 
 def settings_for(tenants: int, traffic_class_count: int | None = None, **changes: Any) -> Settings:
     """Return the admission controller's settings at a size."""
-    settings = config_from(whole_of(own_document(tenants, traffic_class_count=traffic_class_count))).settings
+    settings = config_from(checked_document(native_document(tenants, traffic_class_count=traffic_class_count))).settings
     return replace(settings, memory_kb=1e9, **changes)
 
 
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -38,7 +38,7 @@
     )
 
 
-def number(value: float | None) -> str:
+def format_figure(value: float | None) -> str:
     """Return a figure with three significant digits, or the text for a figure that was not measured."""
     if value is None:
         return NOT_MEASURED
@@ -54,10 +54,10 @@
         "tenants": f"{PLAN.tenants:,}",
         "routes": f"{PLAN.routes:,}",
         "changes": f"{PLAN.changes_per_day:,}",
-        "in_force": number(PLAN.in_force_s),
-        "rate": number(PLAN.requests_per_server_s),
-        "zone_rate": number(PLAN.requests_without_a_zone_s),
-        "stop": number(PLAN.stop_ms_per_change),
+        "in_force": format_figure(PLAN.in_force_s),
+        "rate": format_figure(PLAN.requests_per_server_s),
+        "zone_rate": format_figure(PLAN.requests_per_server_zone_down_s),
+        "stop": format_figure(PLAN.max_pause_ms_per_change),
     }
 
 
@@ -65,7 +65,7 @@
     run = measured.run
     kind = "`--quick`" if run["quick"] else "a full run"
     return (
-        f"{kind}, seed {run['seed']}, {number(run['seconds'])} s, Python {run['python']}, {run['system']}, "
+        f"{kind}, seed {run['seed']}, {format_figure(run['seconds'])} s, Python {run['python']}, {run['system']}, "
         f"{run['cores']} cores shared with other work (load {run['load'][0]:g} before, {run['load'][1]:g} after)"
     )
 
@@ -77,23 +77,23 @@
 
 
 def _table_line(row: Row) -> str:
-    value = NOT_MEASURED if row.value is None else f"{number(row.value)} {row.unit}"
-    limit = "" if row.limit is None else f"{number(row.limit)} {row.unit}"
-    over = f"**{number(row.factor)}**" if row.over else ""
+    value = NOT_MEASURED if row.value is None else f"{format_figure(row.value)} {row.unit}"
+    limit = "" if row.limit is None else f"{format_figure(row.limit)} {row.unit}"
+    over = f"**{format_figure(row.factor)}**" if row.is_over_limit else ""
     return f"| {row.name} | {value} | {_exponent_cell(row)} | {_method_cell(row)} | {limit} | {over} |"
 
 
 def _exponent_cell(row: Row) -> str:
     if row.series is None:
         return ""
-    return exponent(row.series)
+    return format_exponent(row.series)
 
 
-def exponent(series: Series) -> str:
+def format_exponent(series: Series) -> str:
     """Return the exponent of a series with its standard error."""
     if series.fit is None:
         return "no fit"
-    return f"{series.dimension} ^ {series.fit.exponent:.2f} ± {series.fit.error:.2f}"
+    return f"{series.dimension} ^ {series.fit.exponent:.2f} ± {series.fit.standard_error:.2f}"
 
 
 def _method_cell(row: Row) -> str:
@@ -109,10 +109,10 @@
 def _series_table(measured: Measured) -> str:
     lines = list(SERIES_TABLE_HEAD)
     for series in measured.series.values():
-        points = ", ".join(f"{number(point.size)} = {number(point.value)}" for point in series.points)
+        points = ", ".join(f"{format_figure(point.size)} = {format_figure(point.value)}" for point in series.points)
         lines.append(
             f"| `{series.name}` ({series.unit}) | {series.dimension} | {series.source} | {points} | "
-            f"{exponent(series)} |"
+            f"{format_exponent(series)} |"
         )
     return "\n".join(lines)
 
@@ -132,28 +132,30 @@
     if cost is not None:
         parts.append(
             f"Of what was measured, **{cost.name}** ({cost.role.lower()}) misses its limit by the largest "
-            f"factor: {number(cost.value)} {cost.unit} against {number(cost.limit)}, "
-            f"{number(cost.factor)} times."
+            f"factor: {format_figure(cost.value)} {cost.unit} against {format_figure(cost.limit)}, "
+            f"{format_figure(cost.factor)} times."
         )
         others = sorted(
-            (row for row in rows if row.over and row.kind == COST and row is not cost),
+            (row for row in rows if row.is_over_limit and row.kind == COST and row is not cost),
             key=lambda row: -(row.factor or 0.0),
         )
         if others:
-            parts.append("Behind it: " + "; ".join(f"{row.name}, {number(row.factor)} times" for row in others) + ".")
+            parts.append(
+                "Behind it: " + "; ".join(f"{row.name}, {format_figure(row.factor)} times" for row in others) + "."
+            )
     else:
         parts.append("No measured row misses its limit.")
-    noisy = [row for row in rows if row.over and row.kind == NOISY]
+    noisy = [row for row in rows if row.is_over_limit and row.kind == NOISY]
     if noisy:
         parts.append(
             "Undecided, since the echo alone is over the limit on this machine: "
-            + "; ".join(f"{row.name}, {number(row.factor)} times" for row in noisy)
+            + "; ".join(f"{row.name}, {format_figure(row.factor)} times" for row in noisy)
             + "."
         )
     if bound is not None:
         parts.append(
             f"Of the bounds in today's code, {bound.name} is the furthest from the plan "
-            f"({number(bound.factor)} times); a bound alone is a constant, not a mechanism."
+            f"({format_figure(bound.factor)} times); a bound alone is a constant, not a mechanism."
         )
     return " ".join(parts)
 
@@ -161,10 +163,10 @@
 def _failure_placeholders(measured: Measured) -> dict[str, str]:
     figures = measured.figures
     return {
-        "interval": number(figures.get("report_interval_s")),
-        "ready": number(_seconds(measured.at("real_tenants_ready_ms", PLAN.tenants))),
-        "last_in_force": number(measured.at("rollout_in_force_s", PLAN.servers)),
-        "hour_changes": number(PLAN.changes_per_s * HOUR_S),
+        "interval": format_figure(figures.get("report_interval_s")),
+        "ready": format_figure(_seconds(measured.at("real_tenants_ready_ms", PLAN.tenants))),
+        "last_in_force": format_figure(measured.at("rollout_in_force_s", PLAN.servers)),
+        "hour_changes": format_figure(PLAN.changes_per_s * HOUR_S),
         "course": measured.notes.get(f"rollout_{PLAN.servers}", NOT_MEASURED),
     }
 
--- a/benchmarks/capacity/plan.py
+++ b/benchmarks/capacity/plan.py
@@ -33,7 +33,7 @@
         return self.requests_per_s / self.servers
 
     @property
-    def requests_without_a_zone_s(self) -> float:
+    def requests_per_server_zone_down_s(self) -> float:
         """Return the mean request rate of one server at the peak, with one of the equally sized zones down."""
         return self.requests_per_server_s * self.zones / (self.zones - 1)
 
@@ -43,12 +43,12 @@
         return self.changes_per_day / DAY_S
 
     @property
-    def stop_ms_per_change(self) -> float:
+    def max_pause_ms_per_change(self) -> float:
         """Return how long a change may block a server if it is to delay at most one request in a hundred."""
         return 0.01 * 1000 / self.changes_per_s
 
     @property
-    def pairs(self) -> int:
+    def full_mesh_connection_count(self) -> int:
         """Return the number of connections in the fleet if every caller keeps one to every server."""
         return self.servers * self.callers
 
--- a/benchmarks/capacity/real.py
+++ b/benchmarks/capacity/real.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.capacity.documents import ROOT, Ports, encoded, own_document, platform_config, tenant_name
+from benchmarks.capacity.documents import ROOT, Ports, encode_compact, native_document, platform_config, tenant_name
 from nickelslip.configuration.schema import MAX_NAMES
 from nickelslip.configuration.validation import MAX_DOCUMENT_BYTES
 from nickelslip.server import resp
@@ -164,7 +164,7 @@
 
 
 @asynccontextmanager
-async def serving(folder: Path, tenants: int, changes: bool = False) -> AsyncIterator[Server]:
+async def running_server(folder: Path, tenants: int, changes: bool = False) -> AsyncIterator[Server]:
     """Run a real server with this many tenants, and yield it once it is connected to its worker pool.
 
     Its limits on documents are raised only if the size needs it. With `changes` it has a control socket.
@@ -174,7 +174,7 @@
     transport, directory = await loop.create_datagram_endpoint(FakeDirectory, ("127.0.0.1", 0))
     ports = Ports(free_port(), pool.sockets[0].getsockname()[1], transport.get_extra_info("sockname")[1])
     path = str(folder / f"control{ports.listen}") if changes else ""
-    text = encoded(own_document(tenants, ports, path) if changes else platform_config(tenants, ports))
+    text = encode_compact(native_document(tenants, ports, path) if changes else platform_config(tenants, ports))
     file = folder / f"config{ports.listen}.json"
     file.write_bytes(text)
     needs_raised_limits = len(text) > MAX_DOCUMENT_BYTES or (changes and tenants > MAX_NAMES["customers"])
@@ -290,7 +290,7 @@
 
 
 @asynccontextmanager
-async def echoing() -> AsyncIterator[int]:
+async def running_echo_server() -> AsyncIterator[int]:
     """Run an echo server process, and yield its port."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-B", "-m", "benchmarks.capacity.echo_server", cwd=ROOT, stdout=asyncio.subprocess.PIPE
--- a/benchmarks/capacity/rollout.py
+++ b/benchmarks/capacity/rollout.py
@@ -24,7 +24,7 @@
 class SimulatedRollout:
     """The result of one simulated roll-out."""
 
-    course: str
+    status_word: str
     took_s: float
     in_force_s: tuple[float, ...]  # when each server that received the change applied it, ascending
 
@@ -33,7 +33,7 @@
         return percentile_by_ceiling_rank(self.in_force_s, fraction)
 
 
-def spread(server_count: int, apply_ms: float, status_ms: float) -> SimulatedRollout:
+def simulate_rollout(server_count: int, apply_ms: float, status_ms: float) -> SimulatedRollout:
     """Simulate one roll-out to this many servers."""
     canary_period_ms = ChangeRules().canary_period_ms
     rollout = Rollout([f"n{number}" for number in range(server_count)], RolloutPolicy(), 0.0)
@@ -57,9 +57,9 @@
             step = "confirmed" if now_ms >= in_force_at_ms.get(target, now_ms) + canary_period_ms else "on_probation"
             rollout.record_reply(now_ms, target, action, _reply(step), DIGEST)
         now_ms = until_ms
-    course = ROLLOUT_STATUS_WORDS[rollout.status if rollout.is_finished else RolloutStatus.IN_PROGRESS]
+    status_word = ROLLOUT_STATUS_WORDS[rollout.status if rollout.is_finished else RolloutStatus.IN_PROGRESS]
     return SimulatedRollout(
-        course, now_ms / 1000, tuple(sorted(applied_at_ms / 1000 for applied_at_ms in in_force_at_ms.values()))
+        status_word, now_ms / 1000, tuple(sorted(applied_at_ms / 1000 for applied_at_ms in in_force_at_ms.values()))
     )
 
 
--- a/benchmarks/capacity/rows.py
+++ b/benchmarks/capacity/rows.py
@@ -47,7 +47,7 @@
         return self.value / self.limit
 
     @property
-    def over(self) -> bool:
+    def is_over_limit(self) -> bool:
         """Whether the value exceeds the limit."""
         return self.factor is not None and self.factor > 1
 
@@ -65,7 +65,7 @@
 
 def worst_of(rows: Sequence[Row], kind: str) -> Row | None:
     """Return the row of this kind that exceeds its limit by the largest factor, or None."""
-    over = [row for row in rows if row.over and row.kind == kind]
+    over = [row for row in rows if row.is_over_limit and row.kind == kind]
     return max(over, key=lambda row: row.factor or 0.0, default=None)
 
 
@@ -183,7 +183,7 @@
             "real_change_core_ms",
             tenants,
             "ms",
-            PLAN.stop_ms_per_change,
+            PLAN.max_pause_ms_per_change,
             method="limit by arithmetic: 1 request in 100 at the plan's changes a second",
         ),
         _row_at_size(measured, SERVER, "a change's adoption alone", "tenants_apply_ms", tenants, "ms"),
@@ -203,7 +203,7 @@
             SERVER,
             "decisions' part of a core, by requests a second",
             "rate_decision_share",
-            PLAN.requests_without_a_zone_s,
+            PLAN.requests_per_server_zone_down_s,
             "of a core",
             method="with one zone of six gone",
         ),
@@ -344,7 +344,7 @@
         Row(
             CALLER,
             "connections in the fleet, no subsets",
-            PLAN.pairs,
+            PLAN.full_mesh_connection_count,
             "connections",
             method="servers x callers, by arithmetic",
         ),
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -19,10 +19,10 @@
 import orjson
 
 from benchmarks.capacity import in_process, real
-from benchmarks.capacity.documents import lifted_bounds
+from benchmarks.capacity.documents import raised_limits
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import FEW_TENANTS, IN_PROCESS, REAL, SIMULATED, Measured
-from benchmarks.capacity.rollout import spread
+from benchmarks.capacity.rollout import simulate_rollout
 from benchmarks.sample_statistics import percentile_by_floor_index
 from nickelslip.configuration.config import ChangeRules
 from nickelslip.configuration.control_client import ask_once
@@ -55,7 +55,7 @@
     span_s: float
 
 
-RATES = (35.0, PLAN.requests_per_server_s, PLAN.requests_without_a_zone_s, 3 * PLAN.requests_per_server_s)
+RATES = (35.0, PLAN.requests_per_server_s, PLAN.requests_per_server_zone_down_s, 3 * PLAN.requests_per_server_s)
 QUICK = Sizes(
     tenants=(100, 700, 5_000, PLAN.tenants),
     traffic_class_counts=(2, 8, 24, 64),
@@ -101,7 +101,7 @@
     async def measure_all(self, quick: bool) -> Measured:
         """Run all measurements in order."""
         started_at_s, loads = time.monotonic(), [os.getloadavg()[0]]
-        with lifted_bounds():
+        with raised_limits():
             self._configurations()
             self._memory()
             self._decisions()
@@ -181,7 +181,7 @@
         """Measure the start time and resident memory of real processes, and the load reports of one."""
         ready_ms, resident_kb = {}, {}
         for size in self._sizes.real_tenants:
-            async with real.serving(folder, size) as server:
+            async with real.running_server(folder, size) as server:
                 ready_ms[size], resident_kb[size] = server.ready_ms, server.resident_kb()
                 if size == FEW_TENANTS:
                     await self._reports(server)
@@ -201,7 +201,7 @@
     async def _connections(self, folder: Path) -> None:
         """Measure what idle open connections cost a real process."""
         memory_kb, core_share = {}, {}
-        async with real.serving(folder, FEW_TENANTS) as server:
+        async with real.running_server(folder, FEW_TENANTS) as server:
             await server.open_connections(WARM_CONNECTIONS)
             before_kb = server.resident_kb()
             self.measured.figures["rest_core_share"] = await server.processor_share(IDLE_S)
@@ -219,12 +219,12 @@
         """Measure the time of a change in a real process, and the resident memory after it."""
         apply_ms, processor_ms, resident_after_kb, status_ms = {}, {}, {}, 0.0
         for size in self._sizes.real_tenants:
-            async with real.serving(folder, size, changes=True) as server:
+            async with real.running_server(folder, size, changes=True) as server:
                 apply_times_ms, processor_times_ms, resident_kb = [], [], []
                 for number in range(CHANGES_PER_SIZE):
                     processor_ms_before, started_at_s = server.processor_ms(), time.perf_counter()
                     reply = await ask_once(
-                        server.socket, "apply", CONTROL_TIMEOUT_MS, document=in_process.part_for(number)
+                        server.socket, "apply", CONTROL_TIMEOUT_MS, document=in_process.quota_overlay(number)
                     )
                     apply_times_ms.append((time.perf_counter() - started_at_s) * 1000)
                     processor_times_ms.append(server.processor_ms() - processor_ms_before)
@@ -234,7 +234,7 @@
                     resident_kb.append(server.resident_kb())
                 apply_ms[size], processor_ms[size] = median(apply_times_ms), median(processor_times_ms)
                 resident_after_kb[size] = resident_kb[-1]
-                change_bytes = len(orjson.dumps(in_process.part_for(0)))
+                change_bytes = len(orjson.dumps(in_process.quota_overlay(0)))
                 self.measured.figures["change_bytes"] = change_bytes + len(orjson.dumps(reply))
                 self.measured.figures["status_bytes"] = len(orjson.dumps(status_reply))
         self.measured.add("real_change_ms", "tenants", "ms", REAL, apply_ms)
@@ -246,11 +246,11 @@
     async def _history(self, folder: Path) -> None:
         """Compare the memory of a full history in a real process with the in-process figure at the same size."""
         tenants = max(self._sizes.history_tenants)
-        async with real.serving(folder, tenants, changes=True) as server:
+        async with real.running_server(folder, tenants, changes=True) as server:
             before_kb = server.resident_kb()
-            for number in range(1, in_process.FULL_CHANGES + 1):
+            for number in range(1, in_process.CHANGES_TO_FILL_HISTORY + 1):
                 reply = await ask_once(
-                    server.socket, "apply", CONTROL_TIMEOUT_MS, document=in_process.rules_part_for(number)
+                    server.socket, "apply", CONTROL_TIMEOUT_MS, document=in_process.change_rules_overlay(number)
                 )
                 if not reply["ok"]:
                     raise RuntimeError(f"a change was not taken: {reply['text']}")
@@ -265,9 +265,9 @@
         """Measure the latency that a real process adds to a request, with an echo as the baseline."""
         figures = self.measured.figures
         rate_per_s, span_s = PLAN.requests_per_server_s, self._sizes.span_s
-        async with real.echoing() as echo:
+        async with real.running_echo_server() as echo:
             for tenants in (FEW_TENANTS, PLAN.tenants):
-                async with real.serving(folder, tenants) as server:
+                async with real.running_server(folder, tenants) as server:
                     for rate_factor in (1, 3):
                         times = await real.request_times(
                             server, echo, tenants, rate_factor * rate_per_s, span_s, self._seed
@@ -288,9 +288,9 @@
         assert apply_ms is not None and status_ms is not None
         last_in_force_s, took_s = {}, {}
         for size in self._sizes.servers:
-            rollout = spread(size, apply_ms, status_ms)
+            rollout = simulate_rollout(size, apply_ms, status_ms)
             last_in_force_s[size], took_s[size] = rollout.in_force_s[-1], rollout.took_s
-            self.measured.notes[f"rollout_{size}"] = rollout.course
+            self.measured.notes[f"rollout_{size}"] = rollout.status_word
             if size == PLAN.servers:
                 self.measured.figures["simulated_in_force_s_p99"] = rollout.percentile(0.99)
                 self.measured.figures["simulated_in_force_s_max"] = rollout.in_force_s[-1]
--- a/benchmarks/capacity/summary.py
+++ b/benchmarks/capacity/summary.py
@@ -17,8 +17,8 @@
 def summary_of(measured: Measured) -> dict[str, Any]:
     """Return the JSON object of the last output line."""
     figures = measured.figures
-    course = measured.notes.get(f"rollout_{PLAN.servers}")
-    in_force = course == DONE  # a change that was rolled back was never in force everywhere
+    status_word = measured.notes.get(f"rollout_{PLAN.servers}")
+    in_force = status_word == DONE  # a change that was rolled back was never in force everywhere
     return {
         "added_ms_p99": figures.get(f"added_ms_p99_{PLAN.tenants}_1x"),
         "added_echo_ms_p99": figures.get(f"added_echo_ms_p99_{PLAN.tenants}_1x"),
@@ -30,7 +30,7 @@
         "in_force_source": SIMULATED,
         "simulated_in_force_s_p99": figures.get("simulated_in_force_s_p99"),
         "simulated_in_force_s_max": figures.get("simulated_in_force_s_max"),
-        "simulated_rollout_end": course,
+        "simulated_rollout_end": status_word,
         "changes_lost": None,
         "mixed_generations": None,
         "older_after_newer": None,  # these three need fault injection in real processes
@@ -43,10 +43,10 @@
             name: {
                 "dimension": series.dimension,
                 "exponent": round(series.fit.exponent, 3),
-                "error": round(series.fit.error, 3),
+                "error": round(series.fit.standard_error, 3),
             }
             for name, series in measured.series.items()
             if series.fit is not None
         },
-        "over_limit": [f"{row.role}: {row.name}" for row in rows_of(measured) if row.over],
+        "over_limit": [f"{row.role}: {row.name}" for row in rows_of(measured) if row.is_over_limit],
     }
--- a/benchmarks/capacity/unbounded.py
+++ b/benchmarks/capacity/unbounded.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from benchmarks.capacity.documents import lifted_bounds
+from benchmarks.capacity.documents import raised_limits
 from nickelslip.server.__main__ import run
 
 if __name__ == "__main__":
-    with lifted_bounds():
+    with raised_limits():
         run()
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -49,7 +49,7 @@
 READY_PERCENTILE = 0.9
 
 
-def asked_excess(history: History, machine: MachineProfile, mean_ms: float) -> float:
+def written_requests_excess(history: History, machine: MachineProfile, mean_ms: float) -> float:
     """Return the worst excess of requests that all load balancers together wrote to one server during its warm-up.
 
     The budget in an overload window is the number of requests that the server can finish in it, plus the number that it
@@ -107,7 +107,7 @@
     return {
         "cold_runs_excess": figures["machines_worst"],
         "cold_calls_excess": figures["records_worst"],
-        "cold_asked_excess": asked_excess(fleet.history, plan.machine, mean_ms),
+        "cold_asked_excess": written_requests_excess(fleet.history, plan.machine, mean_ms),
         "cold_falls": sum("machine" in line for line in falls) + figures["records_falls"],
         "rules_broken": len(fleet.violations(scripted_falls=True)),
         "callers_lag_ms": figures["lag_ms"],
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,12 +9,12 @@
 
 from benchmarks.capacity import in_process, real
 from benchmarks.capacity.__main__ import DATA, PAGE, page_text
-from benchmarks.capacity.documents import encoded, lifted_bounds, own_document
+from benchmarks.capacity.documents import encode_compact, native_document, raised_limits
 from benchmarks.capacity.fit import Point, fit
-from benchmarks.capacity.page import NOT_MEASURED, exponent, number
+from benchmarks.capacity.page import NOT_MEASURED, format_exponent, format_figure
 from benchmarks.capacity.plan import PLAN
 from benchmarks.capacity.results import IN_PROCESS, Measured, Series, measured_from
-from benchmarks.capacity.rollout import spread
+from benchmarks.capacity.rollout import simulate_rollout
 from benchmarks.capacity.rows import BOUND, COST, NOISY, ROLES, Row, rows_of, worst_of
 from benchmarks.capacity.summary import summary_of
 from nickelslip.configuration.control_client import ask_once
@@ -33,7 +33,7 @@
 def test_the_fit_of_an_exact_power_law_has_no_error(power):
     fitted = fit(power_law_points(3.0, power))
     assert fitted.exponent == pytest.approx(power, abs=1e-9)
-    assert fitted.error == pytest.approx(0.0, abs=1e-9)
+    assert fitted.standard_error == pytest.approx(0.0, abs=1e-9)
     assert fitted.at(1_000.0) == pytest.approx(3.0 * 1_000.0**power)
 
 
@@ -45,8 +45,8 @@
             for point in power_law_points(2.0, 1.0, (*SIZES, 300.0, 12_000.0))
         ]
         fitted = fit(points)
-        within += abs(fitted.exponent - 1.0) <= 2 * fitted.error
-        errors.append(fitted.error)
+        within += abs(fitted.exponent - 1.0) <= 2 * fitted.standard_error
+        errors.append(fitted.standard_error)
     # Student's t distribution with 4 degrees of freedom has 0.884 of its weight within 2 standard errors.
     assert 0.84 <= within / trials <= 0.93
     assert 0.02 < sum(errors) / trials < 0.05
@@ -66,14 +66,14 @@
     assert series.at(700.0) == 1400.0 and series.measured_at(700.0)
     assert series.at(1_000.0) == pytest.approx(2_000.0) and not series.measured_at(1_000.0)
     short = replace(series, points=series.points[:3])
-    assert short.fit is None and short.at(1_000.0) is None and exponent(short) == "no fit"
+    assert short.fit is None and short.at(1_000.0) is None and format_exponent(short) == "no fit"
 
 
 def test_only_a_measured_value_can_exceed_its_limit():
-    assert not Row("r", "n", None, "ms", 5.0).over
-    assert not Row("r", "n", 9.0, "ms").over
-    assert not Row("r", "n", 5.0, "ms", 5.0).over
-    assert Row("r", "n", 5.1, "ms", 5.0).over
+    assert not Row("r", "n", None, "ms", 5.0).is_over_limit
+    assert not Row("r", "n", 9.0, "ms").is_over_limit
+    assert not Row("r", "n", 5.0, "ms", 5.0).is_over_limit
+    assert Row("r", "n", 5.1, "ms", 5.0).is_over_limit
 
 
 def test_the_worst_row_exceeds_its_limit_by_the_largest_factor_of_its_kind():
@@ -93,7 +93,7 @@
     at = f"{PLAN.tenants}_1x"
     measured = Measured(figures={f"added_ms_p99_{at}": echo_ms + 8.0, f"added_echo_ms_p99_{at}": echo_ms})
     (row,) = (row for row in rows_of(measured) if row.name.startswith("added") and row.value is not None)
-    assert row.over and row.value == pytest.approx(8.0) and row.kind == kind
+    assert row.is_over_limit and row.value == pytest.approx(8.0) and row.kind == kind
     assert worst_of([row], COST) is (row if kind == COST else None)
 
 
@@ -101,7 +101,7 @@
     unmeasured = Measured()
     rows = rows_of(unmeasured)
     assert {row.role for row in rows} == set(ROLES)
-    assert all(not row.over for row in rows if row.kind == COST)
+    assert all(not row.is_over_limit for row in rows if row.kind == COST)
     summary = summary_of(unmeasured)
     for name in (
         "added_ms_p99",
@@ -117,7 +117,7 @@
     ):
         assert summary[name] is None
     assert summary["exponents"] == {}
-    assert number(None) == NOT_MEASURED
+    assert format_figure(None) == NOT_MEASURED
 
 
 def test_a_change_that_is_not_rolled_out_everywhere_has_no_time_in_force():
@@ -129,17 +129,17 @@
 
 def test_the_figures_calculated_from_the_plan():
     assert PLAN.requests_per_server_s == pytest.approx(69.62, abs=0.01)
-    assert PLAN.requests_without_a_zone_s == pytest.approx(83.54, abs=0.01)
-    assert PLAN.stop_ms_per_change == pytest.approx(200.9, abs=0.1)
-    assert PLAN.pairs == 5_767_000
+    assert PLAN.requests_per_server_zone_down_s == pytest.approx(83.54, abs=0.01)
+    assert PLAN.max_pause_ms_per_change == pytest.approx(200.9, abs=0.1)
+    assert PLAN.full_mesh_connection_count == 5_767_000
 
 
 def test_the_limits_are_raised_only_inside_the_context():
     max_tenants = MAX_NAMES["customers"]
-    text = encoded(own_document(max_tenants + 1))
+    text = encode_compact(native_document(max_tenants + 1))
     oversized_text = text + b" " * (600 * 1024)
-    with lifted_bounds():
-        assert len(in_process.whole_of(own_document(max_tenants + 1))["customers"]) == max_tenants + 1
+    with raised_limits():
+        assert len(in_process.checked_document(native_document(max_tenants + 1))["customers"]) == max_tenants + 1
         assert parse_document(oversized_text, "settings", with_positions=False).value["version"] == 1
     assert MAX_NAMES["customers"] == max_tenants
     with pytest.raises(InvalidDocumentError):
@@ -147,9 +147,9 @@
 
 
 def test_a_change_without_a_server_takes_effect_and_is_recorded_as_in_a_server():
-    steps = in_process.ChangeSteps(in_process.whole_of(own_document(20)))
+    steps = in_process.ChangeSteps(in_process.checked_document(native_document(20)))
     for change_number in range(3):
-        steps.push(in_process.part_for(change_number))
+        steps.push(in_process.quota_overlay(change_number))
     in_force = steps.changes.in_force
     assert in_force.generation.number == 4
     assert in_force.document["customers"]["t00000"]["share_per_s"] == 5.0
@@ -157,13 +157,13 @@
 
 
 def test_a_full_history_does_not_grow_with_further_changes():
-    steps = in_process.ChangeSteps(in_process.whole_of(own_document(10)))
-    for change_number in range(1, in_process.FULL_CHANGES + 20):
-        steps.push(in_process.rules_part_for(change_number))
+    steps = in_process.ChangeSteps(in_process.checked_document(native_document(10)))
+    for change_number in range(1, in_process.CHANGES_TO_FILL_HISTORY + 20):
+        steps.push(in_process.change_rules_overlay(change_number))
     assert len(steps.changes.records) == steps.changes.records.maxlen
     few, many = in_process.full_history_bytes(10), in_process.full_history_bytes(110)
     # Bytes for each tenant and change: every change keeps a whole document.
-    assert (many - few) / 100 / in_process.FULL_CHANGES > 50
+    assert (many - few) / 100 / in_process.CHANGES_TO_FILL_HISTORY > 50
 
 
 def test_memory_grows_with_the_number_of_tenants():
@@ -173,21 +173,21 @@
 
 
 def test_a_simulated_rollout_completes_four_waves_and_fails_if_a_wave_takes_too_long():
-    quick = spread(40, apply_ms=5.0, status_ms=1.0)
-    assert quick.course == "done" and len(quick.in_force_s) == 40
+    quick = simulate_rollout(40, apply_ms=5.0, status_ms=1.0)
+    assert quick.status_word == "done" and len(quick.in_force_s) == 40
     assert 30.0 < quick.in_force_s[-1] < 33.0 < 40.0 < quick.took_s < 45.0
     assert quick.percentile(0.025) < 0.1
     # A wave of 200 servers, 16 at a time, takes longer than the 15 s after which a silent server is unreachable.
-    slow = spread(400, apply_ms=1_500.0, status_ms=1.0)
-    assert slow.course != "done"
+    slow = simulate_rollout(400, apply_ms=1_500.0, status_ms=1.0)
+    assert slow.status_word != "done"
 
 
 async def measure_real_server(folder):
     """Return the measurements of a real server with few tenants, and its exited process."""
-    async with real.serving(folder, 50, changes=True) as server:
-        reply = await ask_once(server.socket, "apply", document=in_process.part_for(0))
+    async with real.running_server(folder, 50, changes=True) as server:
+        reply = await ask_once(server.socket, "apply", document=in_process.quota_overlay(0))
         await server.open_connections(20)
-        async with real.echoing() as echo:
+        async with real.running_echo_server() as echo:
             times = await real.request_times(server, echo, 50, 40.0, 1.0, 7)
         are_closed = [connection.is_closed for connection in server.connections]
         process, resident_kb, reports = server.process, server.resident_kb(), list(server.directory.reports)
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.cold_sums import asked_excess
+from benchmarks.cold_sums import written_requests_excess
 from nickelslip.emulator.history import History, Kind
 from nickelslip.emulator.machine_model import Machine, MachineProfile
 from nickelslip.emulator.service_model import Service, ServiceProfile
@@ -27,7 +27,7 @@
     history.add(Kind.STARTED, "n1", at_ms=0.0)
     for number in range(many):
         history.add(Kind.REQUEST_WRITTEN, "n1", f"{number}", ["read", "", 0.0], 1000.0)
-    return asked_excess(history, KIND, 100.0)
+    return written_requests_excess(history, KIND, 100.0)
 
 
 def test_what_balancers_write_to_one_cold_server_is_held_against_what_it_can_take_then():
