--- a/tests/support/server_rig.py
+++ b/tests/support/server_rig.py
@@ -201,7 +201,7 @@
     async def start_run(
         self, client: LoadBalancerClient, request_id: str, class_name: str = "read", **fields: Any
     ) -> int:
-        """Send a request, wait until the worker pool is told to start its run, and return its tag."""
+        """Send a request, wait until the worker pool receives the command to start its run, and return its tag."""
         tag = await client.send_request(request_id, class_name, **fields)
         await wait_until(lambda: self.pool.received_commands("spawn", request_id))
         return tag
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -62,6 +62,7 @@
 def syscall_filter() -> bytes:
     """Return the filter as classic BPF instructions that test the number and arguments of a system call."""
 
+    # Codes: 0x20 loads a word, 0x15 jumps if equal, 0x45 jumps if any bit of the operand is set, 0x06 returns.
     def instruction(code: int, operand: int, jump_if_true: int = 0, jump_if_false: int = 0) -> bytes:
         return struct.pack("HBBI", code, jump_if_true, jump_if_false, operand)
 
@@ -120,6 +121,7 @@
 
     libc = ctypes.CDLL(None, use_errno=True)
     program = Program(len(instructions) // 8, instructions)
+    # PR_SET_NO_NEW_PRIVS (38), then PR_SET_SECCOMP (22) with SECCOMP_MODE_FILTER (2).
     if libc.prctl(38, 1, 0, 0, 0) or libc.prctl(22, 2, ctypes.byref(program), 0, 0):
         raise OSError(ctypes.get_errno(), "prctl")
 
