--- a/nickelslip/admission/advertised_weight.py
+++ b/nickelslip/admission/advertised_weight.py
@@ -30,8 +30,8 @@
     def adjust(self, interval: IntervalMeasurements) -> None:
         """Lower the weight after an interval with congestion, raise it after one without.
 
-        A rejection or a long read delay shows congestion. An interval in which no request was read counts as free of
-        congestion only if the cores were idle.
+        A rejection or a long read delay shows congestion. A moderate read delay leaves the weight unchanged. An
+        interval in which no request was read counts as free of congestion only if the cores were idle.
         """
         if interval.rejection_count or interval.max_read_delay_fraction > HIGH_READ_DELAY_FRACTION:
             self.weight *= WEIGHT_DECREASE_FACTOR
--- a/nickelslip/admission/concurrency_limit.py
+++ b/nickelslip/admission/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on running requests, and how many of its slots will become free soon."""
+"""The adaptive limit on running requests, and how many of its slots are not held by stalled runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConcurrencyLimit:
-    """The concurrency limit. Requests with a dependency call in flight do not count towards it."""
+    """The concurrency limit. Requests that wait for a call or have one in flight do not count towards it."""
 
     __slots__ = ("limit", "effective_slots", "_core_count", "_max_concurrency")
 
@@ -40,10 +40,10 @@
         self.limit = min(self.limit, self._max_concurrency)
 
     def count_effective_slots(self, now_ms: float, requests: TrackedRequests) -> None:
-        """Count the slots that will become free soon, which are those without a stalled run.
+        """Count the usable slots, which are all except those held by a stalled run.
 
-        Runs stall when cores hang, when the machine has become slow, or when requests are costly. If run times vary
-        widely, the count is a few slots too low.
+        Runs stall when cores hang. A run also counts as stalled if the machine has become slow, or if its request
+        costs far more than expected. If run times vary widely, the count is a few slots too low.
         """
         stalled_count = sum(_is_stalled(now_ms, request) for request in requests.on_cores())
         self.effective_slots = max(self.limit - stalled_count, 0.0)
--- a/nickelslip/admission/drain_schedule.py
+++ b/nickelslip/admission/drain_schedule.py
@@ -18,7 +18,10 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Set the grace one tick shorter, since requests of the last tick may be decided on only after the grace."""
+        """Set the grace to one tick less than configured.
+
+        Requests that arrive in the last tick of the configured grace may be decided on only after it.
+        """
         self._grace_ms = settings.drain_grace_ms - settings.tick_ms
 
     def start(self, now_ms: float, kill_at_ms: float) -> None:
--- a/nickelslip/admission/estimators.py
+++ b/nickelslip/admission/estimators.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 DEFAULT_BUCKET_COUNT = 16
-LONG_TERM_WEIGHT = 2.0  # weight of the long-term mean, in recent samples
+LONG_TERM_WEIGHT = 2.0  # the long-term mean counts as much as this many recent samples
 LONG_TERM_SAMPLE_LIMIT = 64  # each sample has at least the weight 1 / limit in the long-term mean
 
 TIMEOUT_BIN_COUNT = 64
@@ -23,7 +23,10 @@
 
 
 class RemainingAmount(NamedTuple):
-    """The sum of a window `after_ms` from now, if no samples are added until then."""
+    """The largest sum between the `after_ms` of the previous entry and this one, if no samples are added.
+
+    The first entry covers the time from now.
+    """
 
     after_ms: float
     amount: float
@@ -53,7 +56,7 @@
         return self._latest_bucket % bucket_count
 
     def add(self, now_ms: float, amount: float, count: float = 1.0) -> None:
-        """Add an amount to the current bucket."""
+        """Add an amount and a number of samples to the current bucket."""
         index = self._advance(now_ms)
         self._amounts[index] += amount
         self._counts[index] += count
@@ -64,7 +67,7 @@
         return WindowTotal(sum(self._amounts), sum(self._counts))
 
     def remaining_after_each_bucket(self, now_ms: float) -> list[RemainingAmount]:
-        """Return the sum left after each further bucket width, as the oldest buckets leave the window one by one."""
+        """Return the largest sum in each further bucket width, as the oldest buckets leave the window one by one."""
         index = self._advance(now_ms)
         bucket_count = len(self._amounts)
         amount = sum(self._amounts)
--- a/nickelslip/admission/interface.py
+++ b/nickelslip/admission/interface.py
@@ -1,7 +1,7 @@
 """Input and output types of the admission controller.
 
-This module contains no decision logic. Times are float milliseconds of one monotonic clock. Memory is in kilobytes. Ids
-and names are opaque.
+This module contains no decision logic. Times are float milliseconds of one clock that never goes backwards. Memory is
+in kilobytes. Ids and names are opaque.
 """
 
 from __future__ import annotations
@@ -113,11 +113,11 @@
     cold_speed_fraction: float  # initial speed of a cold machine, as a fraction of its full speed
     warm_up_ms: float
     overload_concurrency_per_core: float  # running requests per core that a warm machine handles without collapsing
-    answer_slack_ms: float
+    answer_slack_ms: float  # by how much an answer may be late
     drain_grace_ms: float
-    tick_ms: float
+    tick_ms: float  # resolution of time: events may be this much late
     server_count: int = 1
-    client_count: int = 1
+    client_count: int = 1  # load balancers in front of the server
     tenants: tuple[Tenant, ...] = ()
     over_quota_value_fraction: float = 1.0
     is_value_per_work_unit: bool = False  # the priority weight is per unit of work, not per request
@@ -125,11 +125,11 @@
     preemption: Preemption = Preemption.NEVER
     load_signal: LoadSignal = LoadSignal.NONE
     retry_after_max_ms: float = 0.0  # longest Retry-After that reaches the client; 0: Retry-After is not passed on
-    dependency_concurrency_share: float = 0.0  # this server's share, as a mean number of calls in flight; 0: unknown
+    dependency_concurrency_share: float = 0.0  # this server's dependency share, as mean calls in flight; 0: unknown
     dependency_window_ms: float = 0.0  # window of that mean
     abandoned_call_linger_ms: float = 0.0  # how long an abandoned call still occupies the dependency
     idempotency_record_kb: float = 0.0
-    response_cache_ms: float = 0.0  # how long the answer to a read may be reused for equal reads
+    response_cache_ms: float = 0.0  # how long an answer may be reused for equal idempotent requests
     idle_connection_timeout_ms: float = 0.0  # idle time after which clients close their connections
     health_check_costs_work: bool = False  # as much as a small request, unless answered from a cached result
     max_concurrency: float = inf  # maximum number of requests on the cores, set by the operator
@@ -146,7 +146,7 @@
     deadline_at_ms: float | None = None  # when the client of this attempt times out; None: unknown
     cost_hint_ms: float | None = None
     is_retry: bool = False  # marked as a retry
-    client: int | None = None
+    client: int | None = None  # number of the load balancer that sent it
     read_delay_ms: float = 0.0  # time from its arrival on this machine until it was read
     original_request_id: int | None = None  # the recorded request that this one repeats
     has_key: bool = False  # it carries a key that identifies repeated or equal requests
@@ -171,7 +171,7 @@
 
 
 class IdempotencyUpdate(NamedTuple):
-    """A decision to add a record to the idempotency table; a retention of 0 removes it."""
+    """A decision to keep the record of a request for `retention_ms`, or to remove it if that is 0."""
 
     id: int
     retention_ms: float
--- a/nickelslip/admission/overload_concurrency.py
+++ b/nickelslip/admission/overload_concurrency.py
@@ -30,7 +30,7 @@
         return self._core_count + self.extra_when_warm
 
     def safe_concurrency(self, now_ms: float) -> float:
-        """Return how many requests may be on the cores now, including those with a call in flight."""
+        """Return how many requests may be on the cores or have a call in flight now."""
         age_ms = now_ms - self._began_at_ms
         warm_fraction = min(1.0, self._cold_fraction + (1 - self._cold_fraction) * age_ms / self._warm_up_ms)
         return SAFE_OVERLOAD_FRACTION * (self._core_count + self.extra_when_warm * warm_fraction)
--- a/nickelslip/admission/queue_priority.py
+++ b/nickelslip/admission/queue_priority.py
@@ -1,7 +1,7 @@
 """Queue priority: the order in which queued requests start.
 
 Requests with the highest value per expected run time come first. The value is the priority weight of the class, reduced
-for tenants over their quota and for retries.
+for tenants over their quota and for retries, and raised for starved classes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,9 @@
 from nickelslip.admission.tenant_quotas import TenantQuotas
 from nickelslip.admission.tracked_request import TrackedRequest
 
-# The age of a retry is unknown. The more retries there are, the more likely it is that its objective has passed.
+# Lower bound of the value of a retry, as a fraction of the value of a first attempt. The value falls as the fraction of
+# retries rises: the age of a retry is unknown, but the more retries there are, the more likely it is that its objective
+# has passed.
 MIN_RETRY_VALUE_FRACTION = 0.1
 
 
@@ -20,7 +22,7 @@
     """Computes the priority of each arrival.
 
     Args:
-        settings: How value is counted, and whether clients mark retries.
+        settings: Defines how value is counted, and whether clients mark retries.
         window_ms: Window over which retries are counted.
         quotas: The quotas of the tenants.
         starved_classes: The value with which starved classes are queued.
@@ -31,7 +33,7 @@
     ) -> None:
         self._quotas = quotas
         self._starved_classes = starved_classes
-        self._retries = SlidingWindowSum(window_ms)  # the sum is the number of retries, the count that of all arrivals
+        self._retries = SlidingWindowSum(window_ms)  # amount: retries; sample count: all arrivals
         self._retry_fraction = 0.0
         self.apply_settings(settings)
 
--- a/nickelslip/admission/retry_after.py
+++ b/nickelslip/admission/retry_after.py
@@ -21,17 +21,17 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Read the longest delay that clients accept and the number of clients from the settings."""
+        """Read the longest delay that is passed on to clients and the number of clients from the settings."""
         self._max_delay_ms = settings.retry_after_max_ms
         self._client_fraction = min(1.0, settings.client_count / CLIENT_COUNT_FOR_FULL_DELAY)
 
     def delay_ms(
         self, now_ms: float, read_delay_ms: float, queued_run_ms: float, concurrency_limit: float, drain: DrainSchedule
     ) -> float:
-        """Return the delay: the read delay plus the time to clear the queue, with jitter.
+        """Return the read delay plus the time to clear the queue, reduced for few clients, jittered and capped.
 
-        A draining server returns the longest delay that clients accept, which is 0 if they ignore Retry-After. The
-        jitter is drawn in every case, so the sequence of random draws does not depend on the drain.
+        A draining server returns the longest delay that is passed on to clients, which is 0 if none is. The jitter is
+        drawn in every case, so the sequence of random draws does not depend on the drain.
         """
         jittered_fraction = self._client_fraction * self._random.uniform(MIN_JITTER, MAX_JITTER)
         if drain.is_draining(now_ms):
--- a/nickelslip/admission/starved_classes.py
+++ b/nickelslip/admission/starved_classes.py
@@ -1,7 +1,8 @@
-"""Starved classes: traffic classes of which too few first attempts start.
+"""Starved classes: traffic classes with too few starts for their number of first attempts.
 
-They are queued with the highest value of all classes until a minimum fraction of their first attempts starts.
-If priority weights differ widely, an overload would otherwise leave no slots to the class with the lowest weight.
+They are queued with the highest value of all classes until their starts reach a minimum fraction of their first
+attempts. If priority weights differ widely, an overload would otherwise leave no slots to the class with the lowest
+weight.
 """
 
 from __future__ import annotations
--- a/nickelslip/admission/tenant_quotas.py
+++ b/nickelslip/admission/tenant_quotas.py
@@ -17,7 +17,7 @@
     """Counts the starts of each tenant against this server's part of its quota.
 
     Args:
-        settings: The tenants and their quotas over the whole fleet.
+        settings: Provides the tenants and their quotas over the whole fleet.
         window_ms: Window of the recent means. Starts are counted over several of these windows.
     """
 
@@ -46,7 +46,7 @@
         """Return the fraction of a tenant's starts that is within its quota, or 1 for a tenant without a quota.
 
         The quota on this server is its part of the tenant's quota. If the starts of all tenants exceed the sum of their
-        quotas here, it grows in proportion, because a fast server runs more requests of every tenant.
+        quotas here, each tenant's part grows in proportion, because a fast server runs more requests of every tenant.
         """
         if tenant not in self._quota_counts:
             return 1.0
