--- a/nickelslip/admission/answer_deadlines.py
+++ b/nickelslip/admission/answer_deadlines.py
@@ -9,14 +9,14 @@
 from nickelslip.admission.tracked_request import TrackedRequest, TrackedRequests
 
 MARGIN_TICKS = 2.0  # answers are sent this many ticks before they are due
-# All answers are sent this many answer slacks before the server is killed, since the process may stall before then.
-KILL_MARGIN_SLACKS = 4.0
+# Answers are due this many times `answer_slack_ms` before the server is killed, since the process may stall before.
+KILL_MARGIN_PER_SLACK = 4.0
 
 
 class AnswerDeadlines:
     """Finds the requests whose answer is due.
 
-    The queue is scanned at most once per half margin, or when an answer is due. Scanning a long queue at every event
+    The queue is scanned once per half margin, and whenever an answer is due. Scanning a long queue at every event
     would take CPU time from the requests.
     """
 
@@ -31,16 +31,19 @@
     def apply_settings(self, settings: Settings) -> None:
         """Compute the margins from the settings."""
         self.margin_ms = MARGIN_TICKS * settings.tick_ms
-        self._kill_margin_ms = KILL_MARGIN_SLACKS * settings.answer_slack_ms
+        self._kill_margin_ms = KILL_MARGIN_PER_SLACK * settings.answer_slack_ms
 
     def answer_by_ms(self, request: TrackedRequest) -> float:
         """Return the time by which the request must be answered in any case."""
         return min(request.deadline_at_ms, self._drain.kill_at_ms - self._kill_margin_ms)
 
     def answer_useful_until_ms(self, request: TrackedRequest) -> float:
-        """Return the time by which the result of the request must be ready to be useful."""
+        """Return the time by which the result of the request must be ready to be useful.
+
+        If the class must meet its objective, this is at the latest the end of the objective.
+        """
         answer_by_ms = self.answer_by_ms(request)
-        if request.statistics.is_worthless_when_late:
+        if request.statistics.must_meet_objective:
             return min(answer_by_ms, request.useful_until_ms)
         return answer_by_ms
 
--- a/nickelslip/admission/attempt_age.py
+++ b/nickelslip/admission/attempt_age.py
@@ -5,7 +5,7 @@
 from nickelslip.admission.tracked_request import TrackedRequest
 
 
-def attempt_age_ms(request: TrackedRequest, received_at_ms: float) -> float:
+def request_age_ms(request: TrackedRequest, received_at_ms: float) -> float:
     """Return how many milliseconds ago the first attempt of this request was sent, or 0 if that is unknown.
 
     Most clients send one of a few usual timeouts. Any other timeout is assumed to be the rest of the class's
--- a/nickelslip/admission/class_statistics.py
+++ b/nickelslip/admission/class_statistics.py
@@ -5,7 +5,7 @@
 from nickelslip.admission.estimators import ClientTimeoutHistogram, RecentMean, SlidingWindowSum
 from nickelslip.admission.interface import RetrySafety, TrafficClass
 
-MIN_LATE_VALUE_FRACTION = 0.5  # classes that keep less of their value when late must be answered within the objective
+MIN_LATE_VALUE_FRACTION = 0.5  # a class whose late answers keep less of their value must meet its objective
 MIN_RUN_MS = 1e-9  # avoids a division by zero
 INITIAL_RUN_FRACTION = 1 / 6  # of the latency objective: run time assumed until one was measured
 INITIAL_CALL_FRACTION = 1 / 32  # of the latency objective: duration assumed for a dependency call
@@ -30,7 +30,7 @@
         "needs_idempotency_record",
         "idempotency_window_ms",
         "objective_stretch",
-        "is_worthless_when_late",
+        "must_meet_objective",
         "makes_calls",
         "is_call_optional",
         "run_ms",
@@ -52,7 +52,7 @@
         self.needs_idempotency_record = traffic_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY
         self.idempotency_window_ms = traffic_class.idempotency_window_ms
         self.objective_stretch = traffic_class.objective_stretch
-        self.is_worthless_when_late = traffic_class.late_value_fraction < MIN_LATE_VALUE_FRACTION
+        self.must_meet_objective = traffic_class.late_value_fraction < MIN_LATE_VALUE_FRACTION
         self.makes_calls = traffic_class.makes_calls
         self.is_call_optional = traffic_class.degraded_value_fraction > 0
         self.run_ms = RecentMean(objective_ms * INITIAL_RUN_FRACTION, window_ms)  # time on a core
@@ -73,8 +73,8 @@
         self.client_timeouts = previous.client_timeouts
 
     def record_arrival(self, now_ms: float, is_retry: bool) -> None:
-        """Count the arrival if it is a first attempt; retries are not counted."""
-        self.first_attempts.add(now_ms, 1.0, float(not is_retry))
+        """Count the arrival if it is a first attempt."""
+        self.first_attempts.add(now_ms, 1.0, float(not is_retry))  # only the sample count is used
 
     def record_start(self, now_ms: float) -> None:
         """Count the start of a request."""
--- a/nickelslip/admission/controller.py
+++ b/nickelslip/admission/controller.py
@@ -14,7 +14,7 @@
 
 from nickelslip.admission.advertised_weight import AdvertisedWeight
 from nickelslip.admission.answer_deadlines import AnswerDeadlines
-from nickelslip.admission.attempt_age import attempt_age_ms
+from nickelslip.admission.attempt_age import request_age_ms
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.concurrency_limit import ConcurrencyLimit
 from nickelslip.admission.dependency_calls import DependencyCalls
@@ -58,7 +58,7 @@
 STATES_RELEASING_RECORD = (RequestState.REJECTED, RequestState.CANCELLED)
 STATE_AFTER_RUN = {Outcome.OK: RequestState.COMPLETED, Outcome.ERROR: RequestState.FAILED}
 
-STATISTICS_WINDOW_OBJECTIVES = 2.0  # window of the recent means, in multiples of the longest latency objective
+STATISTICS_WINDOW_PER_OBJECTIVE = 2.0  # window of the recent means, as a multiple of the longest latency objective
 
 
 class AdmissionController:
@@ -72,7 +72,8 @@
 
     def __init__(self, settings: Settings, seed: int, now_ms: float) -> None:
         longest_objective_ms = max(each.latency_objective_ms for each in settings.traffic_classes)
-        self._window_ms = STATISTICS_WINDOW_OBJECTIVES * longest_objective_ms  # fixed, existing statistics use it
+        # The window never changes, because existing statistics depend on it.
+        self._window_ms = STATISTICS_WINDOW_PER_OBJECTIVE * longest_objective_ms
         self._classes: dict[str, ClassStatistics] = {}
         self._requests = TrackedRequests()
         self._idempotency_records = IdempotencyRecords()
@@ -131,7 +132,7 @@
         self._priority.record_arrival(now_ms, arrival)
         statistics.record_arrival(now_ms, arrival.is_retry)
         has_to_queue = self._has_to_queue()
-        age_ms = attempt_age_ms(request, received_at_ms) if arrival.deadline_at_ms is not None else 0.0
+        age_ms = request_age_ms(request, received_at_ms) if arrival.deadline_at_ms is not None else 0.0
         if has_to_queue:  # on a free core an old request runs anyway, because it may still be in time
             request.useful_until_ms -= age_ms
         self._priority.set_priority(now_ms, request, arrival)
@@ -142,13 +143,13 @@
         return self._apply_rules(now_ms)
 
     def run_ended(self, now_ms: float, request_id: int, outcome: Outcome, took_ms: float) -> Decisions:
-        """Handle the end of a run, or the arrival of the result of the original of a coalesced request.
+        """Handle the end of a run or, for a coalesced request, the arrival of its original's result.
 
         Args:
             now_ms: The current time.
             request_id: The request.
-            outcome: How the run ended. A run that is CANCELLED before its request was answered returns the request to
-                the queue. If the request must not run twice, it stays there until its answer is due.
+            outcome: How the run ended. If a run is CANCELLED while its request is RUNNING or DEGRADED, the request
+                returns to the queue. If it must not run twice, it stays there until it is answered.
             took_ms: The duration of the run, calls included.
         """
         request = self._requests.by_id.get(request_id)
@@ -178,7 +179,10 @@
         return self._apply_rules(now_ms)
 
     def call_returned(self, now_ms: float, request_id: int, outcome: Outcome, took_ms: float) -> Decisions:
-        """Handle the end of a dependency call. Unless it succeeded, its request waits for permission again."""
+        """Handle the end of a dependency call.
+
+        After a failure the request waits for permission again, unless the call may have run and must not run twice.
+        """
         request = self._requests.by_id.get(request_id)
         if request is not None and request.state is RequestState.CALL_IN_FLIGHT:
             self._finish_call(now_ms, request, outcome, took_ms)
@@ -202,7 +206,7 @@
     def drain(self, now_ms: float, kill_at_ms: float) -> Decisions:
         """Start a graceful shutdown of the server, which will be killed at `kill_at_ms`."""
         self._drain.start(now_ms, kill_at_ms)
-        self._deadlines.next_due_at_ms = now_ms
+        self._deadlines.next_due_at_ms = now_ms  # forces a scan, because requests must be answered before the kill
         self._decisions.health = Health(is_healthy=False, is_cached=True)
         return self._apply_rules(now_ms)
 
@@ -226,7 +230,7 @@
             self._idle_connections,
         ):
             rule.apply_settings(settings)
-        self._deadlines.next_due_at_ms = now_ms  # the margins and the spacing of calls may have changed
+        self._deadlines.next_due_at_ms = now_ms  # forces a scan, because the margins may have changed
         self._dependency_limit.end_pause(now_ms)
         return self._apply_rules(now_ms)
 
@@ -240,7 +244,7 @@
         return self._apply_rules(now_ms)
 
     def _apply_rules(self, now_ms: float) -> Decisions:
-        """Apply all rules in their fixed order, and return the decisions since the last event."""
+        """Apply the rules that follow every event, in a fixed order, and return the decisions since the last event."""
         if now_ms >= self._interval.ends_at_ms:
             self._end_interval(now_ms)
         self._stop_orphaned_runs(now_ms)
@@ -256,7 +260,10 @@
         return decisions
 
     def _end_interval(self, now_ms: float) -> None:
-        """Run the adjustments that are made once per interval, and start the next interval."""
+        """Run the adjustments that are made once per interval, and start the next interval.
+
+        The concurrency limit is adjusted in `timer_fired`, because that event brings the gauges.
+        """
         self._weight.adjust(self._interval)
         self._concurrency.count_effective_slots(now_ms, self._requests)
         self._decisions.idle_connection_timeout_ms = self._idle_connections.adjust(
@@ -276,7 +283,7 @@
                 self._decisions.state_changes.append(StateChange(request.id, RequestState.ORPHANED))
 
     def _answer_due_requests(self, now_ms: float) -> None:
-        """Answer requests that are due, and queued requests that can no longer finish in time."""
+        """Answer requests whose answer is due, and queued requests that can no longer finish in time."""
         if not self._deadlines.is_scan_due(now_ms):
             return
         self._deadlines.last_scan_at_ms = now_ms
@@ -306,7 +313,8 @@
     def _enforce_memory_budget(self, now_ms: float) -> None:
         """Reject or fail requests until the others fit into memory.
 
-        A coalesced request fails instead of being rejected, because its original may have run.
+        A queued request is rejected, even if it has run and must not run twice. A coalesced request fails instead,
+        because its original may have run.
         """
         for request in self._memory.excess_requests():
             if request.state is RequestState.QUEUED:
@@ -345,12 +353,14 @@
         statistics = request.statistics
         time_to_deadline_ms = request.deadline_at_ms - now_ms
         if statistics.needs_idempotency_record:
-            return self._record(now_ms, request, max(statistics.idempotency_window_ms, time_to_deadline_ms))
+            return self._add_record_if_it_fits(
+                now_ms, request, max(statistics.idempotency_window_ms, time_to_deadline_ms)
+            )
         if self._response_cache_ms > 0 and arrival.has_key and statistics.is_idempotent:
-            self._record(now_ms, request, time_to_deadline_ms + self._response_cache_ms)
+            self._add_record_if_it_fits(now_ms, request, time_to_deadline_ms + self._response_cache_ms)
         return True
 
-    def _record(self, now_ms: float, request: TrackedRequest, retention_ms: float) -> bool:
+    def _add_record_if_it_fits(self, now_ms: float, request: TrackedRequest, retention_ms: float) -> bool:
         if not self._memory.has_room_for_record():
             return False
         self._idempotency_records.add(now_ms, request.id, retention_ms)
@@ -362,7 +372,7 @@
         """Coalesce the request with its original, leave it in the queue, or reject it.
 
         These rules reject it, in this order: it needs an idempotency record that does not fit into memory; it has to
-        queue and its tenant is over its quota; it is predicted to miss its deadline.
+        queue and its tenant is over its quota; it is predicted to be answered too late to be useful.
         """
         if self._should_coalesce(request, arrival):
             self._transition(now_ms, request, RequestState.COALESCED)
@@ -370,7 +380,7 @@
         if not self._ensure_idempotency_record(now_ms, request, arrival):
             self._reject(now_ms, request)
             return
-        if has_to_queue and request.within_quota_fraction < 1:  # every server enforces the tenant's quota
+        if has_to_queue and request.within_quota_fraction < 1:  # other servers enforce the quota, too
             self._reject(now_ms, request, retry_elsewhere_useless=True)
             return
         if has_to_queue:
@@ -391,12 +401,12 @@
             self._dependency_limit.record_call(now_ms, took_ms, self._interval.last_read_delay_ms)
         request.time_in_calls_ms = request.time_in_calls_ms + now_ms - request.call_phase_began_at_ms
         request.call_phase_began_at_ms = now_ms
-        self._dependency_calls.suspend_optional_calls(now_ms, request)
+        self._dependency_calls.suspend_optional_calls_if_slow(now_ms, request)
         if outcome is Outcome.OK:
             self._transition(now_ms, request, RequestState.RUNNING, notify=False)
             return
         self._transition(now_ms, request, RequestState.AWAITING_CALL, notify=False)
-        if outcome.proves_not_executed:  # wait, because a dependency that sheds calls needs fewer of them
+        if outcome.proves_not_executed:  # wait, because an overloaded dependency needs fewer calls
             request.call_not_before_ms = now_ms + self._dependency_limit.call_duration_ms.mean(now_ms)
             return
         request.call_not_before_ms = -inf
@@ -412,7 +422,7 @@
             self._reject(now_ms, request)
 
     def _reject(self, now_ms: float, request: TrackedRequest, retry_elsewhere_useless: bool = False) -> None:
-        """Reject a request that has not run or may run again, with a Retry-After delay."""
+        """Reject a request, with a Retry-After delay."""
         self._interval.rejection_count += 1
         delay_ms = self._retry_after.delay_ms(
             now_ms,
--- a/nickelslip/admission/dependency_calls.py
+++ b/nickelslip/admission/dependency_calls.py
@@ -54,11 +54,11 @@
         self._usage = usage
         self._optional_calls_suspended_until_ms = now_ms
 
-    def suspend_optional_calls(self, now_ms: float, request: TrackedRequest) -> None:
+    def suspend_optional_calls_if_slow(self, now_ms: float, request: TrackedRequest) -> None:
         """Suspend optional calls for one latency objective if a request has spent long in its required calls.
 
-        This reacts to a dependency that is slow, or shared by more servers than expected. The time is measured on this
-        server, so a stall of this server alone also suspends optional calls.
+        This reacts to a dependency that is slow, or shared by more servers than expected. The time includes the wait
+        for permission. It is measured on this server, so a stall of this server alone also suspends optional calls.
         """
         statistics = request.statistics
         if statistics.is_call_optional:
@@ -70,7 +70,7 @@
     def decide(self, now_ms: float, safe_concurrency: float) -> Iterator[CallDecision]:
         """Yield decisions on waiting requests. Each must be carried out before the next one is requested.
 
-        While no further call is possible, the waiting requests are scanned only as often as the queue is.
+        While all call slots are in use, the waiting requests are scanned only at events at which the queue is scanned.
 
         Args:
             now_ms: The current time.
@@ -82,14 +82,14 @@
             return
         self._usage.accumulate_until(now_ms, len(self._requests.call_in_flight))
         mean_call_ms = self._limit.call_duration_ms.mean(now_ms)
-        concurrency = self._limit.limit
+        call_limit = self._limit.limit
         waiting_ahead_count = 0
         max_duration_ms = inf
         for request in self._by_urgency(now_ms, mean_call_ms):
             remaining_ms = self._remaining_ms(now_ms, request)
             pause_ms = max(0.0, self._limit.next_call_at_ms - now_ms)
-            wait_ms = waiting_ahead_count * mean_call_ms / concurrency + pause_ms
-            self.suspend_optional_calls(now_ms, request)
+            wait_ms = waiting_ahead_count * mean_call_ms / call_limit + pause_ms
+            self.suspend_optional_calls_if_slow(now_ms, request)
             if self._should_skip_call(now_ms, request, remaining_ms < mean_call_ms, wait_ms):
                 yield CallDecision(request, RequestState.DEGRADED)
             elif remaining_ms <= 0 and request.statistics.is_idempotent:
@@ -142,7 +142,7 @@
 
     def _max_duration_ms(self, now_ms: float) -> float:
         in_flight = self._requests.call_in_flight.values()
-        return self._usage.max_call_duration_ms(now_ms, in_flight, self._limit.share)
+        return self._usage.max_call_duration_ms(now_ms, in_flight, self._limit.usable_share)
 
     def _start_call(self, now_ms: float, request: TrackedRequest, timeout_ms: float) -> CallDecision:
         request.time_in_calls_ms += now_ms - request.call_phase_began_at_ms
--- a/nickelslip/admission/dependency_usage.py
+++ b/nickelslip/admission/dependency_usage.py
@@ -25,7 +25,7 @@
     """Accumulates the time of calls in flight.
 
     Args:
-        settings: The window of the share, and how long abandoned calls linger.
+        settings: Provides the window of the share, and how long abandoned calls linger.
         default_window_ms: The window if the settings give no share.
         now_ms: The time at which the measurement starts.
     """
@@ -49,7 +49,7 @@
         return len(self._lingering_until_ms)
 
     def record_abandoned(self, now_ms: float) -> None:
-        """Record an abandoned call, which occupies the dependency until it has lingered."""
+        """Record an abandoned call, which still occupies the dependency for `abandoned_call_linger_ms`."""
         self._lingering_until_ms.append(now_ms + self._linger_ms)
 
     def accumulate_until(self, now_ms: float, in_flight_count: int) -> None:
@@ -60,15 +60,15 @@
         self._lingering_until_ms = [until_ms for until_ms in self._lingering_until_ms if until_ms > now_ms]
 
     def max_call_duration_ms(self, now_ms: float, in_flight: Iterable[TrackedRequest], share: float) -> float:
-        """Return the longest duration of another call for which every future window mean stays within the share.
+        """Return how long another call may last without any future window mean exceeding the share.
 
         Calls in flight are assumed to last until their timeout, and to linger after it.
         """
         remaining_ms = [request.call_ends_at_ms - now_ms + self._linger_ms for request in in_flight]
         remaining_ms += [until_ms - now_ms for until_ms in self._lingering_until_ms]
-        # If the calls fit even when they last for the whole window, the spans need not be checked one by one.
-        further_count = (len(remaining_ms) + 1) * COUNTED_BUCKETS / DEFAULT_BUCKET_COUNT
-        if self._in_flight_ms.total(now_ms).amount <= (share - further_count) * self._window_ms:
+        # If the calls fit even if each lasts for the whole window, the buckets need not be checked one by one.
+        max_future_calls = (len(remaining_ms) + 1) * COUNTED_BUCKETS / DEFAULT_BUCKET_COUNT
+        if self._in_flight_ms.total(now_ms).amount <= (share - max_future_calls) * self._window_ms:
             return inf
         max_duration_ms = inf
         for after_ms, past_use_ms in self._in_flight_ms.remaining_after_each_bucket(now_ms):
--- a/nickelslip/admission/dispatch.py
+++ b/nickelslip/admission/dispatch.py
@@ -6,7 +6,7 @@
 
 from nickelslip.admission.interface import Settings
 from nickelslip.admission.memory_budget import MemoryBudget
-from nickelslip.admission.tracked_request import PRIORITY, TrackedRequest, TrackedRequests
+from nickelslip.admission.tracked_request import START_ORDER, TrackedRequest, TrackedRequests
 
 # A request with at least this many times the value per run time of every running request may use one slot above the
 # limit. Long runs of low value would otherwise keep it waiting past its objective.
@@ -17,7 +17,7 @@
     """Selects the queued requests that start.
 
     Args:
-        settings: The number of cores and the slots reserved for classes.
+        settings: Provides the number of cores, the maximum concurrency and the slots reserved for classes.
         requests: All open requests.
         memory: Checks whether the memory of a started request fits.
     """
@@ -40,18 +40,19 @@
 
         These requests are skipped: those that have run and must not run again; those that require a call, while as many
         requests as there are cores wait for permission to call; those that would use a slot reserved for another class;
-        and those that do not fit into memory. Reserved slots are checked against the limit plus one.
+        and those that do not fit into memory. Unused reserved slots are subtracted from the highest number of requests
+        that may be on the cores, which includes the extra slot for urgent requests.
 
         Args:
             concurrency_limit: The number of slots. A request far more urgent than the running ones may use one more.
-            safe_concurrency: How many requests may be on the cores, including those with a call in flight.
+            safe_concurrency: How many requests may be on the cores or have a call in flight.
         """
         in_flight_count = len(self._requests.call_in_flight)
         max_on_cores = min(safe_concurrency - in_flight_count, concurrency_limit + 1, self._max_concurrency)
         if self._requests.on_core_count() >= max_on_cores:
             return
         is_call_backlog_full = len(self._requests.awaiting_call) >= self._core_count
-        for request in sorted(self._requests.queued.values(), key=PRIORITY):
+        for request in sorted(self._requests.queued.values(), key=START_ORDER):
             on_core_count = self._requests.on_core_count()
             if on_core_count >= max_on_cores:
                 return
@@ -71,7 +72,8 @@
         running = [*self._requests.running.values(), *self._requests.degraded.values()]
         if not running:
             return False
-        most_urgent_running = min(running, key=PRIORITY)
+        most_urgent_running = min(running, key=START_ORDER)
+        # The first item of a key is the negative value per run time.
         return request.priority_key[0] <= URGENT_VALUE_FACTOR * most_urgent_running.priority_key[0]
 
     def _unused_reserved_slots(self, request: TrackedRequest) -> float:
--- a/nickelslip/admission/early_rejection.py
+++ b/nickelslip/admission/early_rejection.py
@@ -1,4 +1,4 @@
-"""Early rejection: requests that are predicted to miss their deadline are rejected at once instead of queued."""
+"""Early rejection: requests that are predicted to be answered too late to be useful are rejected at once."""
 
 from __future__ import annotations
 
@@ -39,8 +39,9 @@
 ) -> bool:
     """Whether the request would be answered too late even if it started now.
 
-    Without contention, which means that a core is free, only recent runs count. Durations measured under load would
-    otherwise make an idle server reject requests, and it would never measure shorter ones.
+    Without contention, which means that no request has to wait for a slot, recent runs give the time in calls, and also
+    the run time unless the expected one is lower. Durations measured under load would otherwise make an idle server
+    reject requests, and it would never measure shorter ones.
     """
     statistics = request.statistics
     if has_contention:
@@ -52,10 +53,10 @@
     return now_ms + run_ms + call_ms > deadlines.answer_useful_until_ms(request)
 
 
-def is_retry_elsewhere_useless(arrival: Arrival, attempt_age_ms: float, weight: float) -> bool:
+def is_retry_elsewhere_useless(arrival: Arrival, request_age_ms: float, weight: float) -> bool:
     """Whether the rejection of an arrival should advise against a retry on another server.
 
     A retry has been to another server already. With a low weight the whole fleet is probably overloaded, and
     each further server would have to read the request again.
     """
-    return arrival.is_retry or attempt_age_ms > 0 or weight < FLEET_OVERLOADED_WEIGHT
+    return arrival.is_retry or request_age_ms > 0 or weight < FLEET_OVERLOADED_WEIGHT
--- a/nickelslip/admission/idle_connections.py
+++ b/nickelslip/admission/idle_connections.py
@@ -9,7 +9,7 @@
 from nickelslip.admission.interface import Settings
 from nickelslip.admission.interval_measurements import IntervalMeasurements
 
-CROWDED_TABLE_FACTOR = 2.0  # the table is crowded above this many times the extra overload concurrency
+CROWDED_TABLE_FACTOR = 2.0  # the table is crowded above this many times the overload concurrency above the core count
 MIN_TIMEOUT_FRACTION = 0.01
 TIMEOUT_DECREASE_FACTOR = 0.8
 TIMEOUT_INCREASE_FACTOR = 1 + 0.1
@@ -29,13 +29,13 @@
         self._max_timeout_ms = settings.idle_connection_timeout_ms
         self._client_count = settings.client_count
 
-    def adjust(self, interval: IntervalMeasurements, extra_overload_concurrency: float) -> float | None:
+    def adjust(self, interval: IntervalMeasurements, overload_concurrency_above_cores: float) -> float | None:
         """Adjust the timeout after an adjustment interval, and return it if it has changed enough to be sent.
 
-        If the table has space for all clients, the timeout does not change. A client that is idle for longer than the
-        timeout has to reconnect.
+        If the table has space for all clients, the timeout does not change, because a lower one makes idle clients
+        reconnect.
         """
-        crowded_count = CROWDED_TABLE_FACTOR * extra_overload_concurrency
+        crowded_count = CROWDED_TABLE_FACTOR * overload_concurrency_above_cores
         if self._client_count <= crowded_count:
             return None
         if interval.are_cores_busy:
--- a/nickelslip/admission/memory_budget.py
+++ b/nickelslip/admission/memory_budget.py
@@ -6,7 +6,7 @@
 
 from nickelslip.admission.idempotency_records import IdempotencyRecords
 from nickelslip.admission.interface import Settings
-from nickelslip.admission.tracked_request import PRIORITY, TrackedRequest, TrackedRequests
+from nickelslip.admission.tracked_request import START_ORDER, TrackedRequest, TrackedRequests
 
 USABLE_MEMORY_FRACTION = 0.97
 
@@ -15,7 +15,7 @@
     """Checks what fits into memory, and selects the requests to drop when the budget is exceeded.
 
     Args:
-        settings: The memory size, and the memory use of requests and records.
+        settings: Provides the memory size, and the memory use of requests and records.
         requests: All open requests.
         records: The idempotency records.
     """
@@ -56,7 +56,7 @@
         """
         for waiting in (self._requests.queued, self._requests.coalesced):
             while waiting and self.used_kb() > self._budget_kb:
-                yield max(waiting.values(), key=PRIORITY)
+                yield max(waiting.values(), key=START_ORDER)
 
 
 def _total_kb(requests: dict[int, TrackedRequest]) -> float:
--- a/nickelslip/admission/tracked_request.py
+++ b/nickelslip/admission/tracked_request.py
@@ -8,7 +8,7 @@
 from nickelslip.admission.class_statistics import ClassStatistics
 from nickelslip.admission.interface import Arrival, RequestState
 
-PRIORITY = attrgetter("priority_key")  # sort key: the most urgent request comes first
+START_ORDER = attrgetter("priority_key")  # sort key: the most urgent request comes first
 
 
 class TrackedRequest:
@@ -95,11 +95,11 @@
         self.by_state[request.state][request.id] = request
 
     def on_core_count(self) -> int:
-        """Return how many requests occupy a core, orphaned ones included."""
+        """Return how many requests count as on a core: running, degraded and orphaned ones."""
         return len(self.running) + len(self.degraded) + len(self.orphaned)
 
     def on_cores(self) -> list[TrackedRequest]:
-        """Return the requests that occupy a core, orphaned ones included."""
+        """Return the requests that count as on a core: running, degraded and orphaned ones."""
         return [*self.running.values(), *self.degraded.values(), *self.orphaned.values()]
 
     def queued_run_ms(self) -> float:
