--- a/benchmarks/cold_start_run.py
+++ b/benchmarks/cold_start_run.py
@@ -115,17 +115,17 @@
     return Plan(
         size=size,
         seed=seed,
-        rate=LOAD_FRACTION * machine_capacity(classes, work, machine) * size,
-        balancers=max(MIN_BALANCERS, size // SERVERS_PER_BALANCER),
+        rate_per_s=LOAD_FRACTION * machine_capacity(classes, work, machine) * size,
+        balancer_count=max(MIN_BALANCERS, size // SERVERS_PER_BALANCER),
         traffic_classes=classes,
         work=work,
         machine=machine,
         service=service,
         call_share=CALL_SHARE_FACTOR * survivable_calls / size,
         cold=True,
-        relayed=False,
-        read_list=True,
-        hosts=max(1, min(MAX_HOSTS, size // SERVERS_PER_HOST)),
+        is_relayed=False,
+        records_list=True,
+        service_process_count=max(1, min(MAX_HOSTS, size // SERVERS_PER_HOST)),
         slack_ms=1000.0,
     )
 
@@ -154,7 +154,7 @@
         served = min(1.0, warm / LOAD_FRACTION)
         calls_factor = 1 + (plan.machine.cold_calls_factor - 1) * (1 - warm)
         calls_per_s = MS_PER_S * service.slots / service.call_ms * service_warm
-        if served >= fraction and plan.rate * calls_per_request * calls_factor <= calls_per_s:
+        if served >= fraction and plan.rate_per_s * calls_per_request * calls_factor <= calls_per_s:
             return float(at_ms)
     return math.inf
 
@@ -231,7 +231,7 @@
     staying = fleet.names[::2]
     restarting = fleet.names[1::2]
     await fleet.kill(*restarting)
-    await fleet.set_request_rate(plan.rate / LOAD_FRACTION * SERVING_LOAD_FRACTION * len(staying) / plan.size)
+    await fleet.set_request_rate(plan.rate_per_s / LOAD_FRACTION * SERVING_LOAD_FRACTION * len(staying) / plan.size)
     await asyncio.sleep(durations.settle)
     restart = clock()
     await fleet.start(*restarting)
@@ -277,14 +277,14 @@
     all_linked_ms = math.inf
     if len(pool_linked) >= size:
         all_linked_ms = max(event.at_ms for event in pool_linked[:size]) - times.begin
-    violations = fleet.violations(scripted_falls=True)
+    violations = fleet.violations(overload_failures_expected=True)
     return {
         "records_over_survivable_ms": service_figures["records_over_ms"],
         "records_down": service_figures["records_falls"],
         "records_most": service_figures["records_most"],
         "links_tried_per_s_peak": max(connections_per_s, default=0),
         "linked_ms": all_linked_ms,
-        "falls_over": sum("machine" in line for line in checkers.falls(history)),
+        "falls_over": sum("machine" in line for line in checkers.overload_failures(history)),
         "rules_broken": len(violations),
         "broken": violations[:MAX_SHOWN_VIOLATIONS],
         "left_behind": len(fleet.remaining_pids()),
--- a/benchmarks/cold_sums.py
+++ b/benchmarks/cold_sums.py
@@ -90,7 +90,7 @@
 
 async def combined_load_excesses(plan: Plan, folder: Path, rise_s: float, half_s: float) -> dict[str, Any]:
     """Run one fleet and return its worst excesses. One of up to 1 is attributed to chance."""
-    plan = replace(plan, balancers=BALANCER_COUNT)
+    plan = replace(plan, balancer_count=BALANCER_COUNT)
     async with Fleet(plan, folder) as fleet:
         await fleet.set_request_rate()
         await fleet.start()
@@ -103,13 +103,13 @@
         await fleet.stop_requests()
         figures = await fleet.figures()
     mean_ms = sum(traffic.request_fraction * plan.work.work_ms[name] for name, traffic in plan.traffic_classes.items())
-    falls = checkers.falls(fleet.history)
+    overload_failures = checkers.overload_failures(fleet.history)
     return {
         "cold_runs_excess": figures["machines_worst"],
         "cold_calls_excess": figures["records_worst"],
         "cold_asked_excess": asked_excess(fleet.history, plan.machine, mean_ms),
-        "cold_falls": sum("machine" in line for line in falls) + figures["records_falls"],
-        "rules_broken": len(fleet.violations(scripted_falls=True)),
+        "cold_falls": sum("machine" in line for line in overload_failures) + figures["records_falls"],
+        "rules_broken": len(fleet.violations(overload_failures_expected=True)),
         "callers_lag_ms": figures["lag_ms"],
     }
 
@@ -137,7 +137,7 @@
     """Return how soon servers that all restart at once are ready, in seconds."""
     times_s: list[float] = []
     async with AsyncExitStack() as stack:
-        fleet = await stack.enter_async_context(Fleet(replace(plan, rate=MIN_RATE_PER_S), folder))
+        fleet = await stack.enter_async_context(Fleet(replace(plan, rate_per_s=MIN_RATE_PER_S), folder))
         await fleet.run_command("directory_down")
         await _keep_cores_busy(stack)
         for _ in range(round_count):
--- a/benchmarks/start_cost.py
+++ b/benchmarks/start_cost.py
@@ -37,7 +37,7 @@
 
 async def first_answer_cpu_ms(command_line: CommandLine, folder: Path, cwd: Path, number: int) -> float:
     """Return the CPU time of one process from its start to its first answer to a health check."""
-    fleet = Fleet(Plan(size=1, relayed=False, seed=number), folder)
+    fleet = Fleet(Plan(size=1, is_relayed=False, seed=number), folder)
     async with fleet:
         await fleet.run_command("pool", "n1")
         exit_codes: list[int] = []
--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -181,10 +181,10 @@
             yield f"duplicate: reference {idempotency_key} run {len(times_ms)} times at {server}"
 
 
-def falls(history: History) -> list[str]:
+def overload_failures(history: History) -> list[str]:
     """Rule 4: return the machines and services that failed from overload.
 
-    The caller knows which of these failures were scripted.
+    The caller knows which of these failures were expected.
     """
     return [f"fell: {event.detail} {event.server} at {event.at_ms:.0f}" for event in history.of(Kind.FELL_OVER)]
 
--- a/nickelslip/emulator/fleet.py
+++ b/nickelslip/emulator/fleet.py
@@ -80,23 +80,28 @@
     async def _set_up(self, block: AddressBlock) -> None:
         plan = self.plan
         self.spec = ServicesSpec(
-            assign_addresses(self.names, block, plan.relayed),
+            assign_addresses(self.names, block, plan.is_relayed),
             plan.traffic_classes,
             plan.work,
             plan.machine,
             plan.service,
             plan.balancer_policy,
-            plan.balancers,
-            plan.rate,
+            plan.balancer_count,
+            plan.rate_per_s,
             seed=plan.seed,
-            is_relayed=plan.relayed,
-            records_list=plan.read_list,
+            is_relayed=plan.is_relayed,
+            records_list=plan.records_list,
         )
         settings = plan.settings()
         for name, addresses in self.spec.servers.items():
             self._files.write_config(name, settings, addresses)
         services = FleetServices(
-            self.spec, self.names, plan.hosts, self._files.folder, self.history, self._kill_after_machine_failure
+            self.spec,
+            self.names,
+            plan.service_process_count,
+            self._files.folder,
+            self.history,
+            self._kill_after_machine_failure,
         )
         processes = ServerProcesses(self._files, services, self.history, self._command_line, self._cwd, plan.stop_ms)
         self._services = services
@@ -173,7 +178,7 @@
 
     async def set_request_rate(self, rate_per_s: float | None = None) -> None:
         """Make clients send at this rate, by default at the plan's."""
-        await self.run_command("ask", rate=self.plan.rate if rate_per_s is None else rate_per_s)
+        await self.run_command("ask", rate=self.plan.rate_per_s if rate_per_s is None else rate_per_s)
 
     async def start(self, *names: str, up_ms: float = 0.0) -> None:
         """Start these servers, by default all, with new worker pools that come up after `up_ms`."""
@@ -255,9 +260,9 @@
         """Return the figures that only the services know."""
         return await self.services.figures()
 
-    def violations(self, scripted_falls: bool = False) -> list[str]:
-        """Return the rule violations in the history; overload failures count unless they were scripted."""
-        return fleet_figures.violations(self.history, self.plan, scripted_falls)
+    def violations(self, overload_failures_expected: bool = False) -> list[str]:
+        """Return the rule violations in the history; overload failures count unless they are expected."""
+        return fleet_figures.violations(self.history, self.plan, overload_failures_expected)
 
     def served_fraction(self, begin_at_ms: float, end_at_ms: float | None = None) -> float:
         """Return the fraction of the requested priority weight in this time span that was served in time."""
--- a/nickelslip/emulator/fleet_figures.py
+++ b/nickelslip/emulator/fleet_figures.py
@@ -7,14 +7,14 @@
 from nickelslip.emulator.history import History
 
 
-def violations(history: History, plan: Plan, scripted_falls: bool) -> list[str]:
-    """Return violations of rules 1 to 3 and bad exits, and overload failures unless they were scripted."""
+def violations(history: History, plan: Plan, overload_failures_expected: bool) -> list[str]:
+    """Return violations of rules 1 to 3 and bad exits, and overload failures unless they are expected."""
     idempotent = [name for name, traffic in plan.traffic_classes.items() if traffic.is_idempotent]
     found = checkers.request_violations(history, idempotent, plan.grace_ms, plan.slack_ms, plan.window_ms)
     found += checkers.bad_exits(history)
-    if scripted_falls:
+    if overload_failures_expected:
         return found
-    return found + checkers.falls(history)
+    return found + checkers.overload_failures(history)
 
 
 def served_fraction(history: History, begin_at_ms: float, end_at_ms: float) -> float:
--- a/nickelslip/emulator/fleet_plan.py
+++ b/nickelslip/emulator/fleet_plan.py
@@ -35,8 +35,8 @@
     Attributes:
         size: Number of servers.
         seed: Seed of all random draws.
-        rate: Requests per second of all clients together.
-        balancers: Number of load balancers.
+        rate_per_s: Requests per second of all clients together.
+        balancer_count: Number of load balancers.
         traffic_classes: The traffic of clients, by traffic class.
         work: The work and the calls of runs.
         machine: The machines of worker pools.
@@ -44,9 +44,9 @@
         balancer_policy: The behaviour of load balancers.
         call_share: Maximum calls in flight per server; None for an equal share of what the records service survives.
         cold: Whether servers use slow start.
-        relayed: Whether each link has a relay.
-        read_list: Whether the endpoint list is recorded in the history ten times per second.
-        hosts: Number of separate processes for the services; with 0 they run in the fleet's process.
+        is_relayed: Whether each link has a relay.
+        records_list: Whether the endpoint list is recorded in the history ten times per second.
+        service_process_count: Number of separate processes for the services; with 0 they run in the fleet's process.
         stop_ms: Time within which a server must exit after it is told to shut down.
         grace_ms: How long load balancers may still send after a server is told to shut down.
         slack_ms: Extra response time that a busy machine may cause.
@@ -57,8 +57,8 @@
 
     size: int = 3
     seed: int = 1
-    rate: float = 60.0
-    balancers: int = 4
+    rate_per_s: float = 60.0
+    balancer_count: int = 4
     traffic_classes: dict[str, ClassTraffic] = field(default_factory=default_classes)
     work: WorkProfile = field(default_factory=default_work)
     machine: MachineProfile = field(default_factory=MachineProfile)
@@ -66,9 +66,9 @@
     balancer_policy: BalancerPolicy = field(default_factory=BalancerPolicy)
     call_share: float | None = None
     cold: bool = False
-    relayed: bool = True
-    read_list: bool = False
-    hosts: int = 0
+    is_relayed: bool = True
+    records_list: bool = False
+    service_process_count: int = 0
     stop_ms: float = 1500.0
     grace_ms: float = 300.0
     slack_ms: float = 500.0
@@ -87,7 +87,7 @@
             "bounds": {"max-retry-after-ms": 1000.0, "retry-after": True},
             "classes": [self._class_settings(name, traffic) for name, traffic in self.traffic_classes.items()],
             "client-habits": {"marks-retry": True},
-            "tenants": [{"name": "acme", "quota-rps": self.rate}],
+            "tenants": [{"name": "acme", "quota-rps": self.rate_per_s}],
             "tick-ms": 5.0,
             "servers": self.size,
             "invariants": self._invariants(),
@@ -122,7 +122,7 @@
             "memory-kb": 9000.0,
             "run-factor": 16.0,
             "say": "bias",
-            "callers": self.balancers,
+            "callers": self.balancer_count,
             "cold": self.cold,
             "below": "common",
             "dep-share": call_share,
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -30,10 +30,10 @@
     return "asyncio", {"use_uvloop": True}
 
 
-async def stop_and_check_rules(fleet, scripted_falls=False):
+async def stop_and_check_rules(fleet, overload_failures_expected=False):
     """Stop the clients, wait for all answers, and check the rules."""
     await fleet.stop_requests()
-    found = fleet.violations(scripted_falls)
+    found = fleet.violations(overload_failures_expected)
     assert not found, "\n".join(found[:20])
 
 
@@ -41,7 +41,7 @@
     profile = ServiceProfile(
         slots=6, call_ms=40.0, survivable_in_flight=9.0, window_ms=500.0, initial_speed_fraction=0.4, warm_up_ms=1500.0
     )
-    plan = Plan(size=6, rate=90.0, service=profile, call_share=4.0, read_list=True, **COLD)
+    plan = Plan(size=6, rate_per_s=90.0, service=profile, call_share=4.0, records_list=True, **COLD)
     async with Fleet(plan, tmp_path) as fleet:
         await fleet.set_request_rate()
         await fleet.start()
@@ -55,7 +55,7 @@
 
 
 async def test_directory_that_comes_up_empty_gets_spread_reports_and_lists_all_servers_soon(tmp_path):
-    async with Fleet(Plan(size=8, read_list=True), tmp_path) as fleet:
+    async with Fleet(Plan(size=8, records_list=True), tmp_path) as fleet:
         await fleet.run_command("directory_down")
         await fleet.start()
         await fleet.wait_until(lambda: all(pool.is_linked for pool in fleet.local_services.pools.values()))
@@ -96,7 +96,9 @@
 
 
 async def test_half_the_fleet_starts_cold_while_half_serves_and_a_zone_restarts_while_another_is_cut_off(tmp_path):
-    plan = Plan(size=6, rate=150.0, service=ServiceProfile(slots=24, call_ms=15.0, survivable_in_flight=40.0), **COLD)
+    plan = Plan(
+        size=6, rate_per_s=150.0, service=ServiceProfile(slots=24, call_ms=15.0, survivable_in_flight=40.0), **COLD
+    )
     async with Fleet(plan, tmp_path) as fleet:
         serving, starting = fleet.names[:3], fleet.names[3:]
         await fleet.start(*serving)
@@ -134,7 +136,7 @@
             "serve", "--config", config, *(("--config", str(overlay)) if config.endswith("n1.json") else ())
         )
 
-    async with Fleet(Plan(size=3, read_list=True), tmp_path, command_line) as fleet:
+    async with Fleet(Plan(size=3, records_list=True), tmp_path, command_line) as fleet:
         await fleet.start("n2", "n3")
         await fleet.wait_until_serving("n2", "n3")
         await fleet.set_request_rate()
@@ -181,7 +183,7 @@
             config,
         ]
 
-    async with Fleet(Plan(size=5, read_list=True, **COLD), tmp_path, command_line) as fleet:
+    async with Fleet(Plan(size=5, records_list=True, **COLD), tmp_path, command_line) as fleet:
         await fleet.start()
         await fleet.wait_until_serving()
         begin_at_ms = fleet.history.clock()
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -275,7 +275,9 @@
         await run_schedule(fleet, steps)
         await fleet.wait_until_serving()
         await fleet.stop_requests()
-        assert not fleet.violations(scripted_falls=True), "\n".join(fleet.violations(scripted_falls=True)[:20])
+        assert not fleet.violations(overload_failures_expected=True), "\n".join(
+            fleet.violations(overload_failures_expected=True)[:20]
+        )
         recorded = [event.detail.split()[0] for event in fleet.history.of(Kind.FAULT)]
         assert all(step.do in recorded for step in steps)
     assert not fleet.remaining_pids()
@@ -301,7 +303,7 @@
 
 @pytest.mark.anyio
 async def test_services_in_a_separate_process_record_the_same_kinds_of_events(tmp_path):
-    async with Fleet(Plan(size=3, relayed=False, hosts=1), tmp_path) as fleet:
+    async with Fleet(Plan(size=3, is_relayed=False, service_process_count=1), tmp_path) as fleet:
         await fleet.start()
         await fleet.set_request_rate()
         await asyncio.sleep(2.0)
@@ -325,7 +327,7 @@
 from nickelslip.emulator.fleet import Fleet
 from nickelslip.emulator.fleet_plan import Plan
 async def main():
-    async with Fleet(Plan(size=3, hosts=1, relayed=False)) as fleet:
+    async with Fleet(Plan(size=3, service_process_count=1, is_relayed=False)) as fleet:
         await fleet.start()
         print(*fleet.pids, *(host.pid for host in fleet.services.hosts), flush=True)
         await asyncio.sleep(60)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,7 +41,7 @@
 
 
 async def test_half_the_servers_are_replaced_in_steps_while_services_of_the_others_move(tmp_path):
-    async with serving_fleet(tmp_path, size=6, rate=90.0) as fleet:
+    async with serving_fleet(tmp_path, size=6, rate_per_s=90.0) as fleet:
         begin_at_ms = fleet.history.events[0].at_ms
         remaining = fleet.names[3:]
         for step in (fleet.names[:2], fleet.names[2:3]):
