--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -20,7 +20,8 @@
 code.
 
 The expectation for each traffic class and tenant is what the old configuration would have achieved under the current
-load. A rise in load alone therefore is no harm, and a good total cannot hide that one class or tenant is starved.
+load. A rise in load alone therefore does not count as harm, and a good total cannot hide that one class or tenant is
+starved.
 
 This module has no clock and does no I/O.
 """
@@ -43,8 +44,11 @@
 from nickelslip.configuration.metrics_window import BATCH_BUCKET_COUNT, Baseline, MetricsWindow, Variability
 from nickelslip.configuration.request_metrics import BUCKET_MS, ClassTenantPair, MetricsBucket, RequestCounts
 
-SETTLE_MS = 250.0  # not evaluated after a change, since requests decided before it are still being answered
-RECENT_MS = 3000.0  # also evaluated alone, so that the harmless time before it does not dilute harm that begins late
+# This time after a change is not evaluated, since requests decided before the change are still being answered.
+SETTLE_MS = 250.0
+# The latest metrics of this duration are also evaluated separately, so that harm that begins late is not diluted by the
+# harmless time before it.
+RECENT_MS = 3000.0
 REQUIRED_CONSECUTIVE_FINDINGS = 2
 
 # Required for the verdict that a change does no harm
@@ -121,13 +125,13 @@
 ) -> CanaryVerdict | None:
     """Test whether a traffic class or a tenant has fewer requests completed in time than its baseline predicts.
 
-    The input for each group is the number of requests completed in time since the change and the number expected from
-    the baseline. It is harm if the missing requests are at least ``MIN_MISSING_COUNT``, at least
-    ``MIN_MISSING_FRACTION`` of the expected ones, and at least ``min_standard_errors`` standard errors. Groups are
-    tested in the order of the baseline, and the first one with harm determines the verdict.
+    The input for each group, which is a traffic class or a tenant, is the number of requests completed in time since
+    the change and the number expected from the baseline. It is harm if the missing requests are at least
+    ``MIN_MISSING_COUNT``, at least ``MIN_MISSING_FRACTION`` of the expected ones, and at least ``min_standard_errors``
+    standard errors. Groups are tested in the order of the baseline, and the first one with harm determines the verdict.
     """
-    for name, pairs, displaced_work in displaced_work_of_groups(profile, window):
-        harm = _check_group(name, pairs, profile, window, displaced_work, min_standard_errors)
+    for name, pairs, displaced_work_per_ms in displaced_work_of_groups(profile, window):
+        harm = _check_group(name, pairs, profile, window, displaced_work_per_ms, min_standard_errors)
         if harm is not None:
             return harm
     return None
@@ -138,7 +142,7 @@
     pairs: set[ClassTenantPair],
     profile: BaselineProfile,
     window: MetricsWindow,
-    displaced_work: float,
+    displaced_work_per_ms: float,
     min_standard_errors: float,
 ) -> CanaryVerdict | None:
     """Test whether a group has fewer requests completed in time than expected."""
@@ -147,17 +151,17 @@
     if not counts_before.received or not counts_before.completed_in_time:
         return None
     counts = window.counts_of(pairs)
-    expected = expected_completions(pairs, profile, window, displaced_work)
+    expected = expected_completions(pairs, profile, window, displaced_work_per_ms)
     completed_per_ms = counts.completed_in_time / window.duration_ms
-    # Rounded in the same way as ``expected``; this is also the value that is stored.
+    # Divided and multiplied again, so that it has the same rounding as ``expected``; this value is also stored.
     completed = completed_per_ms * window.duration_ms
     if expected - completed < max(MIN_MISSING_COUNT, MIN_MISSING_FRACTION * expected):
         return None
     variability = profile.variability[name]
-    standard_errors = _count_standard_errors(expected, completed, variability, baseline, window)
+    standard_errors = _standard_errors_of_count(expected, completed, variability, baseline, window)
     if window.cpu_fraction < IDLE_CPU_FRACTION:
         standard_errors = max(
-            standard_errors, _fraction_standard_errors(counts_before, counts, variability, window.bucket_count)
+            standard_errors, _standard_errors_of_fraction(counts_before, counts, variability, window.bucket_count)
         )
     if standard_errors < min_standard_errors:
         return None
@@ -173,7 +177,7 @@
     )
 
 
-def _count_standard_errors(
+def _standard_errors_of_count(
     expected: float,
     completed: float,
     variability: Variability,
@@ -189,7 +193,7 @@
     return difference / sqrt(variability.dispersion * (1 + window.duration_ms / baseline.duration_ms))
 
 
-def _fraction_standard_errors(
+def _standard_errors_of_fraction(
     counts_before: RequestCounts,
     counts: RequestCounts,
     variability: Variability,
@@ -203,7 +207,8 @@
     if not counts_before.received or not counts.received:
         return 0.0
     expected = counts_before.completed_in_time / counts_before.received * counts.received
-    # Laplace's rule keeps the pooled fraction above 0 and below 1.
+    # Laplace's rule keeps the pooled fraction above 0 and below 1, as long as no more requests were completed than
+    # received. More may be: requests received before the window and retries are counted only when they are completed.
     fraction = min(
         1.0,
         (counts_before.completed_in_time + counts.completed_in_time + 1)
@@ -314,7 +319,7 @@
         standard_errors: The number of standard errors at which a difference counts as significant.
 
     Attributes:
-        evaluated_until_ms: End of the latest evaluated bucket.
+        evaluated_until_ms: Time from which the next evaluation needs buckets.
     """
 
     def __init__(self, baseline: Baseline, changed_at_ms: float, standard_errors: float) -> None:
--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -1,8 +1,8 @@
 """The configuration changes of one server and the generations that result from them.
 
-At most one change is staged, and at most one is being applied or in its canary period. A change is planned against the
-generation in force. If another generation comes into force first, the change is superseded: it is rejected, never
-merged.
+A generation is a numbered configuration that is or was in force. At most one change is staged, and at most one is
+being applied or in its canary period. A change is planned against the generation in force. If another generation comes
+into force first, the change is superseded: it is rejected, never merged.
 
 This module has no clock and does no I/O. The caller writes the returned records, adopts the returned generations and
 reports the outcome.
@@ -129,10 +129,11 @@
     def draft(
         self, now_ms: float, config: Config, document: Document, origin: str, forced: bool = False
     ) -> ConfigurationChange:
-        """Create and validate a change to this document.
+        """Create and validate a change that puts this document into force.
 
         Raises:
-            ChangeRejectedError: The document changes nothing, needs a restart, or was rolled back recently.
+            ChangeRejectedError: The document changes nothing, needs a restart, or was rolled back recently and is not
+                forced.
         """
         self._last_change_number += 1
         change = ConfigurationChange(
@@ -247,7 +248,10 @@
         return self._confirm(change, now_ms, "needs no probation")
 
     def mark_failed(self, now_ms: float, reason: str) -> HistoryRecord:
-        """Record that the current change could not be applied. The generation in force stays the same."""
+        """Record that the current change could not be applied. The generation in force stays the same.
+
+        The change enters ROLLED_BACK although it was never in force; its history record says REJECTED.
+        """
         change = self._require_current(ChangeState.APPLYING)
         self.current = None
         self._enter(change, ChangeState.ROLLED_BACK, now_ms, reason)
@@ -278,7 +282,9 @@
     def extend_canary_period(self, duration_ms: float) -> None:
         """Extend the canary period by a time during which the change could not be observed."""
         if self.current is not None and self.current.state is ChangeState.CANARY:
-            self.current.state_entered_at_ms += duration_ms
+            self.current.state_entered_at_ms += (
+                duration_ms  # moves the start of the period; no longer the time of entry
+            )
 
     def confirm(self, now_ms: float, reason: str) -> HistoryRecord:
         """Confirm the change in its canary period and return the record to write.
@@ -299,7 +305,8 @@
         """Roll back the change in its canary period, and reject its document for a time.
 
         Returns:
-            The generation that was in force before the change, as the same object, and the record to write.
+            The last confirmed generation and the record to write. The generation is the object that was in force before
+            the change, unless peer addresses were replaced during the canary period.
 
         Raises:
             ChangeRejectedError: No change is in its canary period.
@@ -313,7 +320,7 @@
         return Adoption(self.in_force.generation, record)
 
     def earlier_snapshot(self, generation: int | None = None) -> GenerationSnapshot:
-        """Return an earlier confirmed generation.
+        """Return the snapshot of an earlier confirmed generation.
 
         Args:
             generation: Its number; None for the latest confirmed one that is not in force.
@@ -331,7 +338,7 @@
         """Put a configuration that differs only in peer addresses into force, even if a change is staged or current.
 
         A change in its canary period stays in it. Both the generation in force and the one to which the change would
-        be rolled back get the new addresses.
+        be rolled back get the new addresses. A staged change is superseded, and is rejected when it is to be applied.
         """
         generation = self._next_generation(config, origin, now_ms)
         self.in_force = GenerationSnapshot(generation, document, digest_of(document))
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -1,7 +1,10 @@
 """The typed configuration of a server, and the decoder of documents in the platform's form.
 
-``document_reader`` reads nickelslip's own form and ``document_conversion`` converts it. Both forms result in the same
-``Config``. The module does no I/O and sets no value that was not given.
+The platform is the environment that builds and starts the server. ``document_reader`` reads nickelslip's own form and
+``document_conversion`` converts it. Both forms result in the same ``Config``.
+
+The module does no I/O. The decoder takes the name and the listening address from the environment variables passed in,
+if they are set there, and all else from the document; ``changes`` and ``starts`` keep their defaults.
 """
 
 from __future__ import annotations
@@ -18,7 +21,8 @@
 PLACEHOLDER_ADDRESS: Address = ("", 0)  # replaces an invalid address while further faults are collected
 MAX_PORT = 65535
 MIN_DESCRIPTORS = 32
-OVERRIDE_PREFIX = "NICKELSLIP_SET_"  # of variables that override one value, such as NICKELSLIP_SET_MACHINE__CORES
+# Prefix of the environment variables that each override one value, such as NICKELSLIP_SET_MACHINE__CORES
+OVERRIDE_PREFIX = "NICKELSLIP_SET_"
 NAME_VARIABLE = "ROUTER_NAME"
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 
@@ -37,7 +41,8 @@
         baseline_ms: Length of the period before a change with which the canary period is compared.
         standard_errors: Number of standard errors above which a difference is not attributed to chance.
         rejected_after_rollback_ms: How long a rolled-back document is rejected unless it is forced.
-        reload_all: Whether SIGHUP applies the whole file as a change. Otherwise it applies only the peers' addresses.
+        reload_all: Whether SIGHUP applies the whole file as a change. Otherwise it applies only the peers'
+            addresses, which are those of the worker pool, the dependency and the directory.
     """
 
     socket: str = ""
@@ -68,13 +73,13 @@
         listen: Address to which load balancers connect.
         pool: Address of the worker pool.
         records: Address of the dependency that requests call, if there is one.
-        directory: Address of the directory, which receives the load reports of this server.
+        directory: Address of the directory, the service to which this server sends its load reports.
         seed: Seed of the random generators.
         stop_ms: Time from the stop signal to the kill.
         memory_mb: Memory limit of this process.
         descriptors: File descriptor limit of this process.
         settings: The settings of admission control.
-        gauges: Names of the gauges, in the order of the worker pool.
+        gauges: Names of the gauges, in the order in which the worker pool sends them.
         changes: The rules for configuration changes.
         starts: Directory in which early exits are recorded; empty if they are not recorded.
     """
@@ -111,7 +116,11 @@
 
 
 def parse_seed(text: str) -> int:
-    """Return the number that a seed in hex digits stands for. Raises MalformedSettingsError."""
+    """Parse a seed given in hexadecimal digits.
+
+    Raises:
+        MalformedSettingsError: The text is not a hexadecimal number.
+    """
     try:
         return int(text, 16)
     except ValueError:
@@ -144,7 +153,7 @@
     limits = root.child("limits")
     settings = decode_settings(given.get("settings"), faults)
     makes_calls = any(traffic_class.makes_calls for traffic_class in settings.traffic_classes)
-    # Faults are reported in the order of these fields
+    # Faults are reported in the order of these arguments, after those of the settings
     return Config(
         name=_read_name(root, faults),
         seed=_read_seed(root, faults),
@@ -198,7 +207,7 @@
     """Return the current configuration with the peers' addresses of a newly read one.
 
     The second value holds the names of the other fields that differ, which need a restart. The seed is not compared,
-    because each file gets a new one.
+    because every generated file contains a new one.
     """
     updated = replace(current, pool=reloaded.pool, records=reloaded.records, directory=reloaded.directory)
     differing = [
--- a/nickelslip/configuration/expected_completions.py
+++ b/nickelslip/configuration/expected_completions.py
@@ -85,7 +85,7 @@
     pairs: set[ClassTenantPair],
     profile: BaselineProfile,
     window: MetricsWindow,
-    displaced_work: float,
+    displaced_work_per_ms: float,
 ) -> float:
     """Return how many requests of a group the old configuration would have completed in time since the change.
 
@@ -107,5 +107,5 @@
         sum(profile.work_ms[pair] * baseline.counts[pair].completed_in_time for pair in pairs)
         / counts_before.completed_in_time
     )
-    completed_per_ms = completed_per_ms_before * received_ratio - displaced_work / max(work_ms, MIN_WORK_MS)
+    completed_per_ms = completed_per_ms_before * received_ratio - displaced_work_per_ms / max(work_ms, MIN_WORK_MS)
     return max(0.0, completed_per_ms) * window.duration_ms
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -1,8 +1,8 @@
 """The state machine of a staged rollout, which applies a document to a canary target and then to waves of targets.
 
-If a target rolls the document back or rejects it, or too many targets are unreachable, all targets are rolled back. A
-target is the control socket of one server. One that is down or replies late never counts as confirmed, and the time to
-wait for it is bounded.
+A target is a server, addressed by its control socket. All targets are rolled back if one of them rolls the document
+back or rejects it, if too many are unreachable, or if no target of a wave confirms the document. A target that is down
+or replies late never counts as confirmed, and the time to wait for it is bounded.
 
 ``Rollout`` decides on the next action for each target and evaluates the replies. It has no clock and does no I/O:
 ``rollout_runner`` carries out its instructions and records the replies.
@@ -83,7 +83,7 @@
     TargetState.ROLLBACK_PENDING: Action.ROLL_BACK,
 }
 UNDECIDED_STATES = (TargetState.APPLYING, TargetState.IN_CANARY_PERIOD)
-STATES_WITH_POSSIBLE_DOCUMENT = (TargetState.CONFIRMED, TargetState.UNREACHABLE, *UNDECIDED_STATES)
+STATES_TO_ROLL_BACK = (TargetState.CONFIRMED, TargetState.UNREACHABLE, *UNDECIDED_STATES)
 STATES_DONE_WITH_ROLLBACK = (
     TargetState.PENDING,
     TargetState.FAILED,
@@ -92,7 +92,8 @@
 )
 FINISHED_STATUSES = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK, RolloutStatus.ROLLBACK_FAILED)
 
-# Codes of the control protocol
+# Codes with which a target rejects a request. All but `INVALID_REQUEST_CODE` stand for a RejectionReason, see
+# `server.control_words`.
 REJECTION_CODES = ("faulty", "restart", "undone", "unproven", "improper", "leaving", "history", "none")
 UNCHANGED_CODE = "nothing"
 TOO_LATE_CODE = "late"
@@ -107,8 +108,8 @@
     """The waves, limits and timeouts of a rollout.
 
     Attributes:
-        wave_fractions: Increasing fractions of the targets asked to apply the document by the end of each wave. Every
-            wave has at least one target, so a first fraction of 0 means a single canary.
+        wave_fractions: The fraction of all targets that have been asked to apply the document by the end of each wave,
+            in increasing order. Every wave has at least one target, so a first fraction of 0 means a single canary.
         max_unreachable_count: The number of unreachable targets above which all targets are rolled back.
         reply_timeout_ms: Timeout of one reply.
         unreachable_after_ms: Time without a reply after which a target counts as unreachable.
@@ -238,11 +239,11 @@
         The caller must call ``record_reply`` exactly once for each instruction.
         """
         for target in self._targets.values():
-            self._check_timeouts(target, now_ms)
+            self._apply_timeouts(target, now_ms)
         if self.status is RolloutStatus.IN_PROGRESS:
-            self._check_wave(now_ms)
+            self._advance_wave(now_ms)
         if self.status is RolloutStatus.ROLLING_BACK:
-            self._check_rollback(now_ms)
+            self._advance_rollback(now_ms)
         if self.is_finished:
             return []
         return [
@@ -258,7 +259,7 @@
         target.next_action_at_ms = now_ms + self._policy.status_check_interval_ms
         return Instruction(target.name, action)
 
-    def _check_timeouts(self, target: _Target, now_ms: float) -> None:
+    def _apply_timeouts(self, target: _Target, now_ms: float) -> None:
         """Mark a target as unreachable if it has not replied or not finished its canary period in time."""
         since_reply_ms = now_ms - target.last_reply_at_ms
         in_state_ms = now_ms - target.entered_at_ms
@@ -267,7 +268,7 @@
         elif target.state is TargetState.IN_CANARY_PERIOD and in_state_ms > self._policy.canary_timeout_ms:
             self._enter(target, TargetState.UNREACHABLE, now_ms, "its probation does not end")
 
-    def _check_wave(self, now_ms: float) -> None:
+    def _advance_wave(self, now_ms: float) -> None:
         """Begin the rollback if a target failed or too many are unreachable. Else continue once the wave is decided."""
         asked = self._asked_targets()
         failed = next((target for target in asked if target.state is TargetState.FAILED), None)
@@ -294,11 +295,11 @@
         self.reason = reason
         self._rollback_began_at_ms = now_ms
         for target in self._targets.values():
-            if target.state in STATES_WITH_POSSIBLE_DOCUMENT:
+            if target.state in STATES_TO_ROLL_BACK:
                 self._enter(target, TargetState.ROLLBACK_PENDING, now_ms, target.reason)
                 target.next_action_at_ms = now_ms
 
-    def _check_rollback(self, now_ms: float) -> None:
+    def _advance_rollback(self, now_ms: float) -> None:
         """End the rollback once every target is done or the timeout has expired."""
         if now_ms - self._rollback_began_at_ms > self._policy.rollback_timeout_ms:
             for target in self._targets.values():
@@ -375,7 +376,7 @@
             self._enter(target, TargetState.CONFIRMED, now_ms)
 
     def _record_rollback(self, target: _Target, now_ms: float, reply: dict[str, Any]) -> None:
-        """Record the reply to a rollback. It also succeeded if another document is in force by now."""
+        """Record the reply to a rollback, which counts as successful also if the document is no longer in force."""
         if reply.get("ok") is True or reply.get("code") in NOT_IN_FORCE_CODES:
             self._enter(target, TargetState.ROLLED_BACK, now_ms)
         else:
