--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -23,17 +23,21 @@
 
 DIRECTORY_ENTRY_LIFETIME_MS = 3000.0  # the directory removes a server this long after its last report
 REPORTS_PER_LIFETIME = 6
-REPORT_PERIOD_SLACK_MS = 1.0  # if five reports in a row are lost, the sixth is sent just after the entry has expired
+# Makes the period slightly longer than a sixth of the lifetime. The entry outlives four lost reports in a row; after
+# five, the sixth is sent just after it has expired.
+REPORT_PERIOD_SLACK_MS = 1.0
 HEALTH_REPORT_REPEATS_MS = (60.0, 180.0)  # after a change of health, in case a report is lost
 
 INITIAL_CONCURRENT_CALLS = 1.0
-RAMP_FACTOR = 1.5  # the call limit is multiplied by this after a fast round, and divided by it after a slow one
+# A round is a sequence of calls, about as many as may be in flight at once; see `RoundStatistics.is_complete`. The call
+# limit is multiplied by this after a fast round, and divided by it after a slow one.
+RAMP_FACTOR = 1.5
 
 MIN_BACKOFF_DELAY_MS = 20.0
 MAX_BACKOFF_DELAY_MS = 1000.0
 MAX_ATTEMPTS_PER_BACKOFF_WINDOW = 12
 BACKOFF_WINDOW_MS = 5000.0
-FAILURES_UNTIL_BACKOFF = 3  # consecutive calls without an answer
+FAILURES_UNTIL_BACKOFF = 3  # consecutive failed calls
 MAX_SHORT_OUTAGE_MS = 1000.0  # a shorter outage requires no new warm-up; the start resumes where it was interrupted
 
 MAX_KEPT_PHASES = 64
@@ -129,7 +133,7 @@
         is_cold: bool,
         warm_up_ms: float = 0.0,
     ) -> None:
-        self._report_phase = phase_of(server_name, seed)
+        self._phase_in_report_period = phase_of(server_name, seed)
         self._backoff = Backoff(
             random.Random(f"start {server_name} {seed}"),
             MIN_BACKOFF_DELAY_MS,
@@ -171,7 +175,7 @@
         if self.phase is not SlowStartPhase.PROCESS_STARTED:
             return
         self._handle_event(SlowStartEvent.WORKER_POOL_CONNECTED, now_ms)
-        in_phase_at_ms = next_in_phase(now_ms, self.report_period_ms, self._report_phase)
+        in_phase_at_ms = next_in_phase(now_ms, self.report_period_ms, self._phase_in_report_period)
         may_expire = in_phase_at_ms - now_ms + worker_pool_age_ms > DIRECTORY_ENTRY_LIFETIME_MS - self.report_period_ms
         self._periodic_report_at_ms = now_ms if may_expire else in_phase_at_ms
 
@@ -179,7 +183,7 @@
         """Handle a report that was sent to the directory."""
         self._health_reports_at_ms = [at_ms for at_ms in self._health_reports_at_ms if at_ms > now_ms]
         if now_ms >= self._periodic_report_at_ms:
-            self._periodic_report_at_ms = next_in_phase(now_ms, self.report_period_ms, self._report_phase)
+            self._periodic_report_at_ms = next_in_phase(now_ms, self.report_period_ms, self._phase_in_report_period)
         self._handle_event(
             SlowStartEvent.COLD_REPORT_SENT if self._is_cold else SlowStartEvent.WARM_REPORT_SENT,
             now_ms,
@@ -211,7 +215,10 @@
         self._call_limit = min(self._call_limit, self._dependency_share)
 
     def call_answered(self, now_ms: float, took_ms: float) -> None:
-        """Handle an answered call; `took_ms` is inf for a rejected or abandoned call, which always counts as slow."""
+        """Handle a call that was answered or timed out.
+
+        `took_ms` is inf for a rejected or timed-out call, which always counts as slow.
+        """
         self._backoff.after_success()
         self._consecutive_failures = 0
         if self.phase is SlowStartPhase.BACKING_OFF:
@@ -220,7 +227,7 @@
             self._count_answer(now_ms, took_ms)
 
     def call_failed(self, now_ms: float) -> None:
-        """Handle a call without an answer: it did not reach the dependency, or was lost in transit."""
+        """Handle a failed call: it did not reach the dependency, was lost in transit, or was answered with an error."""
         if self.phase is SlowStartPhase.PROCESS_STARTED:
             return
         self._last_overload_at_ms = now_ms
@@ -252,7 +259,7 @@
         self._round.add_answer(took_ms)
         if not self._round.is_complete(self._call_limit):
             return
-        if self._round.evaluate_round():
+        if self._round.evaluate_round():  # the round was slow
             self._call_limit = max(INITIAL_CONCURRENT_CALLS, self._call_limit / RAMP_FACTOR)
             self._last_overload_at_ms = now_ms
         else:
@@ -264,7 +271,7 @@
 
     @property
     def report_period_ms(self) -> float:
-        """The time between reports: the longest that keeps the directory entry alive if some of them are lost."""
+        """The time between reports. The directory entry outlives up to four lost reports in a row."""
         return DIRECTORY_ENTRY_LIFETIME_MS / REPORTS_PER_LIFETIME + REPORT_PERIOD_SLACK_MS
 
     @property
