--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -1,11 +1,11 @@
 """Tracks which commands have reached the worker pool, and selects those to send again after a link is lost.
 
-A command is unconfirmed until the worker pool answers a query that was written after it. If the link breaks first, the
-command may or may not have arrived. Once the next link has delivered all missed notifications, `resend_decision`
-decides for each such command whether it is sent again.
+A command is unconfirmed until the worker pool answers a gauge query that was written after it. If the link breaks
+first, the command may or may not have arrived. Once the next link has delivered all missed notifications,
+`resend_decision` decides for each such command whether it is sent again.
 
-A start that is not sent again then is only ever repeated by `pop_runs_to_restart`, when its client no longer
-waits for the answer and the worker pool cannot stop runs.
+A start that `resend_decision` does not repeat is repeated only for `pop_runs_to_probe`, and only if its client no
+longer waits for the answer and the worker pool cannot stop runs.
 """
 
 from __future__ import annotations
@@ -26,7 +26,9 @@
 )
 
 MAX_UNCONFIRMED_COMMANDS = 4096  # when there are more, the oldest are discarded
-STOPS_PROVING_NO_RUN = 3  # stops without a notification of the run, each after the answer to a further query
+# After this many stops without a notification of the run, each after the answer to a further query, the next stop
+# proves that the run does not exist.
+STOPS_PROVING_NO_RUN = 3
 
 
 class ResendDecision(Enum):
@@ -68,9 +70,9 @@
 def _is_run_repeatable(request: Request) -> bool:
     """Whether a run whose reply may be lost can be started again.
 
-    The reply itself must not be repeated, since the run may be blocked at its next call by the time it arrives. An
-    idempotent run without a notification since then is run again instead. Otherwise it would stay blocked at its call
-    and occupy its slot until its deadline.
+    The reply itself must not be sent again: the run may have received it and be blocked at its next call, which would
+    take it as its own reply. An idempotent run that has sent no notification since it was resumed is started again
+    instead. Otherwise it would stay blocked at its call and occupy its slot until its deadline.
     """
     return (
         request.state is RequestState.RUNNING
@@ -85,11 +87,13 @@
 
 
 class UnconfirmedRun(NamedTuple):
-    """A run whose last command may have been lost with a link, so that it may not have started or may have ended.
+    """A run whose last command may have been lost with a link. It may not have started, or may have ended already.
 
     Attributes:
-        stop_count: Stops counted since the link was lost, without a notification of the run.
-        query_answer_count: Number of answered queries when the last of these stops was counted.
+        stop_count: Stops since the current link was bound, without a notification of the run. At most one is counted
+            per answered query.
+        query_answer_count: Number of answered queries when the last of these stops was counted, or when the link was
+            bound.
     """
 
     stop_count: int
@@ -118,7 +122,7 @@
         self._unconfirmed.append(command)
 
     @property
-    def is_all_confirmed(self) -> bool:
+    def all_confirmed(self) -> bool:
         """Whether everything written on the current link is confirmed to have arrived."""
         return not self._unconfirmed
 
@@ -128,7 +132,7 @@
         return bool(self._catch_up_tag)
 
     def link_bound(self) -> None:
-        """Record that a new link is bound; commands unconfirmed on the old link may be lost.
+        """Record that the worker pool has accepted a new link; commands unconfirmed on the old link may be lost.
 
         Only the last command of each run is kept, since earlier ones are never sent again. Stops are not kept either,
         because admission control requests them again.
@@ -157,8 +161,8 @@
         while not _is_query(self._unconfirmed.popleft(), tag):
             pass
 
-    def commands_to_resend(self, tag: str) -> list[RunCommand]:
-        """Return the commands to send in place of possibly lost ones, once all missed notifications are read.
+    def pop_commands_to_resend(self, tag: str) -> list[RunCommand]:
+        """Remove the possibly lost commands once all missed notifications are read, and return those to send instead.
 
         Args:
             tag: Tag of the query that has just been answered.
@@ -182,7 +186,7 @@
         self._unconfirmed_runs.pop(request, None)
 
     def record_stop(self, request: Request) -> bool:
-        """Count a stop of this run, and return whether the stops so far prove that the run does not exist.
+        """Count a stop of this run, and return whether the earlier stops prove that the run does not exist.
 
         No notification ever arrives for a run whose start was lost. Without this check it would occupy its slot and
         its memory forever.
@@ -197,12 +201,12 @@
         del self._unconfirmed_runs[request]
         return True
 
-    def pop_runs_to_restart(self) -> list[Request]:
-        """Remove and return the unconfirmed runs to start again because no client waits for them.
+    def pop_runs_to_probe(self) -> list[Request]:
+        """Remove and return the unconfirmed runs for which no client waits, to send a start for each as a query.
 
         Each run is returned only once. This is for worker pools that cannot stop runs. By the protocol, such a start
-        never begins a run: either the run is already in progress, or the worker pool replies that it is too late to
-        start it. Both notifications settle whether the run exists.
+        never begins a run: either the run is already in progress and sends a notification, or the worker pool replies
+        that it is too late to start it. Either notification settles whether the run exists.
         """
         requests = [
             request
--- a/nickelslip/server/connection_table.py
+++ b/nickelslip/server/connection_table.py
@@ -87,7 +87,7 @@
 
     def _idle_by_last_use(self) -> list[LoadBalancerConnection]:
         idle = [
-            connection for connection in self.connections if connection.has_sent_complete_message and connection.is_idle
+            connection for connection in self.connections if connection.has_sent_valid_message and connection.is_idle
         ]
         return sorted(idle, key=lambda connection: connection.last_used_at_ms)
 
@@ -108,7 +108,7 @@
         now_ms = self._context.clock()
         for connection in self.lingering:
             lingered_ms = now_ms - (connection.close_began_at_ms or now_ms)
-            if not connection.has_sent_complete_message or lingered_ms >= CLOSE_CROSSING_MS:
+            if not connection.has_sent_valid_message or lingered_ms >= CLOSE_CROSSING_MS:
                 self.remove(connection)
                 connection.stream.abort(CloseReason.SHED)
                 return True
--- a/nickelslip/server/control_socket.py
+++ b/nickelslip/server/control_socket.py
@@ -172,7 +172,7 @@
                 started_s = time.monotonic()
             for message in messages:
                 stream.write(encode_frame(await self._reply(message)))
-                await stream.wait_for_backlog()
+                await stream.wait_until_backlog_shrinks()
 
     async def _reply(self, request: dict[str, Any]) -> dict[str, Any]:
         """Return the reply to one request."""
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -3,7 +3,7 @@
 `tagged_requests` interprets the messages. There are three ways to close a connection:
 
 * a close request asks the load balancer to send no new requests and to close the connection;
-* a lingering close ends this side's direction and briefly continues to read, so that no answer in transit is lost;
+* a lingering close shuts down the write side and briefly continues to read, so that no answer in transit is lost;
 * an abort (`Stream.abort`) closes the socket immediately.
 """
 
@@ -48,7 +48,7 @@
         stream: The stream over the socket.
         requests: The open requests of this connection.
         last_used_at_ms: When the connection was accepted, or last carried a complete message or an answer.
-        has_sent_complete_message: Whether the load balancer has sent a valid request or health check.
+        has_sent_valid_message: Whether the load balancer has sent a valid request or health check.
         is_close_requested: Whether the load balancer was asked to close the connection.
         close_began_at_ms: When this side began a lingering close, or None.
     """
@@ -63,7 +63,7 @@
         self.requests = TaggedRequests(server, self.stream, log, self._note_valid_message, self._note_used)
         self.last_used_at_ms = server.clock()
         self._message_began_at_ms: float | None = None  # of an incomplete message
-        self.has_sent_complete_message = False
+        self.has_sent_valid_message = False
         self.is_close_requested = False
         self.close_began_at_ms: float | None = None
 
@@ -75,11 +75,11 @@
         except ConnectionClosedError as error:
             closed = error
             if error.reason not in PEER_GONE_REASONS:
-                await self._drain()
+                await self._answer_and_linger()
         except Exception as error:  # affects only this connection; its open requests are still answered
             closed = ConnectionClosedError(CloseReason.FAULT, repr(error))
             self._server.log.error("load_balancer_connection_failed", error=repr(error), exc_info=error)
-            await self._drain()
+            await self._answer_and_linger()
         finally:
             self.stream.abort(closed.reason)
             self.requests.abandon_all()
@@ -92,14 +92,17 @@
             ConnectionClosedError: The connection has ended. This method never returns normally.
         """
         while True:
-            await self.stream.wait_for_backlog()
+            await self.stream.wait_until_backlog_shrinks()
             await self._receive()
             self._handle_received()
             if self.requests.consecutive_refusal_count > MAX_CONSECUTIVE_REFUSALS:
                 raise ConnectionClosedError(CloseReason.MALFORMED, "too many invalid requests in a row")
 
     async def _receive(self) -> None:
-        """Wait until more bytes are received, or until the current message is admitted as a slow one."""
+        """Wait until more bytes are received.
+
+        If the current message stalls, return if the table admits its sender as a slow writer, and raise otherwise.
+        """
         try:
             await self.stream.fill(self._remaining_ms())
         except ConnectionClosedError as closed:
@@ -111,7 +114,7 @@
         now_ms = self._server.clock()
         if self._message_began_at_ms is not None:
             return self._message_began_at_ms + self._message_timeout_ms() - now_ms
-        if self.has_sent_complete_message:
+        if self.has_sent_valid_message:
             return inf
         return self.last_used_at_ms + FIRST_BYTE_TIMEOUT_MS - now_ms
 
@@ -154,7 +157,7 @@
         self.last_used_at_ms = self._server.clock()
 
     def _note_valid_message(self) -> None:
-        self.has_sent_complete_message = True
+        self.has_sent_valid_message = True
         self._table.note_valid_message(self)
 
     @property
@@ -171,7 +174,8 @@
     def close_if_idle(self, reason: CloseReason) -> bool:
         """Begin a lingering close if the connection is idle with no unread input; return whether it did.
 
-        Input that arrives later has crossed the close.
+        Input that arrives later was sent before the load balancer saw the close. It is not answered; load balancers
+        resend such requests.
         """
         if not self.is_idle or not self.stream.is_open_without_pending_input:
             return False
@@ -187,7 +191,7 @@
             self.close_began_at_ms = self._server.clock()
             self.stream.shut_down(reason)
 
-    async def _drain(self) -> None:
+    async def _answer_and_linger(self) -> None:
         """Wait until the open requests are answered, without reading more messages, and then linger."""
         await self.requests.wait_until_answered()
         await self._wait_until_sent()
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -1,6 +1,7 @@
 """Non-blocking streams over sockets. Received and unsent bytes are held in buffers of a shared pool.
 
-A write never waits, so a decision is passed to the socket before any other task can run.
+A write never waits. While the backlog is empty, the data is passed to the socket before any other task can run; what
+the socket does not accept at once is sent later.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 LINGER_TIMEOUT_S = 0.5
 LINGER_READ_PAUSE_S = 0.005
-DISCARDED = bytearray(4 * BUFFER_BYTES)  # receives bytes that are read only to be discarded
+DISCARD_BUFFER = bytearray(4 * BUFFER_BYTES)  # receives bytes that are read only to be discarded
 
 
 class Stream:
@@ -29,7 +30,7 @@
         buffers: The pool of buffers.
         task_group: The task group in which the backlog is sent.
         stall_timeout_ms: How long the peer may pause in the middle of a message, or not read what was sent.
-        max_backlog_bytes: The backlog size in bytes above which `wait_for_backlog` waits.
+        max_backlog_bytes: The backlog size in bytes above which `wait_until_backlog_shrinks` waits.
         may_use_reserve: Whether reserved buffers of the pool may be acquired.
 
     Attributes:
@@ -90,7 +91,7 @@
         self.start = max(self.start, end_index)
         self._release_if_empty()
 
-    async def wait_for_backlog(self) -> None:
+    async def wait_until_backlog_shrinks(self) -> None:
         """Wait until the backlog has shrunk to `max_backlog_bytes`, or the stream has ended."""
         while self._backlog.allocated_bytes > self._max_backlog_bytes and not self.close_reason:
             self._backlog_shrunk = anyio.Event()
@@ -108,7 +109,7 @@
                 while not self.close_reason:
                     self.consume(self.end)
                     await self._wait_for(anyio.wait_readable)
-                    if not self._sock.recv_into(DISCARDED):
+                    if not self._sock.recv_into(DISCARD_BUFFER):
                         return
                     await anyio.sleep(LINGER_READ_PAUSE_S)
             except (ConnectionClosedError, OSError):
@@ -201,8 +202,9 @@
     def write(self, data: bytes) -> bool:
         """Send as much as the socket accepts immediately, and add the rest to the backlog.
 
-        Errors are not raised here: they end the stream, and `fill` raises them. Returns False only if nothing was
-        sent.
+        Errors are not raised here: they end the stream, and `fill` raises them. Returns False if the stream had already
+        ended or the socket failed; nothing was sent then. Returns True even if no buffer was left for the rest, which
+        also ends the stream.
         """
         if self.shut_down_reason or self.close_reason:
             return False
@@ -247,11 +249,11 @@
             sent_bytes = self._sock.send(self._backlog.next_data())
         except (BlockingIOError, InterruptedError):
             return
-        if self._backlog.mark_sent(sent_bytes):
+        if self._backlog.mark_sent(sent_bytes):  # a buffer was released
             self._backlog_shrunk.set()
 
     def shut_down(self, reason: CloseReason) -> None:
-        """Begin a lingering close by ending this side's direction. Call it only when the backlog is empty.
+        """Begin a lingering close by shutting down the write side. Call it only when the backlog is empty.
 
         `fill` then raises with this reason, and its caller continues with `linger`. Only the first call has an effect.
         """
@@ -266,9 +268,9 @@
         anyio.notify_closing(self._sock)
 
     def abort(self, reason: CloseReason) -> None:
-        """Close the socket immediately and release all buffers; `fill` raises with this reason.
+        """Close the socket immediately and release all buffers.
 
-        Only the first call has an effect.
+        `fill` then raises, with this reason unless `shut_down` gave one before. Only the first call has an effect.
         """
         if self.close_reason:
             return
--- a/nickelslip/server/worker_pool_link.py
+++ b/nickelslip/server/worker_pool_link.py
@@ -231,12 +231,12 @@
             MalformedNotificationError: The values cannot be decoded.
         """
         self._delivery.query_answered(tag)
-        for command in self._delivery.commands_to_resend(tag):
+        for command in self._delivery.pop_commands_to_resend(tag):
             self._write(command)
         if not self._delivery.is_catching_up and not self._can_stop_runs and self.is_up:
-            for request in self._delivery.pop_runs_to_restart():
+            for request in self._delivery.pop_runs_to_probe():
                 self.start(request)
-        if self._delivery.is_all_confirmed:
+        if self._delivery.all_confirmed:
             self._connection.mark_all_confirmed()
         self._gauges = decode_gauges(self._owner.generation.config.gauges, values)
 
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -246,7 +246,7 @@
             rig.pool.notifications.clear()
             if number in (200, 600):
                 # Commands are kept until a later query is answered; they must not be counted as left over.
-                await wait_until(lambda: rig.server.worker_pool._delivery.is_all_confirmed)
+                await wait_until(lambda: rig.server.worker_pool._delivery.all_confirmed)
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
         await wait_until(lambda: not rig.server.requests)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -36,7 +36,7 @@
     await wait_until(
         lambda: (
             (connection := rig.connection_of(peer)) is not None
-            and connection.has_sent_complete_message
+            and connection.has_sent_valid_message
             and connection.is_idle
         )
     )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,9 +28,7 @@
     peer = RawClient(rig.port)
     peer.send(STATUS)
     await wait_until(
-        lambda: any(
-            each.has_sent_complete_message and each.is_idle for each in rig.server.listeners[0].table.connections
-        )
+        lambda: any(each.has_sent_valid_message and each.is_idle for each in rig.server.listeners[0].table.connections)
     )
     return peer
 
