--- a/nickelslip/server/directory_reporter.py
+++ b/nickelslip/server/directory_reporter.py
@@ -66,7 +66,7 @@
             if slow_start.next_report_at_ms <= now_ms:
                 self._report()
                 slow_start.report_sent(now_ms)
-                self._source.update_slow_start()
+                self._source.apply_call_limit()
             wait_ms = slow_start.next_report_at_ms - self._source.clock()
             with anyio.move_on_after(None if wait_ms == inf else max(0.0, wait_ms) / 1000):
                 await self._schedule_changed.wait()
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -45,7 +45,7 @@
     def is_healthy(self) -> bool:
         """Whether health checks are answered as healthy."""
 
-    def update_slow_start(self) -> None:
+    def apply_call_limit(self) -> None:
         """Apply the call limit of the current phase of the slow start, after a report was sent."""
 
 
@@ -109,7 +109,7 @@
         """Cancel all tasks of the server."""
 
 
-class RunStarter(Protocol):
+class RunControl(Protocol):
     """Starts, stops and resumes the runs of requests in the worker pool."""
 
     def start(self, request: Request) -> None:
@@ -125,7 +125,7 @@
         """Resume the run without the call that it requested."""
 
 
-class WorkerPool(RunStarter, Protocol):
+class WorkerPool(RunControl, Protocol):
     """Executes runs and supplies gauges."""
 
     def take_gauges(self) -> Gauges | None:
@@ -138,8 +138,8 @@
 class DependencyClient(Protocol):
     """Makes the dependency calls of requests."""
 
-    def call(self, request: Request, wait_ms: float) -> None:
-        """Send the call that the run requested; it times out after `wait_ms`."""
+    def call(self, request: Request, timeout_ms: float) -> None:
+        """Send the call that the run requested; it times out after `timeout_ms`."""
 
     def abandon_call(self, request: Request) -> None:
         """Abandon the call in flight."""
@@ -155,7 +155,7 @@
         """Store the result and deliver it to the coalesced requests."""
 
     def forget(self, request: Request) -> None:
-        """Remove the record of a request that never ran."""
+        """Remove the record of a request that never ran or must not be shared; the next request with its key runs."""
 
     def remember(self, request: Request, retention_ms: float) -> None:
         """Keep the record of a request for `retention_ms`; 0 removes it."""
@@ -169,10 +169,10 @@
 
 
 class RequestActions(Protocol):
-    """The components that execute actions for a request."""
+    """The components and values with which the decisions on a request are carried out."""
 
     @property
-    def worker_pool(self) -> RunStarter:
+    def worker_pool(self) -> RunControl:
         """Executes its runs."""
 
     @property
@@ -191,17 +191,17 @@
         """Return the Unix time in milliseconds, which never goes backwards."""
 
 
-class DecisionSink(Protocol):
+class RequestEventSink(Protocol):
     """Reports the events of requests to the admission controller and executes its decisions."""
 
     def request_received(self, request: Request) -> None:
         """Report the arrival of a request."""
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which used `took_ms` of core time."""
+        """Report the end of its run, which took `took_ms`, calls included."""
 
     def call_requested(self, request: Request) -> None:
-        """Report that its run has stopped at a call."""
+        """Report that its run is blocked at a call."""
 
     def call_returned(self, request: Request, outcome: Outcome, took_ms: float) -> None:
         """Report the end of its call, which took `took_ms`."""
@@ -215,7 +215,7 @@
 
     @property
     def log(self) -> Any:
-        """The log."""
+        """The structured log of the server."""
 
     @property
     def generation(self) -> Generation:
--- a/nickelslip/server/open_requests.py
+++ b/nickelslip/server/open_requests.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:  # types only; importing them would slow down the startup
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.server.idempotency_table import IdempotencyTable
-    from nickelslip.server.interfaces import DecisionSink, RequestActions, ServerContext
+    from nickelslip.server.interfaces import RequestActions, RequestEventSink, ServerContext
     from nickelslip.server.lifecycle import Lifecycle
     from nickelslip.server.request_counter import RequestCounter
 
@@ -35,7 +35,7 @@
         self,
         context: ServerContext,
         actions: RequestActions,
-        sink: DecisionSink,
+        sink: RequestEventSink,
         executor: DecisionExecutor,
         idempotency_table: IdempotencyTable,
         counter: RequestCounter,
--- a/nickelslip/server/records_client.py
+++ b/nickelslip/server/records_client.py
@@ -39,7 +39,7 @@
         self._is_unreachable = False
         self._closed_call_count = 0
 
-    def call(self, request: Request, wait_ms: float) -> None:
+    def call(self, request: Request, timeout_ms: float) -> None:
         """Send the call for which this request's run is waiting.
 
         A request's second call is sent on a different connection than its first, since a duplicate of the first reply
@@ -52,9 +52,9 @@
         connection = self._take_idle_connection(request)
         if connection is not None:
             self._connection_by_request[request] = connection
-            connection.send_call(request, wait_ms)
+            connection.send_call(request, timeout_ms)
         elif self._ensure_free_descriptor():
-            connection = self._open_connection(request, wait_ms)
+            connection = self._open_connection(request, timeout_ms)
         else:
             request.deliver(CallReturned(NO_DESCRIPTOR_OUTCOME))
             return
@@ -70,8 +70,8 @@
         """Send new calls to the configured address; calls in flight remain on connections to the old address."""
         self._close_idle_connections(0)
 
-    def _open_connection(self, request: Request, wait_ms: float) -> PooledConnection:
-        connection = PooledConnection(self, request, wait_ms)
+    def _open_connection(self, request: Request, timeout_ms: float) -> PooledConnection:
+        connection = PooledConnection(self, request, timeout_ms)
         self._connection_by_request[request] = connection
         self._open_connections.add(connection)
         self.context.task_group.start_soon(self.context.supervise, connection.serve)
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -83,14 +83,14 @@
     Args:
         pool: The pool that receives the connection's events.
         request: The request whose call is sent first.
-        wait_ms: The time limit of that call.
+        timeout_ms: The time limit of that call.
     """
 
-    def __init__(self, pool: ConnectionPool, request: Request, wait_ms: float) -> None:
+    def __init__(self, pool: ConnectionPool, request: Request, timeout_ms: float) -> None:
         self._pool = pool
         self._context = pool.context
         self._request: Request | None = request  # the request whose call is in flight or waits for the connection
-        self._wait_ms = wait_ms
+        self._timeout_ms = timeout_ms
         self._state = PooledConnectionState.CONNECTING
         self._address: Address | None = self._context.generation.config.records
         self._became_idle_at_ms = 0.0
@@ -133,7 +133,7 @@
         if self._request is None or self._stream is None:
             raise ConnectionClosedError(CloseReason.IDLE)
         self._pool.connect_finished(None)
-        self._write_call(self._request, self._wait_ms)
+        self._write_call(self._request, self._timeout_ms)
         return self._stream
 
     async def _read_until_closed(self, stream: Stream) -> None:
@@ -143,13 +143,13 @@
                 raise ConnectionClosedError(CloseReason.MALFORMED, "received data while idle")
             self._handle_replies(stream)
 
-    def send_call(self, request: Request, wait_ms: float) -> None:
+    def send_call(self, request: Request, timeout_ms: float) -> None:
         """Send another call on an idle connection."""
         self._request = request
-        self._write_call(request, wait_ms)
+        self._write_call(request, timeout_ms)
 
-    def _write_call(self, request: Request, wait_ms: float) -> None:
-        call = encode_call(request.received.id_hex, wait_ms, request.call.body or b"")
+    def _write_call(self, request: Request, timeout_ms: float) -> None:
+        call = encode_call(request.received.id_hex, timeout_ms, request.call.body or b"")
         if self._stream is not None and self._stream.write(call):
             self._apply_event(PooledConnectionEvent.CALL_WRITTEN)
 
--- a/nickelslip/server/records_protocol.py
+++ b/nickelslip/server/records_protocol.py
@@ -42,9 +42,9 @@
     end: int
 
 
-def encode_call(request_id: str, wait_ms: float, body: bytes) -> bytes:
-    """Encode a call that the service must answer within `wait_ms`, rounded to whole milliseconds and at least 1."""
-    head = b"OP %s %d %d" % (request_id.encode(), max(1, round(wait_ms)), len(body))
+def encode_call(request_id: str, timeout_ms: float, body: bytes) -> bytes:
+    """Encode a call that the service must answer within `timeout_ms`, rounded to whole milliseconds and at least 1."""
+    head = b"OP %s %d %d" % (request_id.encode(), max(1, round(timeout_ms)), len(body))
     return head + LINE_END + body + LINE_END
 
 
--- a/nickelslip/server/request_events.py
+++ b/nickelslip/server/request_events.py
@@ -36,7 +36,7 @@
 
     Attributes:
         outcome: How it ended.
-        took_ms: Core time of the run, or how long a coalesced request waited for its original.
+        took_ms: Duration of the run, calls included, or how long a coalesced request waited for its original.
         body: Result of the run.
         ran: False if the worker pool reports that the run never started.
     """
--- a/nickelslip/server/request_lifecycle.py
+++ b/nickelslip/server/request_lifecycle.py
@@ -21,10 +21,10 @@
 from nickelslip.server.requests import Answer, Request
 
 if TYPE_CHECKING:  # types only; importing them would slow down the startup
-    from nickelslip.server.interfaces import DecisionSink, RequestActions
+    from nickelslip.server.interfaces import RequestActions, RequestEventSink
 
 
-async def run_request_lifecycle(actions: RequestActions, sink: DecisionSink, request: Request) -> None:
+async def run_request_lifecycle(actions: RequestActions, sink: RequestEventSink, request: Request) -> None:
     """Handle the events of a request until it has reached a final state.
 
     Args:
@@ -55,7 +55,7 @@
     return CallReturned(ABANDONED_CALL_OUTCOME)
 
 
-def _handle_event(actions: RequestActions, sink: DecisionSink, request: Request, event: RequestEvent) -> None:
+def _handle_event(actions: RequestActions, sink: RequestEventSink, request: Request, event: RequestEvent) -> None:
     match event:
         case CallRequested():
             _handle_call_requested(sink, request, event)
@@ -67,7 +67,7 @@
             _handle_client_disconnected(actions, sink, request)
 
 
-def _handle_call_requested(sink: DecisionSink, request: Request, event: CallRequested) -> None:
+def _handle_call_requested(sink: RequestEventSink, request: Request, event: CallRequested) -> None:
     """Record the call that the run requests, and ask the admission controller for permission to make it."""
     request.has_notification_since_last_command = True
     request.call = event
@@ -76,7 +76,9 @@
     sink.call_requested(request)
 
 
-def _handle_call_returned(actions: RequestActions, sink: DecisionSink, request: Request, event: CallReturned) -> None:
+def _handle_call_returned(
+    actions: RequestActions, sink: RequestEventSink, request: Request, event: CallReturned
+) -> None:
     """Resume the run with the reply; after any other outcome the run keeps waiting for the call.
 
     The end of a call that is no longer in flight is ignored.
@@ -91,7 +93,7 @@
     sink.call_returned(request, event.outcome, actions.clock() - request.call_started_at_ms)
 
 
-def _handle_run_finished(actions: RequestActions, sink: DecisionSink, request: Request, event: RunFinished) -> None:
+def _handle_run_finished(actions: RequestActions, sink: RequestEventSink, request: Request, event: RunFinished) -> None:
     """Report the end of the run and answer with its result; the request of a stopped run is queued again."""
     if request.state is RequestState.CALL_IN_FLIGHT:
         actions.dependency_client.abandon_call(request)
@@ -109,7 +111,7 @@
         actions.idempotency_table.forget(request)
 
 
-def _handle_client_disconnected(actions: RequestActions, sink: DecisionSink, request: Request) -> None:
+def _handle_client_disconnected(actions: RequestActions, sink: RequestEventSink, request: Request) -> None:
     """Cancel the request, unless it is orphaned or in a final state."""
     if request.state is RequestState.ORPHANED or request.state in FINAL_STATES:
         return
--- a/nickelslip/server/request_reports.py
+++ b/nickelslip/server/request_reports.py
@@ -52,16 +52,16 @@
         """Report the arrival of a request."""
         original = self._idempotency_table.find_original(request)
         original_number = original.number if original else None
-        arrival = request.received.arrival(request.number, self._clock(), original_number)
+        arrival = request.received.to_arrival(request.number, self._clock(), original_number)
         self._executor.decide(AdmissionController.request_received, arrival)
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which used `took_ms` of core time."""
+        """Report the end of its run, which took `took_ms`, calls included."""
         request.run_ms = took_ms
         self._executor.decide(AdmissionController.run_ended, request.number, outcome, took_ms)
 
     def call_requested(self, request: Request) -> None:
-        """Report that its run has stopped at a call."""
+        """Report that its run is blocked at a call."""
         self._executor.decide(AdmissionController.call_requested, request.number)
 
     def call_returned(self, request: Request, outcome: Outcome, took_ms: float) -> None:
--- a/nickelslip/server/requests.py
+++ b/nickelslip/server/requests.py
@@ -51,7 +51,7 @@
     load_balancer: int | None = None
     key: str | None = None
 
-    def arrival(self, number: int, now_ms: float, original_request_id: int | None) -> Arrival:
+    def to_arrival(self, number: int, now_ms: float, original_request_id: int | None) -> Arrival:
         """Convert the request to the admission controller's format.
 
         Args:
@@ -96,12 +96,12 @@
     """One request of a client.
 
     Args:
-        received: The received fields.
+        received: The decoded request.
         generation: The configuration that was in force when it was received. Later generations do not affect it.
         write_answer: Writes the answer to the client; called at most once.
 
     Attributes:
-        received: The received fields.
+        received: The decoded request and the time at which it was received.
         number: Identifier as a number.
         generation: The configuration that applies to the request.
         state: Current state.
@@ -116,7 +116,7 @@
         call_deadline_at_ms: When the latest call times out.
         coalesced_at_ms: When it began to wait for the result of its original request.
         coalesced_requests: Duplicates that wait for the result of this request.
-        run_ms: Core time that its run took.
+        run_ms: Duration of its run, calls included. For a coalesced request, how long it waited for its original.
         on_finished: Called with the request and its final state when it is answered or cancelled.
     """
 
@@ -167,8 +167,8 @@
     def deliver(self, event: RequestEvent) -> None:
         """Put an event into the mailbox.
 
-        A full mailbox drops every event that does not end the request. The two that do arrive once each, and without
-        them the running slot would never be freed.
+        A full mailbox drops every event that does not end the request. Each of the two events that end it arrives only
+        once, and without it the running slot would never be freed.
         """
         if len(self._mailbox) < MAILBOX_CAPACITY or isinstance(event, RunFinished | ClientDisconnected):
             self._mailbox.append(event)
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -250,13 +250,13 @@
         self.slow_start.worker_pool_connected(now_ms, worker_pool_age_ms)
         self.directory_reporter.change_endpoint()
         self.decision_executor.decide(AdmissionController.start)
-        self.update_slow_start()
+        self.apply_call_limit()
 
     def accept_request(self, request: Request) -> bool:
         """Accept a received request; return False if its connection has to answer it with a failure."""
         return self._open_requests.accept(request)
 
-    def update_slow_start(self) -> None:
+    def apply_call_limit(self) -> None:
         """Apply the call limit of the current phase of the slow start."""
         self._call_limit.update()
 
