--- a/nickelslip/startup/backoff.py
+++ b/nickelslip/startup/backoff.py
@@ -12,7 +12,7 @@
 
 
 class Backoff:
-    """Draws the delay before each attempt.
+    """Draws the delay after each failed attempt.
 
     No time window of `window_ms` has more than `max_attempts` failed attempts, even if successes come between them.
     """
--- a/nickelslip/startup/crash_loop.py
+++ b/nickelslip/startup/crash_loop.py
@@ -12,7 +12,7 @@
 EARLY_EXIT_MS = 20_000.0  # a server that runs for less than this has exited early
 MIN_DELAY_MS = 500.0
 MAX_DELAY_MS = 60_000.0
-EXITS_WITHOUT_DELAY = 1  # a manual restart is not delayed
+EXITS_WITHOUT_DELAY = 1  # a single early exit may be a manual restart, which is not delayed
 MAX_COUNTED_EXITS = 32
 MIN_JITTER_FRACTION = 0.5  # of the full delay; jitter keeps servers that exit together from restarting together
 
--- a/nickelslip/startup/round_statistics.py
+++ b/nickelslip/startup/round_statistics.py
@@ -20,12 +20,12 @@
 
     def __init__(self) -> None:
         self._answer_count = 0
-        self._rejected_count = 0  # calls that count as slow regardless of their response time
+        self._rejected_count = 0  # rejected and timed-out calls
         self._mean_ms = 0.0  # mean response time of the other calls
         self._baseline_ms = inf  # inf until the first round has been evaluated
 
     def add_answer(self, took_ms: float) -> None:
-        """Count an answer; `took_ms` is inf for a rejected or abandoned call, which always counts as slow."""
+        """Count an answer; `took_ms` is inf for a rejected or timed-out call, which always counts as slow."""
         self._answer_count += 1
         if took_ms == inf:
             self._rejected_count += 1
@@ -33,7 +33,7 @@
             self._mean_ms += (took_ms - self._mean_ms) / (self._answer_count - self._rejected_count)
 
     def is_complete(self, max_concurrent_calls: float) -> bool:
-        """Whether at least as many calls were answered as may be in flight at once."""
+        """Whether MIN_ROUND_ANSWERS calls, and at least as many as may be in flight at once, were answered."""
         return self._answer_count >= max(MIN_ROUND_ANSWERS, max_concurrent_calls)
 
     def discard_round(self) -> None:
--- a/nickelslip/startup/slow_start.py
+++ b/nickelslip/startup/slow_start.py
@@ -108,11 +108,7 @@
 
 
 class SlowStart:
-    """The slow start of one server process. All times are milliseconds on a monotonic clock.
-
-    Attributes:
-        phase: The current phase.
-        phases: The most recent phases, each with the time at which it was entered.
+    """The slow start of one server process. All times are Unix milliseconds of a clock that never goes backwards.
 
     Args:
         server_name: Determines, with the seed, the point in each report period at which this server sends its report.
@@ -122,6 +118,10 @@
             calls in flight; 0 if it makes no calls.
         is_cold: Whether the machine has to warm up. A warm one starts with its full share.
         warm_up_ms: How long the machine takes to warm up.
+
+    Attributes:
+        phase: The current phase.
+        phases: The most recent phases, each with the time at which it was entered.
     """
 
     def __init__(
