--- a/nickelslip/server/call_limit.py
+++ b/nickelslip/server/call_limit.py
@@ -16,11 +16,14 @@
     from nickelslip.server.decision_executor import DecisionExecutor
     from nickelslip.startup.slow_start import SlowStart
 
-MIN_DEPENDENCY_SHARE = 1.0  # without this, an unconfigured share would forbid all calls
+MIN_DEPENDENCY_SHARE = 1.0  # an unconfigured share is 0, which the slow start would take for a server without calls
 
 
 def dependency_share_of(settings: Settings) -> float:
-    """Return this server's share of concurrent dependency calls, as a mean; 0 if no traffic class makes calls."""
+    """Return this server's share of the dependency's concurrency, as a mean number of calls in flight.
+
+    The share is 0 if no traffic class makes calls.
+    """
     if not any(traffic_class.makes_calls for traffic_class in settings.traffic_classes):
         return 0.0
     return max(settings.dependency_concurrency_share, MIN_DEPENDENCY_SHARE)
--- a/nickelslip/server/command_delivery.py
+++ b/nickelslip/server/command_delivery.py
@@ -26,8 +26,8 @@
 )
 
 MAX_UNCONFIRMED_COMMANDS = 4096  # when there are more, the oldest are discarded
-# After this many stops without a notification of the run, each after the answer to a further query, the next stop
-# proves that the run does not exist.
+# A run does not exist if no notification of it has arrived after this many stops, of which at most one counts per
+# answered query.
 STOPS_PROVING_NO_RUN = 3
 
 
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class CheckCommand:
-    """Show what a document would change, without changing it."""
+    """Show what a document would change if it were applied."""
 
     document: DocumentPart
 
@@ -133,7 +133,7 @@
 
 
 def _decode_apply(request: Mapping[str, Any], now_ms: float) -> Command:
-    """Return a command to apply.
+    """Return the command to apply a document or the staged change.
 
     A command that has expired is rejected: its sender no longer waits for it and may already have rolled it back.
     """
--- a/nickelslip/server/crash_loop_guard.py
+++ b/nickelslip/server/crash_loop_guard.py
@@ -1,7 +1,7 @@
-"""Delays the start of a server that keeps exiting early, and records which starts have lasted.
+"""Delays the start of a server that keeps exiting early, and records whether a start has lasted long enough.
 
 The delay comes before the server binds its address or reports to the directory. While it waits, the directory does not
-list it and it makes no requests. Once it serves there are no more delays.
+list it and it makes no dependency calls. Once it serves there are no more delays.
 """
 
 from __future__ import annotations
--- a/nickelslip/server/decision_executor.py
+++ b/nickelslip/server/decision_executor.py
@@ -1,4 +1,4 @@
-"""Calls of the admission controller and execution of its decisions.
+"""Calls to the admission controller, and the execution of its decisions.
 
 Nothing is awaited between a decision and the write that executes it. Every decision is executed before
 `DecisionExecutor.decide` returns.
--- a/nickelslip/server/directory_reporter.py
+++ b/nickelslip/server/directory_reporter.py
@@ -33,7 +33,7 @@
         self._source = source
         self._is_reachable = True
         self._schedule_changed = anyio.Event()
-        self._socket: socket.socket | None = None  # kept open, as no descriptor may be left when a report is due
+        self._socket: socket.socket | None = None  # kept open; when a report is due, all descriptors may be in use
 
     def change_endpoint(self) -> None:
         """Re-evaluate when the next report is due.
--- a/nickelslip/server/interfaces.py
+++ b/nickelslip/server/interfaces.py
@@ -158,7 +158,7 @@
         """Remove the record of a request that never ran or must not be shared; the next request with its key runs."""
 
     def remember(self, request: Request, retention_ms: float) -> None:
-        """Keep the record of a request for `retention_ms`; 0 removes it."""
+        """Keep the record of a request for `retention_ms`; 0 or less removes it."""
 
 
 class HealthReporter(Protocol):
@@ -173,19 +173,19 @@
 
     @property
     def worker_pool(self) -> RunControl:
-        """Executes its runs."""
+        """Executes the run of the request."""
 
     @property
     def dependency_client(self) -> DependencyClient:
-        """Makes its dependency calls."""
+        """Makes the dependency calls of the run."""
 
     @property
     def idempotency_table(self) -> IdempotencyStore:
-        """Keeps its idempotency record and result."""
+        """Keeps the idempotency record and the result of the request."""
 
     @property
     def advertised_weight(self) -> float | None:
-        """The weight that its answer carries; None where there is none."""
+        """The weight sent with the answer; None if there is none."""
 
     def clock(self) -> float:
         """Return the Unix time in milliseconds, which never goes backwards."""
@@ -198,16 +198,16 @@
         """Report the arrival of a request."""
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which took `took_ms`, calls included."""
+        """Report the end of the request's run, which took `took_ms`, calls included."""
 
     def call_requested(self, request: Request) -> None:
-        """Report that its run is blocked at a call."""
+        """Report that the request's run is blocked at a call."""
 
     def call_returned(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its call, which took `took_ms`."""
+        """Report the end of the run's call, which took `took_ms`."""
 
     def client_disconnected(self, request: Request) -> None:
-        """Report that its client has disconnected."""
+        """Report that the request's client has disconnected."""
 
 
 class DecisionContext(RequestActions, Protocol):
--- a/nickelslip/server/load_balancer_connection.py
+++ b/nickelslip/server/load_balancer_connection.py
@@ -31,7 +31,7 @@
 MESSAGE_TIMEOUT_MS = 2000.0  # from the first byte of a message to its end, except for messages of slow writers
 MAX_CONSECUTIVE_REFUSALS = 64
 SEND_POLL_INTERVAL_S = 0.05
-CLOSE_CROSSING_MS = 50.0  # by the protocol, load balancers resend requests that they sent this shortly before a close
+CLOSE_CROSSING_MS = 50.0  # by the protocol, load balancers resend requests sent within this time before a close
 PEER_GONE_REASONS = (CloseReason.CLOSED, CloseReason.RESET)  # the peer can no longer read an answer
 
 
--- a/nickelslip/server/program.py
+++ b/nickelslip/server/program.py
@@ -144,7 +144,10 @@
 
 
 def _enable_garbage_collection() -> None:
-    """Enable garbage collection, but exclude all existing objects: scanning them would take a tenth of the start."""
+    """Enable garbage collection, but exclude all existing objects.
+
+    Scanning them would take a tenth of the startup time.
+    """
     gc.freeze()
     gc.enable()
 
--- a/nickelslip/server/records_connection.py
+++ b/nickelslip/server/records_connection.py
@@ -1,7 +1,8 @@
 """A connection to the records service, which carries one call at a time.
 
 An invalid reply or a connection error affects only the call in flight. Each call ends exactly once: by its reply, by
-being abandoned, or when the connection closes. Only a call that was never written is reported as not having run.
+being abandoned, or when the connection closes. After a close, only a call that was never written is reported as not
+having run.
 """
 
 from __future__ import annotations
--- a/nickelslip/server/request_decoder.py
+++ b/nickelslip/server/request_decoder.py
@@ -50,7 +50,7 @@
 
 
 class InvalidFieldError(Exception):
-    """A field is missing, repeated or out of range; the text contains its name on the wire."""
+    """A request is refused; the text is the name of the invalid field on the wire, or describes the failed check."""
 
 
 class RequestHead(NamedTuple):
@@ -103,7 +103,7 @@
         max_timeout_ms: The longest time that any client waits for an answer.
 
     Raises:
-        InvalidFieldError: A field is missing, repeated or out of range.
+        InvalidFieldError: A part is invalid, or a field is missing, repeated or out of range.
     """
     head = _decode_head(parts)
     fields = _decode_fields(head.field_list)
--- a/nickelslip/server/request_events.py
+++ b/nickelslip/server/request_events.py
@@ -8,7 +8,7 @@
 
 
 class CallRequested(NamedTuple):
-    """The run of the request has stopped at a dependency call.
+    """The run of the request is blocked at a dependency call.
 
     Attributes:
         seq: Sequence number of the worker pool's notification, which identifies the call.
--- a/nickelslip/server/request_reports.py
+++ b/nickelslip/server/request_reports.py
@@ -17,7 +17,11 @@
     from nickelslip.server.requests import Request
     from nickelslip.startup.slow_start import SlowStart
 
-ANSWERED_CALL_OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # they prove that the dependency is reachable
+ANSWERED_CALL_OUTCOMES = (
+    Outcome.OK,
+    Outcome.REJECTED,
+    Outcome.TIMEOUT,
+)  # treated as signs that the dependency is reachable
 
 
 class RequestReports:
@@ -56,16 +60,16 @@
         self._executor.decide(AdmissionController.request_received, arrival)
 
     def run_ended(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its run, which took `took_ms`, calls included."""
+        """Report the end of the request's run, which took `took_ms`, calls included."""
         request.run_ms = took_ms
         self._executor.decide(AdmissionController.run_ended, request.number, outcome, took_ms)
 
     def call_requested(self, request: Request) -> None:
-        """Report that its run is blocked at a call."""
+        """Report that the request's run is blocked at a call."""
         self._executor.decide(AdmissionController.call_requested, request.number)
 
     def call_returned(self, request: Request, outcome: Outcome, took_ms: float) -> None:
-        """Report the end of its call, which took `took_ms`."""
+        """Report the end of the run's call, which took `took_ms`."""
         self._counter.call_returned(outcome)
         if outcome in ANSWERED_CALL_OUTCOMES:
             self._slow_start.call_answered(self._clock(), took_ms if outcome is Outcome.OK else inf)
@@ -75,5 +79,5 @@
         self._call_limit.update()
 
     def client_disconnected(self, request: Request) -> None:
-        """Report that its client has disconnected."""
+        """Report that the request's client has disconnected."""
         self._executor.decide(AdmissionController.client_disconnected, request.number)
--- a/nickelslip/server/server.py
+++ b/nickelslip/server/server.py
@@ -51,7 +51,7 @@
 
     Args:
         config: The initial configuration.
-        read_config: Reads the configuration again; raises MalformedSettingsError.
+        read_config: Reads the configuration again; may raise MalformedSettingsError.
 
     Attributes:
         log: The log.
@@ -61,7 +61,7 @@
         listeners: The listeners that receive requests.
         background_tasks: Further tasks to run until the server ends.
         task_group: The task group of the server, while it runs.
-        reload_handler: Handles reloads in place of this server, where configuration changes are managed.
+        reload_handler: Reloads the configuration; None if the server itself reloads the addresses of its peers.
         lifecycle: The phase of the server.
         advertised: The state advertised to clients.
         slow_start: The slow start.
--- a/nickelslip/server/starting_configuration.py
+++ b/nickelslip/server/starting_configuration.py
@@ -22,7 +22,7 @@
         config: The configuration.
         file_document: The document in the configuration files.
         start: The selected document, its generation number and its origin.
-        records: The records of the history, including the one of this start.
+        records: The records of the history, including that of this start if one was written.
     """
 
     config: Config
@@ -34,9 +34,10 @@
 def select_starting_configuration(
     config: Config, store: HistoryStore | None, now_ms: float, log: Any
 ) -> StartingConfiguration:
-    """Select the starting configuration from the history or the files, and write the record of this start.
+    """Select the starting configuration from the history or the files.
 
-    A document from the history is validated like any other. If it is no longer valid, the files are used.
+    A document from the history is validated like any other. If it is no longer valid, the files are used. A start from
+    the files is recorded in the history, if one is kept; a start from the history is not.
 
     Args:
         config: The configuration in the files.
--- a/nickelslip/server/streams.py
+++ b/nickelslip/server/streams.py
@@ -29,7 +29,7 @@
         sock: The connected socket. The stream owns and closes it.
         buffers: The pool of buffers.
         task_group: The task group in which the backlog is sent.
-        stall_timeout_ms: How long the peer may pause in the middle of a message, or not read what was sent.
+        stall_timeout_ms: How long the peer may pause in the middle of a message, or leave sent data unread.
         max_backlog_bytes: The backlog size in bytes above which `wait_until_backlog_shrinks` waits.
         may_use_reserve: Whether reserved buffers of the pool may be acquired.
 
--- a/nickelslip/server/tagged_requests.py
+++ b/nickelslip/server/tagged_requests.py
@@ -106,7 +106,7 @@
             await self._drained.wait()
 
     def _cancel(self, tag: int) -> None:
-        """Cancel a request that the client has cancelled; it is no longer answered."""
+        """Handle the client's cancellation of a request, which is then no longer answered."""
         request = self._requests.pop(tag, None)
         if request is not None:
             request.deliver(ClientDisconnected())
--- a/nickelslip/server/worker_pool_connection.py
+++ b/nickelslip/server/worker_pool_connection.py
@@ -23,7 +23,7 @@
 
 MIN_RECONNECT_DELAY_MS = 20.0
 MAX_RECONNECT_DELAY_MS = 500.0
-RECONNECT_BUDGET = 24  # connection attempts in each period of RECONNECT_SPAN_MS
+RECONNECT_BUDGET = 24  # failed connection attempts in any time window of RECONNECT_SPAN_MS
 RECONNECT_SPAN_MS = 5000.0
 MAX_CONFIRMATION_WAIT_MS = 100.0  # for commands written on a connection that is being replaced
 MAX_QUERIES_WITHOUT_READ = 20  # ten queries are sent per second, so a silent connection is closed after about 2 s
@@ -124,7 +124,7 @@
     def count_query(self) -> None:
         """Count a query, and abort the stream if too many queries in a row were followed by no received data.
 
-        Otherwise the server would wait for a peer that vanished without closing until the deadline of every request.
+        Otherwise, if the peer vanished without closing the connection, every request would wait until its deadline.
         Queries are counted instead of time because a paused server sends none.
         """
         if self._stream is None or not self._has_been_bound:
