--- a/tests/server/test_dependency_calls.py
+++ b/tests/server/test_dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the records service: replies, retries, cancelled calls and lost connections."""
+"""Calls to the records service: replies, retries, cancelled calls and lost connections."""
 
 from base64 import b64decode
 
--- a/tests/server/test_load_balancer_connections.py
+++ b/tests/server/test_load_balancer_connections.py
@@ -148,7 +148,7 @@
         client, idle = await rig.connect_client(), await rig.connect_client()
         await idle.send("STATUS", "1", "")
         await client.stream.send(partial_input)
-        with anyio.move_on_after(0.1):  # single bytes that do not complete a message
+        with anyio.move_on_after(0.1):  # single bytes do not complete the partial word
             while partial_input:
                 await anyio.sleep(0.02)
                 await client.stream.send(b"x" if partial_input.endswith(b"A") else b"")
--- a/tests/server/test_requests_and_answers.py
+++ b/tests/server/test_requests_and_answers.py
@@ -250,5 +250,5 @@
                 gc.collect()
                 sizes.append(len(gc.get_objects()))
         await wait_until(lambda: not rig.server.requests)
-        assert sizes[1] - sizes[0] < 400  # one object per request would be 400
+        assert sizes[1] - sizes[0] < 400  # one object left over per request would be 400
         assert len(rig.server.buffers._free) < 4
--- a/tests/support/admission_model.py
+++ b/tests/support/admission_model.py
@@ -127,7 +127,7 @@
         self.advertised_weights: list[float] = []
         self._bounds = self.settings
         self._timers_at_ms: list[float] = []
-        self._drained_at_ms: float | None = None
+        self._drain_began_at_ms: float | None = None
         self._call_spans: list[tuple[float, float]] = []
         self._call_started_at_ms: dict[int, float] = {}
         self._call_times_out_at_ms: dict[int, float] = {}
@@ -175,11 +175,12 @@
     def _start_run(self, request_id: int) -> None:
         request = self.requests[request_id]
         assert request.stage is Stage.QUEUED and not request.answer_count and not request.may_not_run_again, (
-            "started twice, or after its answer"
+            "started while not queued, after its answer, or again although that is unsafe"
         )
         assert (
-            self._drained_at_ms is None or request.arrived_at_ms <= self._drained_at_ms + self._bounds.drain_grace_ms
-        ), "started although it arrived after the grace"
+            self._drain_began_at_ms is None
+            or request.arrived_at_ms <= self._drain_began_at_ms + self._bounds.drain_grace_ms
+        ), "started although it arrived after the grace period"
         if request.traffic_class.retry_safety is RetrySafety.IDEMPOTENCY_KEY:
             window_ends_at_ms = request.arrived_at_ms + request.traffic_class.idempotency_window_ms
             assert self.record_expires_at_ms[request_id] >= window_ends_at_ms, "started without its idempotency record"
@@ -325,7 +326,7 @@
 
     def drain(self, remaining_ms: float) -> Decisions:
         """Drain the server, which is killed after remaining_ms."""
-        self._drained_at_ms = self.now_ms
+        self._drain_began_at_ms = self.now_ms
         self.kill_at_ms = self.now_ms + remaining_ms
         return self.apply(self.controller.drain(self.now_ms, self.kill_at_ms))
 
--- a/tests/support/fake_records_service.py
+++ b/tests/support/fake_records_service.py
@@ -48,6 +48,6 @@
         return buffered
 
     async def reply(self, request_id: str, word: str, body: bytes | None = None, to: str = "") -> None:
-        """Send a reply on the connection of the request's call, or on the connection of the request `to`."""
+        """Send a reply on the connection of the request's call, or on that of another request `to`."""
         tail = b"" if body is None else b" %d\r\n%b" % (len(body), body)
         await self.connections_by_request[to or request_id].send(f"{request_id} {word}".encode() + tail + b"\r\n")  # type: ignore[union-attr]
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -85,7 +85,7 @@
 
 
 def run_until_warm(slow_start, now_ms, response_time_ms=10.0, end_at_ms=60_000.0):
-    """Answer every call after the same time until the start is warm or `end_at_ms` is reached; return the time then."""
+    """Answer every call after the same time until the start is warm or `end_at_ms` is reached; return the end time."""
     while slow_start.phase is not SlowStartPhase.WARM and now_ms < end_at_ms:
         now_ms = max(now_ms, now_ms + slow_start.call_pause_ms(now_ms))
         slow_start.check_warm_up_time(now_ms)
