--- a/nickelslip/server/canary_observation.py
+++ b/nickelslip/server/canary_observation.py
@@ -110,6 +110,6 @@
         return self.verdict
 
     def end(self) -> None:
-        """End the analysis, once no change is in its canary period."""
+        """End the analysis, and apply only the latency objectives in force again."""
         self._analysis = None
         self.request_metrics.set_latency_objectives(self._server.generation.latency_objectives_ms)
--- a/nickelslip/server/control_commands.py
+++ b/nickelslip/server/control_commands.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class DiscardStagedCommand:
-    """Reject the staged change."""
+    """Discard the staged change, which is then rejected."""
 
 
 @dataclass(frozen=True)
--- a/nickelslip/server/requests.py
+++ b/nickelslip/server/requests.py
@@ -35,7 +35,7 @@
         timeout_ms: How long its client waits for the answer, if the client states it.
         cost_hint_ms: Expected time on a core, if the client states it.
         is_retry: Whether it is marked as a retry.
-        load_balancer: Number of the load balancer, if the request contains it.
+        load_balancer: Number of the load balancer that sent it; None if unknown.
         key: Idempotency key, or the subject of a read whose answer may be shared with other requests.
     """
 
--- a/nickelslip/startup/crash_loop_file.py
+++ b/nickelslip/startup/crash_loop_file.py
@@ -80,7 +80,7 @@
 
 
 def decode_record(data: bytes) -> StartRecord:
-    """Return the record for its stored form.
+    """Decode the stored form of a record.
 
     Raises:
         MalformedStartRecordError: The record is of another version, or a value is out of range.
--- a/nickelslip/startup/rolling_restart.py
+++ b/nickelslip/startup/rolling_restart.py
@@ -72,7 +72,7 @@
     """Return the plan with the largest batches that the fleet can spare.
 
     A batch begins when the servers of the previous one are warm again. The servers of a batch do no work during the
-    downtime. After it their speed rises linearly.
+    downtime. Afterwards their speed rises linearly until they are warm.
 
     Raises:
         RollingRestartError: Not even one server may be restarted, or a figure is out of range.
