--- a/nickelslip/configuration/canary_analysis.py
+++ b/nickelslip/configuration/canary_analysis.py
@@ -16,8 +16,8 @@
 ===================================  ===========================  ==========================================
 
 ``sigmas`` is the difference in standard errors. ``load`` is the ratio of the request rate to that of the baseline. The
-texts of the reasons and the keys of the figures are stored and read by clients, so they differ from the names in the
-code.
+texts of the reasons and the keys of the figures are stored and read by clients. They must not change, even where the
+code uses other names.
 
 The expectation for each traffic class and tenant is what the old configuration would have achieved under the current
 load. A rise in load alone therefore does not count as harm, and a good total cannot hide that one class or tenant is
@@ -208,7 +208,8 @@
         return 0.0
     expected = counts_before.completed_in_time / counts_before.received * counts.received
     # Laplace's rule keeps the pooled fraction above 0 and below 1, as long as no more requests were completed than
-    # received. More may be: requests received before the window and retries are counted only when they are completed.
+    # received. More can be completed, since requests received before the window and retries are counted only on
+    # completion. The fraction is therefore limited to 1.
     fraction = min(
         1.0,
         (counts_before.completed_in_time + counts.completed_in_time + 1)
--- a/nickelslip/configuration/change_manager.py
+++ b/nickelslip/configuration/change_manager.py
@@ -282,9 +282,8 @@
     def extend_canary_period(self, duration_ms: float) -> None:
         """Extend the canary period by a time during which the change could not be observed."""
         if self.current is not None and self.current.state is ChangeState.CANARY:
-            self.current.state_entered_at_ms += (
-                duration_ms  # moves the start of the period; no longer the time of entry
-            )
+            # Moves the start of the period, so the attribute no longer holds the time at which the state was entered.
+            self.current.state_entered_at_ms += duration_ms
 
     def confirm(self, now_ms: float, reason: str) -> HistoryRecord:
         """Confirm the change in its canary period and return the record to write.
--- a/nickelslip/configuration/config.py
+++ b/nickelslip/configuration/config.py
@@ -39,7 +39,7 @@
         canary_period_ms: Length of the canary period. A change must do no harm during it to be confirmed.
         max_canary_period_ms: Maximum length of the canary period if ``canary_period_ms`` yields too little data.
         baseline_ms: Length of the period before a change with which the canary period is compared.
-        standard_errors: Number of standard errors above which a difference is not attributed to chance.
+        standard_errors: Number of standard errors from which on a difference is not attributed to chance.
         rejected_after_rollback_ms: How long a rolled-back document is rejected unless it is forced.
         reload_all: Whether SIGHUP applies the whole file as a change. Otherwise it applies only the peers'
             addresses, which are those of the worker pool, the dependency and the directory.
--- a/nickelslip/configuration/history.py
+++ b/nickelslip/configuration/history.py
@@ -1,8 +1,9 @@
-"""Byte format of the configuration history: its records, its file, and the selection of records at a start.
+"""Byte format of the configuration history, and the selection of the records to restore or to keep.
 
 The file begins with a magic line. Each record is a header (body length, 4 bytes, and the XXH3-64 of the body, 8 bytes,
-both big-endian) and a body in JSON. Decoding stops at the first record that is truncated, fails its checksum or has no
-higher sequence number than the record before it. All records before that one are valid. This module does no I/O.
+both big-endian) and a body in JSON. Decoding stops at the first record that is truncated, fails its checksum, has
+invalid contents, or whose sequence number is not higher than that of the record before it. The records before it are
+valid. This module does no I/O.
 """
 
 from __future__ import annotations
--- a/nickelslip/configuration/json5_reader.py
+++ b/nickelslip/configuration/json5_reader.py
@@ -1,7 +1,8 @@
 """Parses the text of a document into plain values and their positions.
 
-The json5 library reads JSON5. It also gives positions but is slow. The standard library reads plain JSON if no
-positions are needed. The size, the nesting and the number of values are limited. The module does not use the schema.
+The json5 library reads JSON5 and gives positions, but it is slow. Plain JSON is read with the standard library if no
+positions are needed, if the text is too long for the json5 library, or if that library is not installed. The size and
+the nesting are limited, and with the json5 library the number of values too. The module does not use the schema.
 """
 
 from __future__ import annotations
--- a/nickelslip/configuration/layers.py
+++ b/nickelslip/configuration/layers.py
@@ -104,7 +104,7 @@
 def _parse_variable(schema_field: Field, text: str) -> Any:
     """Return a variable's text as a value of the field's type.
 
-    A text that cannot be parsed is returned unchanged, and is a fault in the check of the value.
+    A text that cannot be parsed is returned unchanged. The check of the value then reports it as a fault.
     """
     if schema_field.type not in JSON_TYPES and text != "null":
         return text
--- a/nickelslip/configuration/loading.py
+++ b/nickelslip/configuration/loading.py
@@ -78,7 +78,8 @@
     A single plain JSON file in the platform's form is decoded directly, without defaults, origins and positions.
 
     Raises:
-        MalformedSettingsError: The configuration has faults; the message has the first of them with their positions.
+        MalformedSettingsError: The configuration has faults. The message contains the first of them, with
+            their positions.
     """
     has_overrides = any(variable.startswith(OVERRIDE_PREFIX) for variable in environment)
     if len(paths) == 1 and not has_overrides:
--- a/nickelslip/configuration/metrics_window.py
+++ b/nickelslip/configuration/metrics_window.py
@@ -106,8 +106,8 @@
     Attributes:
         dispersion: Ratio of the variance of the count to that of a Poisson count, at least 1. It includes the effect of
             the autocorrelation of consecutive batches.
-        batch_variance: Variance that one batch adds to the count if the number of received requests is known. Batches
-            that compensate for each other reduce it. Infinite if unknown.
+        batch_variance: Variance that one batch adds to the count if the number of received requests is known. A
+            negative autocorrelation of the batches reduces it. Infinite if unknown.
     """
 
     dispersion: float
--- a/nickelslip/configuration/plan.py
+++ b/nickelslip/configuration/plan.py
@@ -99,7 +99,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value as text, as an operator would write it."""
+    """Return a value as text for operators; None is shown as absent."""
     if value is None:
         return "absent"
     if isinstance(value, bool):
--- a/nickelslip/configuration/rollout.py
+++ b/nickelslip/configuration/rollout.py
@@ -376,7 +376,7 @@
             self._enter(target, TargetState.CONFIRMED, now_ms)
 
     def _record_rollback(self, target: _Target, now_ms: float, reply: dict[str, Any]) -> None:
-        """Record the reply to a rollback, which counts as successful also if the document is no longer in force."""
+        """Record the reply to a rollback. It counts as successful even if the document was no longer in force."""
         if reply.get("ok") is True or reply.get("code") in NOT_IN_FORCE_CODES:
             self._enter(target, TargetState.ROLLED_BACK, now_ms)
         else:
--- a/nickelslip/configuration/schema.py
+++ b/nickelslip/configuration/schema.py
@@ -319,7 +319,7 @@
 # Sections that contain one inner section for each name
 NAMED_SECTIONS: Mapping[str, tuple[Field, ...]] = {"grades": GRADE, "customers": CUSTOMER}
 MAX_NAMES: Mapping[str, int] = {"grades": 64, "customers": 4096}
-NAME_EFFECTS = {"grades": Effect.NEW, "customers": Effect.AT_ONCE}  # of adding or removing a name
+NAME_EFFECTS = {"grades": Effect.NEW, "customers": Effect.AT_ONCE}  # when adding or removing a name takes effect
 NEVER_COMPARED = frozenset({("node", "seed")})
 
 
--- a/nickelslip/configuration/start_selection.py
+++ b/nickelslip/configuration/start_selection.py
@@ -29,11 +29,11 @@
 
 
 def select_start(records: list[HistoryRecord], file_document: Document, now_ms: float) -> StartSelection:
-    """Return the selection of the document with which a server starts.
+    """Select the document with which a server starts.
 
     The last confirmed generation is restored if the files have not changed since its confirmation. Files that differ
-    are newer and take precedence. However, a document whose last change was rolled back, rejected or never confirmed
-    is not used, even if the files contain it.
+    are newer and take precedence. However, if the last change to the files' document was rolled back, rejected or never
+    confirmed, the last confirmed generation is restored instead. Without a confirmed generation, the files are used.
     """
     confirmed = last_confirmed(records)
     if confirmed is None or confirmed.document is None:
@@ -46,7 +46,7 @@
 
 
 def start_from_files(records: list[HistoryRecord], file_document: Document, now_ms: float) -> StartSelection:
-    """Return the selection of the document in the files, as a new generation after all those in the history."""
+    """Select the document in the files, as a new generation numbered after all those in the history."""
     digest = digest_of(file_document)
     number = max((record.generation for record in records), default=0) + 1
     started = HistoryRecord(
--- a/nickelslip/json_fields.py
+++ b/nickelslip/json_fields.py
@@ -93,7 +93,7 @@
         return int(value)
 
     def boolean(self, name: str) -> bool:
-        """Return a boolean; an absent one or null is False."""
+        """Return a boolean; an absent one or null is False. The numbers 0 and 1 are accepted too."""
         value = self._fields.get(name, False)
         if value not in (True, False, None):
             self._report(f"{self._path_of(name)}: true or false is needed")
--- a/nickelslip/simulator_adapter/codec.py
+++ b/nickelslip/simulator_adapter/codec.py
@@ -30,8 +30,8 @@
     "114": Outcome.NOT_STARTED,
     "125": Outcome.CANCELLED,
 }
-# REJECTED and CALL_IN_FLIGHT are encoded separately, with their values. The other final states are reported by the
-# simulator and never sent to it.
+# REJECTED and CALL_IN_FLIGHT are encoded separately, with their values. The remaining states are never sent to the
+# simulator, which itself reports the events that lead to COMPLETED and CANCELLED.
 VERBS = {
     RequestState.QUEUED: "STOP",
     RequestState.PAUSED: "STOP",
