--- a/nickelslip/emulator/checkers.py
+++ b/nickelslip/emulator/checkers.py
@@ -26,7 +26,7 @@
     Attributes:
         idempotent_classes: Traffic classes whose requests may run more than once.
         grace_ms: How long load balancers may still send after a server was told to shut down.
-        slack_ms: Extra response time that the rules and a busy machine may cause.
+        slack_ms: Delay of answers and runs that the rules tolerate, since a busy machine may cause it.
         window_ms: Within this time after a run, no other run may use the same idempotency key.
     """
 
@@ -67,7 +67,7 @@
     slack_ms: float,
     window_ms: float = inf,
 ) -> list[str]:
-    """Return the violations of rules 1 to 3.
+    """Return the violations of rules 1 to 3, as lines that start with "lost", "duplicate" or "drain".
 
     A killed server need not answer its open requests. A server that was told to shut down must still answer them.
     """
@@ -190,7 +190,7 @@
 
 
 def bad_exits(history: History) -> list[str]:
-    """Return the servers that exited with a failure, or without having been told to shut down."""
+    """Return the servers that exited with a failure, or of which no process was ever told to shut down."""
     observed = ObservedHistory(history)
     found = []
     for event in history.of(Kind.ENDED):
--- a/nickelslip/emulator/fleet_plan.py
+++ b/nickelslip/emulator/fleet_plan.py
@@ -49,7 +49,7 @@
         service_process_count: Number of separate processes for the services; with 0 they run in the fleet's process.
         stop_ms: Time within which a server must exit after it is told to shut down.
         grace_ms: How long load balancers may still send after a server is told to shut down.
-        slack_ms: Extra response time that a busy machine may cause.
+        slack_ms: Delay of answers and runs that the rules tolerate, since a busy machine may cause it.
         memory_mb: Memory limit of each server.
         window_ms: How long idempotency records are kept.
         prefix: Prefix of the servers' names.
--- a/nickelslip/emulator/history.py
+++ b/nickelslip/emulator/history.py
@@ -44,7 +44,7 @@
     CONNECTED = "CONNECTED"
     """A server connected to a service; detail: the service."""
     REFUSED = "REFUSED"
-    """The records service was down and refused a connection; detail: the service."""
+    """A service refused a connection; detail: the service. The emulator does not record this event."""
     REPORTED = "REPORT"
     """A report reached the directory; detail: whether it was accepted."""
     LISTED = "LISTED"
--- a/nickelslip/emulator/load_balancer_connection.py
+++ b/nickelslip/emulator/load_balancer_connection.py
@@ -19,7 +19,7 @@
 MAX_ANSWERED_KEPT = 4 * MAX_OPEN_ATTEMPTS
 UNREAD_WINDOW_MS = 50.0  # attempts written this shortly before the server closed count as unread and may be retried
 CONNECT_TIMEOUT_S = 0.5
-CLOSING_TAG = b"0"
+CLOSING_TAG = b"0"  # tag of the message with which the server asks for the connection to be closed
 
 
 class AttemptEnd(Enum):
--- a/nickelslip/emulator/load_balancers.py
+++ b/nickelslip/emulator/load_balancers.py
@@ -105,7 +105,7 @@
         self._spawn(self._send_requests())
 
     def restart(self) -> None:
-        """Reset every connection and discard all state but the endpoint list."""
+        """Reset every connection and discard the advertised weights and Retry-After times; keep the endpoint list."""
         self._abort_connections()
         self._connections.clear()
         self._weights.clear()
--- a/nickelslip/emulator/machine_model.py
+++ b/nickelslip/emulator/machine_model.py
@@ -97,7 +97,7 @@
         return finished
 
     def next_change_at_ms(self) -> float:
-        """Return the time of the next call to `take_finished`."""
+        """Return the time at which `take_finished` must be called next."""
         return self._processor.next_change_at_ms()
 
     @property
--- a/nickelslip/emulator/observed_history.py
+++ b/nickelslip/emulator/observed_history.py
@@ -33,7 +33,10 @@
 
 @dataclass
 class Attempt:
-    """One request at one server, as seen on both sides; the time of an event that did not happen is infinity."""
+    """One request at one server, as seen by load balancer and worker pool.
+
+    The time of an event that did not happen is infinity.
+    """
 
     request_id: str
     server: str
--- a/nickelslip/emulator/relay.py
+++ b/nickelslip/emulator/relay.py
@@ -56,7 +56,7 @@
     # Faults
 
     def set_faults(self, directions: tuple[Direction, ...] = tuple(Direction), **changes: Any) -> None:
-        """Change fields of the faults in these directions; records the begin and the end of a cut."""
+        """Change fields of the faults in these directions, and record when a cut begins or ends."""
         now_ms = self._history.clock()
         for direction in directions:
             channel = self.channels[direction]
--- a/nickelslip/emulator/schedule.py
+++ b/nickelslip/emulator/schedule.py
@@ -207,7 +207,7 @@
         if not isinstance(value, dict) or not value or any(key not in FAULTS_OF_LINK_STEP for key in value):
             self.errors.append(f"{location}: must be an object with keys from {', '.join(FAULTS_OF_LINK_STEP)}")
             return {}
-        return {spec: self._number(number, OPTIONAL_NUMBER, f"{location}.{spec}") for spec, number in value.items()}
+        return {key: self._number(number, OPTIONAL_NUMBER, f"{location}.{key}") for key, number in value.items()}
 
     def _servers(self, value: Any, location: str) -> tuple[str, ...]:
         if isinstance(value, list) and value and all(name in self._names for name in value):
--- a/nickelslip/emulator/service_model.py
+++ b/nickelslip/emulator/service_model.py
@@ -116,7 +116,7 @@
         self._up_at_ms = self.down_until_ms
 
     def next_change_at_ms(self) -> float:
-        """Return the time of the next call to `take_finished`."""
+        """Return the time at which `take_finished` must be called next."""
         return self._processor.next_change_at_ms()
 
     def _update_in_flight(self, now_ms: float) -> None:
--- a/nickelslip/emulator/services_process.py
+++ b/nickelslip/emulator/services_process.py
@@ -1,7 +1,8 @@
 """The program of a separate process for some of a fleet's services.
 
-`python -m nickelslip.emulator.services_process SPEC HISTORY` reads the specification and which services to run. It
-reads commands as JSON lines from standard input, replies on standard output, and writes its history at the end.
+`python -m nickelslip.emulator.services_process SPEC HISTORY` reads the specification and the services to run from the
+file SPEC. It reads commands as JSON lines from standard input and replies on standard output. At the end it writes its
+history to the file HISTORY.
 """
 
 from __future__ import annotations
--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class ServerAddresses:
-    """Addresses at which a server listens and finds its services; with relays, the relays use these addresses."""
+    """Addresses at which a server listens and finds its services. With relays, the latter are the relays' addresses."""
 
     listen: Address
     pool: Address
--- a/nickelslip/emulator/shared_processor.py
+++ b/nickelslip/emulator/shared_processor.py
@@ -71,7 +71,7 @@
         self._heap.clear()
 
     def next_change_at_ms(self) -> float:
-        """Return the time of the next update: when the first job ends, or earlier as the speed may change.
+        """Return the time of the next update: when the first job ends, or earlier because the speed may change.
 
         Without jobs it is infinity.
         """
--- a/nickelslip/emulator/shared_services.py
+++ b/nickelslip/emulator/shared_services.py
@@ -23,7 +23,7 @@
 Address = tuple[str, int]
 SERVICE_PORT_OFFSET = 1  # port of a service behind a relay, relative to the relay's port
 MOVE_PORT_OFFSET = 10  # between successive addresses of a service that moves
-OLD_RELAY_CLOSE_DELAY_S = 1.5  # after a move, connections to the old address close after this, as on the platform
+OLD_RELAY_CLOSE_DELAY_S = 1.5  # time from a move until connections to the old address are closed, as on the platform
 LIST_INTERVAL_MS = 100.0
 NO_EXCESS = -1e9  # used instead of minus infinity, which JSON lacks
 POOL_LINK = "pool"
--- a/nickelslip/emulator/time_weighted_mean.py
+++ b/nickelslip/emulator/time_weighted_mean.py
@@ -13,7 +13,7 @@
 def excess(figure: float, budget: float) -> float:
     """Return by how much a figure exceeds its budget, in units of the random variation that is expected.
 
-    The unit is twice the square root of the budget plus 2. An excess of up to 1 is attributed to chance.
+    The unit is 2 * sqrt(budget) + 2. An excess of up to 1 is attributed to chance.
     """
     return (figure - budget) / (CHANCE_ROOT_FACTOR * sqrt(budget) + CHANCE_CONSTANT)
 
--- a/nickelslip/emulator/worker_pool.py
+++ b/nickelslip/emulator/worker_pool.py
@@ -84,7 +84,7 @@
 class WorkerPool:
     """One incarnation of a server's worker pool.
 
-    Connections are accepted immediately, but nothing is written to them before the pool is up.
+    Connections are accepted immediately, but none is bound before the pool is up.
 
     Args:
         server: The server that the pool belongs to.
@@ -131,7 +131,7 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether the pool accepts commands."""
+        """Whether the pool has come up and has not ended."""
         return not self.ended and self._history.clock() >= self._up_at_ms
 
     @property
--- a/nickelslip/emulator/worker_pool_messages.py
+++ b/nickelslip/emulator/worker_pool_messages.py
@@ -1,7 +1,7 @@
 """Messages between a server and its fake worker pool, and their JSON lines.
 
-The fake has its own decoder and encoder, written from the specification of the protocol. A fault in the server's codec
-therefore cannot go unnoticed because both sides share it.
+The fake has its own decoder and encoder, written from the specification of the protocol. If both sides shared a codec,
+a fault in it would go unnoticed.
 """
 
 from __future__ import annotations
