--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -220,13 +220,13 @@
     model.receive_request(2, READ)
     assert states(model.request_call(2)) == [(2, RequestState.DEGRADED)]
     model.receive_request(3, PAY)
-    assert states(model.request_call(3)) == [(3, RequestState.CALL_IN_FLIGHT)], "required calls are still made"
+    assert states(model.request_call(3)) == [(3, RequestState.CALL_IN_FLIGHT)], "required calls must still be made"
     model.advance(100)
     model.return_call(3, Outcome.OK)
     model.advance(600)
     model.receive_request(4, READ)
     assert states(model.request_call(4)) == [(4, RequestState.CALL_IN_FLIGHT)], (
-        "optional calls resume after the suspension"
+        "optional calls must resume after the suspension"
     )
 
 
@@ -484,7 +484,7 @@
     for request_id in (1, 2, 3):
         model.receive_request(request_id, READ, timeout_ms=1500.0)
     assert model.ids_in(Stage.RUNNING) == [1, 2] and model.ids_in(Stage.QUEUED) == [3]
-    # The first attempt of 4 was 1600 ms ago, and the objective is 1000 ms.
+    # The first attempt of request 4 was 1600 ms ago, and the latency objective is 1000 ms.
     (change,) = model.receive_request(4, READ, timeout_ms=1400.0).state_changes
     assert change == (4, RequestState.REJECTED, change.duration_ms, True)
     assert not model.receive_request(5, READ, timeout_ms=1500.0).state_changes  # a usual timeout does not show the age
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -82,15 +82,15 @@
         oldest, other = await connect_idle_client(rig), await connect_idle_client(rig)
         set_idle_for(rig, oldest, 1000.0)  # least recently used
         oldest.send(encode_request(A))
-        newcomer = RawClient(rig.port)
+        new_client = RawClient(rig.port)
         rig.server.listeners[0]._accept()
         await wait_until(lambda: rig.pool.received_commands("spawn", A))
         await rig.pool.finish(A)
         assert b"result" in await oldest.receive_until(b"result")
         other.send(encode_request(B))  # crosses the close
         assert b"healthy" in await other.receive_to_end() and not rig.pool.received_commands("spawn", B)
-        newcomer.send(STATUS)
-        assert b"healthy" in await newcomer.receive_until(b"healthy")
+        new_client.send(STATUS)
+        assert b"healthy" in await new_client.receive_until(b"healthy")
 
 
 async def test_a_connection_over_the_limit_is_closed_without_a_reset():
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -48,7 +48,7 @@
         await fleet.wait_until_serving()
         await asyncio.sleep(5.0)
         assert fleet.local_services.records.service.overload_failure_count == 0, (
-            "the records service did not fail from overload"
+            "the records service must not fail from overload"
         )
         assert fleet.served_fraction(fleet.history.clock() - 2500, fleet.history.clock() - 1200) > 0.7
         await stop_and_check_rules(fleet)
@@ -65,9 +65,9 @@
         await fleet.wait_until_serving(timeout_s=1.5)
         await asyncio.sleep(2.0)
         reports = fleet.history.of(Kind.REPORTED)
-        assert max(counts_per_bin(reports, 100.0, up_at_ms, up_at_ms + 2000)) <= 5, "reports are spread out"
+        assert max(counts_per_bin(reports, 100.0, up_at_ms, up_at_ms + 2000)) <= 5, "reports must be spread out"
         assert sum(counts_per_bin(reports, 100.0, up_at_ms, up_at_ms + 2000)) <= 8 * 5, (
-            "servers send no more reports than necessary"
+            "servers must send no more reports than necessary"
         )
         await fleet.set_request_rate()
         await asyncio.sleep(1.0)
@@ -80,17 +80,17 @@
         for number, name in enumerate(fleet.names):
             await fleet.start(name, up_ms=700.0 * number)
         await asyncio.sleep(0.5)
-        assert await fleet.shut_down("n5"), "a server without a worker pool exits in time"
-        assert not fleet.history.of(Kind.REPORTED, server="n5"), "a server without a worker pool never reports"
+        assert await fleet.shut_down("n5"), "a server without a worker pool must exit in time"
+        assert not fleet.history.of(Kind.REPORTED, server="n5"), "a server without a worker pool must not report"
         await fleet.wait_until_serving("n1", "n2")
-        assert await fleet.shut_down("n2"), "a server that has just started serving exits in time"
+        assert await fleet.shut_down("n2"), "a server that has just started serving must exit in time"
         await fleet.start("n2", "n5")
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         for name in fleet.names:
             linked_at_ms = fleet.history.of(Kind.POOL_LINKED, server=name)[0].at_ms
             assert all(report.at_ms >= linked_at_ms - 1 for report in fleet.history.of(Kind.REPORTED, server=name)), (
-                "no report before the worker pool is connected"
+                "a server must not report before its worker pool is connected"
             )
         await stop_and_check_rules(fleet)
 
@@ -112,7 +112,7 @@
         before, during = (
             fleet.served_fraction(since, since + 1500) for since in (begin_at_ms - 1700, begin_at_ms + 500)
         )
-        assert during > 0.8 * before, "at least 80% of the fraction served before the others started"
+        assert during > 0.8 * before, "the fraction served must stay at 80% or more of that before the others started"
         restarted, cut_off = servers_of_zone(fleet.names, 3, 0), servers_of_zone(fleet.names, 3, 1)
         await fleet.kill(*restarted)
         await fleet.cut(*cut_off)
@@ -160,7 +160,7 @@
         )
         await fleet.start("n1")
         await fleet.wait_until(lambda: json.loads((starts / FILE_NAME).read_text())["row"] == 4)
-        assert await fleet.shut_down("n1"), "a server that waits for its delayed start exits in time"
+        assert await fleet.shut_down("n1"), "a server that waits for its delayed start must exit in time"
         assert json.loads((starts / FILE_NAME).read_text())["row"] == 0
         await asyncio.sleep(1.0)
         assert fleet.served_fraction(begin_at_ms, fleet.history.clock() - 1000) > 0.8
--- a/tests/test_cold_sums.py
+++ b/tests/test_cold_sums.py
@@ -1,4 +1,4 @@
-"""Tests of the measures of the combined load on cold servers, machines and services; they detect violations."""
+"""The measures of the combined load on cold servers, machines and services detect an excess."""
 
 from math import sqrt
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -212,14 +212,14 @@
         [(0, 10), (5, 15), (20, 30)], 2
     ) == [] and fleet_properties.overlap_violations([(0, 10), (5, 15)], 1)
     assert fleet_properties.overlap_violations([(0, 10), (10, 20)], 1) == [], (
-        "a span that ends when the next begins does not overlap it"
+        "a span that ends when the next begins must not overlap it"
     )
     assert fleet_properties.peak_over_mean(calls, 100.0, 0.0, 1000.0) == pytest.approx(1.0)
     assert fleet_properties.peak_over_mean([*calls, *calls[:1]], 100.0, 0.0, 1000.0) == pytest.approx(20 / 11)
     listed = History([Event(0.0, Kind.LISTED, "", "", ["n1", "n2"]), Event(100.0, Kind.LISTED, "", "", ["n1"])])
     assert fleet_properties.unlisted_count(listed, ["n1", "n2"], 0.0, 1000.0) == 1
     exits = History([Event(0.0, Kind.STARTED, "n1", "", None), Event(5.0, Kind.ENDED, "n1", "", 0)])
-    assert checkers.bad_exits(exits), "the server exited without having been told to shut down"
+    assert checkers.bad_exits(exits), "an exit without a request to shut down must be reported"
 
 
 def test_history_is_restored_from_its_file_and_joined_in_chronological_order(tmp_path):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -52,7 +52,7 @@
         await asyncio.sleep(1.0)
         links = fleet.history.of(Kind.POOL_LINKED)
         assert all(sum(event.server == name for event in links) == 3 for name in remaining), (
-            "each move caused a new connection to the worker pool"
+            "each move must cause a new connection to the worker pool"
         )
         assert fleet.served_fraction(begin_at_ms) > 0.8
 
@@ -81,7 +81,7 @@
         serving_at_ms = fleet.history.clock()
         await asyncio.sleep(2.0)
         assert priority_weight_totals(fleet.history, serving_at_ms, fleet.history.clock(), set(killed))[1] > 0, (
-            "the restarted servers serve requests"
+            "the restarted servers must serve requests"
         )
 
 
@@ -108,4 +108,4 @@
         await fleet.wait_until_serving()
         await asyncio.sleep(1.0)
         ended = fleet.history.of(Kind.ENDED)
-        assert len(ended) == 4 and all(event.detail == 0 for event in ended), "each server exited by itself"
+        assert len(ended) == 4 and all(event.detail == 0 for event in ended), "each server must exit by itself"
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -104,7 +104,8 @@
     for descriptors in range(32, 2000):
         shares = descriptor_shares(descriptors, calls)
         assert min(shares) >= 1 and sum(shares) + RESERVED_DESCRIPTORS <= descriptors
-        assert shares.load_balancers >= descriptors / 2 or descriptors < 100  # load balancers use at most half
+        # Load balancers get at least half, unless the limit is small.
+        assert shares.load_balancers >= descriptors / 2 or descriptors < 100
 
 
 FLOODS = {
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -13,13 +13,13 @@
 def test_messages_cut_anywhere_are_read_as_they_were_written(messages, data):
     stream = b"".join(resp.message(*parts) for parts in messages)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=12)))
-    held, start, read = bytearray(), 0, []
+    buffer, start, received = bytearray(), 0, []
     for begin, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
-        held += stream[begin:end]
-        while (whole := resp.parse(held, start, len(held))) is not None:
-            parts, start = whole
-            read.append(parts)
-    assert read == messages and start == len(stream)
+        buffer += stream[begin:end]
+        while (parsed := resp.parse(buffer, start, len(buffer))) is not None:
+            parts, start = parsed
+            received.append(parts)
+    assert received == messages and start == len(stream)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -123,7 +123,7 @@
 
 
 def change_one_request(model, event, index, outcome):
-    """Apply the event to one of the requests that it is possible for, if there is one."""
+    """Apply the event to one of the requests for which it is possible, if there is one."""
     candidates = [
         request_id
         for request_id, request in model.requests.items()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -123,20 +123,20 @@
         (connection,) = listener.table.connections
         shut_down = connection.stream.shut_down
 
-        def shut_down_while_request_arrives(ending):
+        def shut_down_while_request_arrives(reason):
             if order == "after":
-                shut_down(ending)
+                shut_down(reason)
             peer.send(encode_request(A))
             if order == "before":
-                shut_down(ending)
+                shut_down(reason)
 
         close_if_idle = connection.close_if_idle
 
-        def send_request_and_close(ending):
+        def send_request_and_close(reason):
             if order == "before" and not rig.pool.is_request_sent:
                 rig.pool.is_request_sent = True
                 peer.send(encode_request(A))  # just before the server checks whether the connection is idle
-            return close_if_idle(ending)
+            return close_if_idle(reason)
 
         rig.pool.is_request_sent = False
         monkeypatch.setattr(connection, "close_if_idle", send_request_and_close)
--- a/tests/test_slow_messages.py
+++ b/tests/test_slow_messages.py
@@ -96,7 +96,7 @@
         clock, peer = ShiftedClock(rig), RawClient(rig.port)
         await wait_until(lambda: rig.connection_of(peer))
         clock.advance(JUST_BELOW_TIMEOUT_MS)
-        message = clock.encode_request(A, JUST_BELOW_TIMEOUT_MS)  # timestamped when it will be complete
+        message = clock.encode_request(A, JUST_BELOW_TIMEOUT_MS)  # its timestamp: when it will be complete
         peer.send(message[:20])
         await wait_until(lambda: has_partial_message(rig, peer))
         clock.advance(JUST_BELOW_TIMEOUT_MS)
@@ -110,7 +110,7 @@
     async with ServerRig(cpus=32) as rig:
         await rig.wait_until_serving()
         clock, peer = ShiftedClock(rig), await connect_idle_client(rig)
-        # Each is timestamped when it will be complete.
+        # The timestamp of each is the time at which it will be complete.
         first, second = (
             clock.encode_request(A, JUST_BELOW_TIMEOUT_MS, tag=2),
             clock.encode_request(B, 2 * JUST_BELOW_TIMEOUT_MS, tag=3),
