--- a/nickelslip/emulator/services_spec.py
+++ b/nickelslip/emulator/services_spec.py
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class ServerAddresses:
-    """Addresses at which a server listens and finds its services. With relays, the latter are the relays' addresses."""
+    """The address at which a server listens, and those of its services or, with relays, of the services' relays."""
 
     listen: Address
     pool: Address
